--- a/hawthornkeel/benches/http_edge.rs
+++ b/hawthornkeel/benches/http_edge.rs
@@ -33,7 +33,7 @@
 use hawthornkeel::target::stream::TokenStream;
 use hawthornkeel_core::ids::CallId;
 use hawthornkeel_core::ids::RequestId;
-use hawthornkeel_core::request::refusal::Ran;
+use hawthornkeel_core::request::refusal::RunStatus;
 use hawthornkeel_fakes::behaviour::Behaviour;
 use hawthornkeel_fakes::caller;
 use hawthornkeel_fakes::caller::ANSWERED;
@@ -236,7 +236,7 @@
         _ => client.call(target, &call).await.map(|a| Response::json(a.body)),
     };
     result.unwrap_or_else(|error| {
-        let problem = Problem::new(Code::StageFailed, Ran::Unknown);
+        let problem = Problem::new(Code::StageFailed, RunStatus::Unknown);
         problem.with_detail(error.to_string()).into_response()
     })
 }
--- a/hawthornkeel/src/control/admin.rs
+++ b/hawthornkeel/src/control/admin.rs
@@ -9,6 +9,7 @@
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::names::OperatorName;
+use hawthornkeel_core::state::command::AcceptedSubmission;
 use hawthornkeel_core::state::command::CentreOrder;
 use hawthornkeel_core::state::command::CentreOutcome;
 use hawthornkeel_core::state::command::CentreRecord;
@@ -17,8 +18,7 @@
 use hawthornkeel_core::state::command::Outcome;
 use hawthornkeel_core::state::command::Submit;
 use hawthornkeel_core::state::command::SubmitOutcome;
-use hawthornkeel_core::state::command::Winner;
-use hawthornkeel_core::state::takeout::Heard;
+use hawthornkeel_core::state::take_out::MergeOutcome;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -59,7 +59,7 @@
         version: Version,
     },
     /// Another document came first.
-    Conflict(Winner),
+    Conflict(AcceptedSubmission),
     /// No quorum could be reached: the document is not accepted.
     NotAccepted,
     /// The outcome is not known: the same submission, sent again, gets it.
@@ -139,7 +139,7 @@
     /// Takes a data centre out, at once and whether or not the log can be reached.
     pub async fn take_out(&self, request: CentreRequest) -> CentreResponse {
         let order = order(request, CentreState::TakenOut);
-        if self.gossip.take_out(&order) == Heard::Full {
+        if self.gossip.take_out(&order) == MergeOutcome::Full {
             return CentreResponse::Full;
         }
         match self.gossip.log(&order).await {
--- a/hawthornkeel/src/control/batch.rs
+++ b/hawthornkeel/src/control/batch.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hawthornkeel_core::state::State;
-use hawthornkeel_core::state::command::Stamped;
+use hawthornkeel_core::state::command::TimestampedCommand;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -16,7 +16,7 @@
 /// # Errors
 ///
 /// Fails where the codec fails.
-pub fn encode(commands: &[Stamped]) -> Result<Bytes, CodecError> {
+pub fn encode(commands: &[TimestampedCommand]) -> Result<Bytes, CodecError> {
     encode_value(commands)
 }
 
@@ -25,7 +25,7 @@
 /// # Errors
 ///
 /// Fails where the entry has an unknown version or is malformed.
-pub fn decode(data: &[u8]) -> Result<Vec<Stamped>, CodecError> {
+pub fn decode(data: &[u8]) -> Result<Vec<TimestampedCommand>, CodecError> {
     decode_value(data)
 }
 
--- a/hawthornkeel/src/control/follow.rs
+++ b/hawthornkeel/src/control/follow.rs
@@ -10,7 +10,7 @@
 use hawthornkeel_config::settings::Settings;
 use hawthornkeel_core::ids::LogIndex;
 use hawthornkeel_core::names::InstanceName;
-use hawthornkeel_core::state::published::Published;
+use hawthornkeel_core::state::published::PublishedState;
 
 use crate::control::gather::ask_all;
 use crate::control::node::Control;
@@ -99,7 +99,7 @@
     }
 
     /// Returns the state that holds everything acknowledged so far, if this instance leads.
-    pub async fn confirmed(&self) -> Option<Published> {
+    pub async fn confirmed(&self) -> Option<PublishedState> {
         let control = self.control.as_ref()?;
         control.confirm().await.then(|| control.published())
     }
--- a/hawthornkeel/src/control/gossip.rs
+++ b/hawthornkeel/src/control/gossip.rs
@@ -10,8 +10,8 @@
 use hawthornkeel_core::state::command::CentreOutcome;
 use hawthornkeel_core::state::command::Command;
 use hawthornkeel_core::state::command::Outcome;
-use hawthornkeel_core::state::takeout::Heard;
-use hawthornkeel_core::state::takeout::Hold;
+use hawthornkeel_core::state::take_out::MergeOutcome;
+use hawthornkeel_core::state::take_out::TakeOut;
 use rand::seq::IndexedRandom;
 
 use crate::control::client::ControlClient;
@@ -64,10 +64,10 @@
     }
 
     /// Takes an order in from an operator, and passes it on.
-    pub fn take_out(&self, order: &CentreOrder) -> Heard {
-        let hold = Hold { order: order.clone(), floor: None };
+    pub fn take_out(&self, order: &CentreOrder) -> MergeOutcome {
+        let hold = TakeOut { order: order.clone(), log_index: None };
         let heard = self.inner.watch.hear(&hold);
-        if heard == Heard::New {
+        if heard == MergeOutcome::New {
             self.spread(&[hold], None);
             self.repeat();
         }
@@ -102,16 +102,16 @@
         LogIndex(index.0.saturating_add(1))
     }
 
-    fn hear(&self, from: &InstanceName, holds: &[Hold]) {
+    fn hear(&self, from: &InstanceName, holds: &[TakeOut]) {
         for hold in holds {
             match self.inner.watch.hear(hold) {
-                Heard::New => {
+                MergeOutcome::New => {
                     self.spread(std::slice::from_ref(hold), Some(from));
                     self.repeat();
                 }
-                Heard::Outdated => self.answer(from, &hold.order),
-                Heard::Full => tracing::error!(event = "take-out-dropped", peer = %from),
-                Heard::Known | Heard::Ignored => {}
+                MergeOutcome::Outdated => self.answer(from, &hold.order),
+                MergeOutcome::Full => tracing::error!(event = "take-out-dropped", peer = %from),
+                MergeOutcome::Known | MergeOutcome::Ignored => {}
             }
         }
     }
@@ -124,7 +124,7 @@
     }
 
     /// Passes orders on to a few peers, all of them where there are few.
-    fn spread(&self, holds: &[Hold], except: Option<&InstanceName>) {
+    fn spread(&self, holds: &[TakeOut], except: Option<&InstanceName>) {
         let peers: Vec<_> = self.inner.endpoint.peers().map(|p| &p.name).collect();
         let chosen: Vec<_> = peers.choose_multiple(&mut rand::rng(), FAN_OUT).collect();
         for peer in chosen {
@@ -134,7 +134,7 @@
         }
     }
 
-    fn send(&self, to: &InstanceName, holds: &[Hold]) {
+    fn send(&self, to: &InstanceName, holds: &[TakeOut]) {
         if let Err(error) = self.inner.endpoint.send(to, &Frame::TakeOuts(holds.to_vec())) {
             tracing::warn!(event = "take-out-unsent", peer = %to, %error);
         }
--- a/hawthornkeel/src/control/node.rs
+++ b/hawthornkeel/src/control/node.rs
@@ -23,7 +23,7 @@
 use hawthornkeel_core::replica::Ticket;
 use hawthornkeel_core::state::State;
 use hawthornkeel_core::state::command::Command;
-use hawthornkeel_core::state::published::Published;
+use hawthornkeel_core::state::published::PublishedState;
 use hawthornkeel_core::time::Instant;
 use indexmap::IndexMap;
 use rand_chacha::ChaCha8Rng;
@@ -199,7 +199,7 @@
     }
 
     /// Returns the published part of the state as applied here.
-    pub fn published(&self) -> Published {
+    pub fn published(&self) -> PublishedState {
         self.inner.state.borrow().published()
     }
 
--- a/hawthornkeel/src/control/orders.rs
+++ b/hawthornkeel/src/control/orders.rs
@@ -12,8 +12,8 @@
 use hawthornkeel_core::ids::Term;
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::names::TargetName;
+use hawthornkeel_core::orders::OrderError;
 use hawthornkeel_core::orders::OrderGate;
-use hawthornkeel_core::orders::OrderHold;
 use hawthornkeel_core::orders::OrderSettings;
 use hawthornkeel_core::state::command::Command;
 use hawthornkeel_core::state::command::Outcome;
@@ -131,8 +131,8 @@
         let call = Call {
             id: CallId { request: RequestId(rand::random()), ..CallId::default() },
             idempotent: false,
-            timeout: self.settings.longest,
-            progress: self.settings.longest,
+            timeout: self.settings.timeout,
+            progress: self.settings.timeout,
             ..Call::default()
         };
         let order = FencedOrder { fencing, order };
@@ -147,11 +147,11 @@
         self.control.lead().own.then(|| self.control.status().term)
     }
 
-    fn held(&self, hold: OrderHold) -> OrderResponse {
+    fn held(&self, hold: OrderError) -> OrderResponse {
         match hold {
-            OrderHold::NotLeader => self.not_leader(),
-            OrderHold::Until(time) => wait(time.since(boot_now())),
-            OrderHold::Busy => wait(self.settings.longest),
+            OrderError::NotLeader => self.not_leader(),
+            OrderError::NotBefore(time) => wait(time.since(boot_now())),
+            OrderError::Busy => wait(self.settings.timeout),
         }
     }
 
--- a/hawthornkeel/src/control/pending.rs
+++ b/hawthornkeel/src/control/pending.rs
@@ -7,7 +7,7 @@
 use hawthornkeel_core::state::command::Command;
 use hawthornkeel_core::state::command::Outcome;
 use hawthornkeel_core::state::command::Settlement;
-use hawthornkeel_core::state::command::Stamped;
+use hawthornkeel_core::state::command::TimestampedCommand;
 use hawthornkeel_core::time::WallTime;
 use indexmap::IndexMap;
 
@@ -71,7 +71,7 @@
     /// Takes the commands of the next entry out, to be proposed under `id`.
     ///
     /// Returns `None` where none wait or enough entries are on their way.
-    pub fn take(&mut self, id: ProposalId, at: WallTime) -> Option<Vec<Stamped>> {
+    pub fn take(&mut self, id: ProposalId, at: WallTime) -> Option<Vec<TimestampedCommand>> {
         if self.waiting.is_empty() || self.proposed.len() >= self.limits.entries {
             return None;
         }
@@ -79,7 +79,7 @@
         while batch.len() < self.limits.commands && bytes < self.limits.bytes {
             let Some((command, waiter)) = self.waiting.pop_front() else { break };
             bytes += size(&command);
-            batch.push(Stamped { at, command });
+            batch.push(TimestampedCommand { timestamp: at, command });
             waiters.push(waiter);
         }
         self.proposed.insert(id, waiters);
--- a/hawthornkeel/src/control/watch.rs
+++ b/hawthornkeel/src/control/watch.rs
@@ -9,10 +9,10 @@
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::state::command::CentreOrder;
-use hawthornkeel_core::state::published::Published;
-use hawthornkeel_core::state::takeout::Heard;
-use hawthornkeel_core::state::takeout::Hold;
-use hawthornkeel_core::state::takeout::Holds;
+use hawthornkeel_core::state::published::PublishedState;
+use hawthornkeel_core::state::take_out::MergeOutcome;
+use hawthornkeel_core::state::take_out::TakeOut;
+use hawthornkeel_core::state::take_out::TakeOuts;
 use hawthornkeel_core::time::Instant;
 
 use crate::clock::boot_now;
@@ -28,8 +28,8 @@
 
 #[derive(Default)]
 struct Inner {
-    published: RefCell<Option<Rc<Published>>>,
-    holds: RefCell<Holds>,
+    published: RefCell<Option<Rc<PublishedState>>>,
+    holds: RefCell<TakeOuts>,
     /// When the state was last known to be that of a group with a leader.
     ///
     /// On the clock that goes on while the machine is suspended.
@@ -41,7 +41,7 @@
     /// Puts `published` in force unless one with the same or a higher index is.
     ///
     /// Returns whether it is in force now.
-    pub fn offer(&self, published: Published) -> bool {
+    pub fn offer(&self, published: PublishedState) -> bool {
         let current = self.index();
         if current.is_some_and(|index| published.index <= index) {
             return false;
@@ -54,7 +54,7 @@
     }
 
     /// Returns the state in force, or `None` before the first.
-    pub fn current(&self) -> Option<Rc<Published>> {
+    pub fn current(&self) -> Option<Rc<PublishedState>> {
         self.inner.published.borrow().clone()
     }
 
@@ -75,9 +75,9 @@
     }
 
     /// Takes in an order to take a data centre out.
-    pub fn hear(&self, hold: &Hold) -> Heard {
-        let heard = self.inner.holds.borrow_mut().hear(hold);
-        if heard == Heard::New {
+    pub fn hear(&self, hold: &TakeOut) -> MergeOutcome {
+        let heard = self.inner.holds.borrow_mut().merge(hold);
+        if heard == MergeOutcome::New {
             let CentreOrder { operator, operation, centre, .. } = &hold.order;
             tracing::info!(event = "take-out-heard", %operator, %operation, %centre);
             self.inner.changed.notify();
@@ -87,17 +87,17 @@
 
     /// Notes that the log decides on `order` from `index` on.
     pub fn logged(&self, order: &CentreOrder, index: LogIndex) {
-        self.inner.holds.borrow_mut().logged(order, index);
+        self.inner.holds.borrow_mut().mark_logged(order, index);
         self.inner.changed.notify();
     }
 
     /// Returns what is known of an order.
-    pub fn hold(&self, order: &CentreOrder) -> Option<Hold> {
+    pub fn hold(&self, order: &CentreOrder) -> Option<TakeOut> {
         self.inner.holds.borrow().get(order).cloned()
     }
 
     /// Returns the orders that are not logged as far as is known here.
-    pub fn unlogged(&self) -> Vec<Hold> {
+    pub fn unlogged(&self) -> Vec<TakeOut> {
         self.inner.holds.borrow().unlogged().cloned().collect()
     }
 
@@ -117,7 +117,7 @@
     pub fn followed(&self, after: Option<LogIndex>) -> Followed {
         let published = self.current().filter(|p| after.is_none_or(|a| p.index > a));
         Followed {
-            published: published.map(|p| Published::clone(&p)),
+            published: published.map(|p| PublishedState::clone(&p)),
             holds: self.inner.holds.borrow().all().to_vec(),
             age_ms: self.age().map(millis),
         }
--- a/hawthornkeel/src/entry/call.rs
+++ b/hawthornkeel/src/entry/call.rs
@@ -224,9 +224,9 @@
         CallError::NotSent(_) | CallError::Restarted => CallFailure::NotSent,
         CallError::Refused { not_run: true, .. } => CallFailure::Declined,
         CallError::Refused { .. } => CallFailure::Refused,
-        CallError::Silent => CallFailure::Silent,
+        CallError::Silent => CallFailure::ProgressTimeout,
         CallError::Truncated => CallFailure::Truncated,
-        CallError::Crossed => CallFailure::Crossed,
+        CallError::Crossed => CallFailure::WrongCall,
         CallError::Reset(_) => CallFailure::Reset,
         CallError::Malformed(_) | CallError::NotResumed => CallFailure::Malformed,
         CallError::Status(status) => CallFailure::Status(*status),
@@ -237,9 +237,9 @@
     match failure {
         CallFailure::NotSent => CallOutcome::ConnectFailed,
         CallFailure::Declined | CallFailure::Refused => CallOutcome::Refused,
-        CallFailure::Silent => CallOutcome::TimedOut,
+        CallFailure::ProgressTimeout => CallOutcome::TimedOut,
         CallFailure::Reset => CallOutcome::Reset,
-        CallFailure::Truncated | CallFailure::Crossed | CallFailure::Malformed => {
+        CallFailure::Truncated | CallFailure::WrongCall | CallFailure::Malformed => {
             CallOutcome::Truncated
         }
         CallFailure::Status(_) => CallOutcome::Failed,
--- a/hawthornkeel/src/entry/claims.rs
+++ b/hawthornkeel/src/entry/claims.rs
@@ -13,7 +13,7 @@
 use hawthornkeel_core::state::command::Command;
 use hawthornkeel_core::state::command::Outcome;
 use hawthornkeel_core::state::command::Settle;
-use hawthornkeel_core::state::command::Stamped;
+use hawthornkeel_core::state::command::TimestampedCommand;
 
 use crate::clock::wall_now;
 use crate::control::client::ControlClient;
@@ -49,7 +49,7 @@
     pub fn apply(&self, command: Command) -> Outcome {
         let index = self.index.get().saturating_add(1);
         self.index.set(index);
-        let stamped = Stamped { at: wall_now(), command };
+        let stamped = TimestampedCommand { timestamp: wall_now(), command };
         self.state.borrow_mut().apply(LogIndex(index), &stamped)
     }
 }
--- a/hawthornkeel/src/entry/controllers/document.rs
+++ b/hawthornkeel/src/entry/controllers/document.rs
@@ -7,7 +7,7 @@
 use hawthornkeel_core::document::Document;
 use hawthornkeel_core::ids::Version;
 use hawthornkeel_core::names::CentreName;
-use hawthornkeel_core::state::published::Published;
+use hawthornkeel_core::state::published::PublishedState;
 
 use crate::control::watch::Watch;
 use crate::entry::context::Context;
@@ -59,7 +59,7 @@
     }
 }
 
-fn take_published(context: &Context, published: &Published) {
+fn take_published(context: &Context, published: &PublishedState) {
     if published.version == Version(0) {
         return;
     }
--- a/hawthornkeel/src/entry/drive/calls.rs
+++ b/hawthornkeel/src/entry/drive/calls.rs
@@ -38,7 +38,7 @@
             key: self.draft.key.clone(),
             input: self.input.clone(),
             previous: self.previous.clone(),
-            deadline: self.run.profile().deadline,
+            deadline: self.run.spec().deadline,
             resume,
             text: Rc::clone(&self.text),
             hedge: false,
--- a/hawthornkeel/src/entry/drive/ending.rs
+++ b/hawthornkeel/src/entry/drive/ending.rs
@@ -9,9 +9,9 @@
 
 impl Drive {
     pub(super) async fn finish(&self, answer: Bytes) {
-        let profile = self.run.profile();
-        let request = format!("{:032x}", profile.id.0);
-        tracing::info!(event = "answered", request, pipeline = %profile.pipeline.name);
+        let spec = self.run.spec();
+        let request = format!("{:032x}", spec.id.0);
+        tracing::info!(event = "answered", request, pipeline = %spec.pipeline.name);
         metrics::counter!(telemetry::ANSWERS).increment(1);
         self.record_time();
         self.reply.finish(&answer).await;
@@ -26,7 +26,7 @@
     }
 
     pub(super) async fn refuse(&self, refusal: Refusal) {
-        let request = format!("{:032x}", self.run.profile().id.0);
+        let request = format!("{:032x}", self.run.spec().id.0);
         let code = refusal.code.as_str();
         tracing::info!(event = "refused", request, code, ran = %refusal.ran);
         metrics::counter!(telemetry::REFUSALS, "code" => code).increment(1);
--- a/hawthornkeel/src/entry/drive/hedge.rs
+++ b/hawthornkeel/src/entry/drive/hedge.rs
@@ -70,7 +70,7 @@
         let input = match step {
             Step::Other(input) => input,
             // A call never ends in a choice; its permit goes back with it.
-            Step::Chosen(_) => Input::Woken,
+            Step::Chosen(_) => Input::TimerFired,
         };
         self.note(&input, target);
         input
--- a/hawthornkeel/src/entry/drive/mod.rs
+++ b/hawthornkeel/src/entry/drive/mod.rs
@@ -18,7 +18,7 @@
 use hawthornkeel_core::request::event::Action;
 use hawthornkeel_core::request::event::Input;
 use hawthornkeel_core::request::refusal::Refusal;
-use hawthornkeel_core::request::run::Run;
+use hawthornkeel_core::request::run::PipelineRun;
 use hawthornkeel_core::routing::types::Admission;
 use hawthornkeel_core::routing::types::Repeat;
 use hawthornkeel_core::routing::types::RequestPlan;
@@ -50,7 +50,7 @@
 /// One request with all that is needed to carry it out.
 pub struct Drive {
     context: Rc<Context>,
-    run: Run,
+    run: PipelineRun,
     draft: Draft,
     input: Bytes,
     left: Signal,
@@ -77,7 +77,7 @@
     /// Creates the drive of an admitted request.
     pub fn new(
         context: Rc<Context>,
-        run: Run,
+        run: PipelineRun,
         draft: Draft,
         request: Request,
         reply: Reply,
@@ -113,20 +113,20 @@
         }
         self.run_admitted().await;
         let now = self.context.clock.now();
-        self.context.router.borrow_mut().leave(now, self.run.profile().id);
+        self.context.router.borrow_mut().leave(now, self.run.spec().id);
     }
 
     /// Returns the refusal of a request that can't be claimed or that the router does not admit.
     fn admit(&self) -> Option<Refusal> {
-        let profile = self.run.profile();
-        if profile.pipeline.has_unrepeatable() && !self.context.claims.is_reachable() {
+        let spec = self.run.spec();
+        if spec.pipeline.has_non_idempotent() && !self.context.claims.is_reachable() {
             return Some(refuse::no_quorum());
         }
         let plan = RequestPlan {
-            request: profile.id,
-            workspace: profile.workspace.clone(),
-            pools: profile.pipeline.stages.iter().map(|s| s.pool.clone()).collect(),
-            deadline: profile.deadline,
+            request: spec.id,
+            workspace: spec.workspace.clone(),
+            pools: spec.pipeline.stages.iter().map(|s| s.pool.clone()).collect(),
+            deadline: spec.deadline,
             floor: self.run.remaining_floor(),
         };
         let now = self.context.clock.now();
@@ -134,7 +134,7 @@
         match admission {
             Admission::Admitted => None,
             Admission::Refused { reason, retry_after } => {
-                let request = format!("{:032x}", profile.id.0);
+                let request = format!("{:032x}", spec.id.0);
                 tracing::info!(event = "not-admitted", request, %reason);
                 Some(refuse::not_admitted(reason, retry_after))
             }
@@ -146,7 +146,7 @@
         let mut actions = self.run.handle(now, Input::Started);
         loop {
             self.carry_out(actions).await;
-            if self.run.ended() {
+            if self.run.is_ended() {
                 return;
             }
             let input = self.next_input().await;
@@ -157,7 +157,7 @@
     /// Waits for the operation in progress, the deadline or the caller's leaving.
     async fn next_input(&mut self) -> Input {
         let clock = self.context.clock;
-        let left = clock.until(self.run.profile().deadline);
+        let left = clock.until(self.run.spec().deadline);
         let hedge_due = self.timer.map(|t| (t.call, clock.until(t.due)));
         let hedge = self.hedge.as_mut().map(|h| &mut h.work);
         let step = monoio::select! {
@@ -173,7 +173,7 @@
             }
             () = self.left.wait(), if !self.gone => {
                 self.gone = true;
-                return Input::CallerLeft;
+                return Input::CallerDisconnected;
             }
         };
         self.operation = None;
@@ -195,13 +195,13 @@
         for action in actions {
             match action {
                 Action::Route { stage, attempt } => self.start_route(stage, attempt),
-                Action::Unroute => self.unroute(),
+                Action::ReleasePermit => self.unroute(),
                 Action::Claim(claim) => self.start_claim(claim),
                 Action::Dispatch { call, resume } => self.start_call(call, resume),
                 Action::Hedge(call) => self.start_hedge(call),
                 Action::Cancel(call) => self.cancel(call),
                 Action::Settle(settle) => self.start_settle(settle),
-                Action::SettleLater(settle) => self.context.claims.settle_later(settle),
+                Action::SettleInBackground(settle) => self.context.claims.settle_later(settle),
                 Action::Wait(duration) => self.start_wait(duration),
                 Action::Finish(answer) => self.finish(answer).await,
                 Action::Refuse(refusal) => self.refuse(refusal).await,
@@ -233,7 +233,7 @@
     fn start_wait(&mut self, duration: Duration) {
         let work = async move {
             monoio::time::sleep(duration).await;
-            Step::Other(Input::Woken)
+            Step::Other(Input::TimerFired)
         };
         self.operation = Some(Box::pin(work));
     }
--- a/hawthornkeel/src/entry/drive/routes.rs
+++ b/hawthornkeel/src/entry/drive/routes.rs
@@ -34,13 +34,13 @@
     ) -> Option<StageRequest> {
         let stage = self.stage(index)?;
         let later = || self.draft.pipeline.stages.iter().skip(usize::from(index.0) + 1);
-        let profile = self.run.profile();
+        let spec = self.run.spec();
         Some(StageRequest {
-            call: CallId { request: profile.id, stage: index, attempt },
-            workspace: profile.workspace.clone(),
+            call: CallId { request: spec.id, stage: index, attempt },
+            workspace: spec.workspace.clone(),
             pool: stage.pool.clone(),
             priority: self.draft.priority,
-            deadline: profile.deadline,
+            deadline: spec.deadline,
             floor: stage.floor(),
             remaining: later().map(Stage::floor).sum(),
             later: later().map(|s| s.pool.clone()).collect(),
--- a/hawthornkeel/src/entry/refuse.rs
+++ b/hawthornkeel/src/entry/refuse.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use hawthornkeel_core::request::refusal::Ran;
 use hawthornkeel_core::request::refusal::Refusal;
 use hawthornkeel_core::request::refusal::RefusalCode;
+use hawthornkeel_core::request::refusal::RunStatus;
 use hawthornkeel_core::routing::types::Reason;
 
 use crate::http::problem::Code;
@@ -29,13 +29,13 @@
         Reason::WorkspaceLimit => RefusalCode::WorkspaceLimit,
         _ => RefusalCode::NoCapacity,
     };
-    Refusal { code, ran: Ran::NotRun, retry_after: Some(retry_after) }
+    Refusal { code, ran: RunStatus::NotRun, retry_after: Some(retry_after) }
 }
 
 /// Returns the refusal of a request whose claim could not be decided, before any of it runs.
 pub fn no_quorum() -> Refusal {
     let code = RefusalCode::NoQuorum;
-    Refusal { code, ran: Ran::NotRun, retry_after: Some(NO_QUORUM_RETRY) }
+    Refusal { code, ran: RunStatus::NotRun, retry_after: Some(NO_QUORUM_RETRY) }
 }
 
 fn code(code: RefusalCode) -> Code {
--- a/hawthornkeel/src/entry/serve.rs
+++ b/hawthornkeel/src/entry/serve.rs
@@ -6,9 +6,9 @@
 use futures_channel::oneshot;
 use hawthornkeel_core::ids::RequestId;
 use hawthornkeel_core::names::WorkspaceName;
-use hawthornkeel_core::request::profile::Profile;
-use hawthornkeel_core::request::refusal::Ran;
-use hawthornkeel_core::request::run::Run;
+use hawthornkeel_core::request::refusal::RunStatus;
+use hawthornkeel_core::request::run::PipelineRun;
+use hawthornkeel_core::request::spec::RequestSpec;
 
 use crate::entry::context::Context;
 use crate::entry::drive::Drive;
@@ -63,14 +63,14 @@
         });
         match receiver.await {
             Ok(response) => response,
-            Err(_) => Problem::new(Code::Internal, Ran::Unknown).into_response(),
+            Err(_) => Problem::new(Code::Internal, RunStatus::Unknown).into_response(),
         }
     }
 
     fn drive(&self, draft: Draft, request: Request, sender: oneshot::Sender<Response>) -> Drive {
         let id = RequestId(rand::random());
         let now = self.context.clock.now();
-        let run = Run::new(Profile {
+        let run = PipelineRun::new(RequestSpec {
             id,
             instance: self.context.settings.instance.name.clone(),
             workspace: draft.workspace.clone(),
--- a/hawthornkeel/src/forward/handler.rs
+++ b/hawthornkeel/src/forward/handler.rs
@@ -11,7 +11,7 @@
 use hawthornkeel_core::place::board::Chosen;
 use hawthornkeel_core::place::board::NoTarget;
 use hawthornkeel_core::place::health::Ended;
-use hawthornkeel_core::request::refusal::Ran;
+use hawthornkeel_core::request::refusal::RunStatus;
 use hawthornkeel_core::stages::job::Handle;
 use hawthornkeel_core::table::route::RouteKind;
 
@@ -174,7 +174,7 @@
         monoio::select! {
             response = work => response,
             // Nobody reads the answer; dropping the work cancels what runs.
-            () = left.wait() => refusal(Problem::new(Code::Internal, Ran::Unknown)),
+            () = left.wait() => refusal(Problem::new(Code::Internal, RunStatus::Unknown)),
         }
     }
 
@@ -240,7 +240,7 @@
 
     /// Sends a request to one target after the other, as far as it may be.
     async fn forward(&self, ticket: &Ticket, course: &mut Course) -> Forwarded {
-        let mut ran = Ran::NotRun;
+        let mut ran = RunStatus::NotRun;
         let mut failed = None;
         let mut arrived = course.runs > 0;
         loop {
@@ -269,7 +269,7 @@
                 Tried::Unreached => {}
                 Tried::NotRun => arrived = true,
                 Tried::Failed(answer) => {
-                    ran = Ran::Unknown;
+                    ran = RunStatus::Unknown;
                     arrived = true;
                     course.runs += 1;
                     if !ticket.route.kind.may_repeat() {
@@ -278,7 +278,7 @@
                     failed = Some((answer, target));
                 }
                 Tried::Lost => {
-                    ran = Ran::Unknown;
+                    ran = RunStatus::Unknown;
                     arrived = true;
                     course.runs += 1;
                     if !ticket.route.kind.may_repeat() {
@@ -394,7 +394,7 @@
             match self.again(ticket, &mut course).await {
                 Some((next, at)) => (answer, target) = (*next, at),
                 None => {
-                    let problem = Problem::new(Code::StageFailed, Ran::Unknown);
+                    let problem = Problem::new(Code::StageFailed, RunStatus::Unknown);
                     course.log(ticket, "answer-lost", problem.code.status().as_u16());
                     return refusal(problem);
                 }
--- a/hawthornkeel/src/forward/verdict.rs
+++ b/hawthornkeel/src/forward/verdict.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hawthornkeel_core::place::board::Chosen;
 use hawthornkeel_core::place::health::Ended;
-use hawthornkeel_core::request::refusal::Ran;
+use hawthornkeel_core::request::refusal::RunStatus;
 use hawthornkeel_platform::fields;
 use http::HeaderMap;
 use http::HeaderValue;
@@ -78,12 +78,12 @@
 }
 
 /// Returns how a request ends that no target is left for.
-pub(super) fn ended(ran: Ran, failed: Option<(Box<Answer>, Chosen)>) -> Forwarded {
+pub(super) fn ended(ran: RunStatus, failed: Option<(Box<Answer>, Chosen)>) -> Forwarded {
     if let Some((answer, target)) = failed {
         return Forwarded::Answer(answer, target);
     }
     Forwarded::Ended(match ran {
-        Ran::NotRun => Problem::not_run(Code::NoTarget).with_retry_after(RETRY),
+        RunStatus::NotRun => Problem::not_run(Code::NoTarget).with_retry_after(RETRY),
         ran => Problem::new(Code::OutcomeUnknown, ran),
     })
 }
--- a/hawthornkeel/src/http/problem.rs
+++ b/hawthornkeel/src/http/problem.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use hawthornkeel_core::request::refusal::Ran;
+use hawthornkeel_core::request::refusal::RunStatus;
 use http::StatusCode;
 use serde::Serialize;
 
@@ -109,7 +109,7 @@
     /// Stable code.
     pub code: Code,
     /// Whether the request ran.
-    pub ran: Ran,
+    pub ran: RunStatus,
     /// Particulars for people, without the caller's content.
     pub detail: String,
     /// Time after which coming back makes sense, where it does; sent in whole seconds, rounded up.
@@ -122,7 +122,7 @@
     title: &'a str,
     status: u16,
     code: &'a str,
-    ran: Ran,
+    ran: RunStatus,
     #[serde(skip_serializing_if = "str::is_empty")]
     detail: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -131,13 +131,13 @@
 
 impl Problem {
     /// Creates a refusal with `code`.
-    pub fn new(code: Code, ran: Ran) -> Self {
+    pub fn new(code: Code, ran: RunStatus) -> Self {
         Self { code, ran, detail: String::new(), retry_after: None }
     }
 
     /// Creates a refusal of a request that did not run and will not.
     pub fn not_run(code: Code) -> Self {
-        Self::new(code, Ran::NotRun)
+        Self::new(code, RunStatus::NotRun)
     }
 
     /// Returns the refusal with particulars.
--- a/hawthornkeel/src/peer/frame.rs
+++ b/hawthornkeel/src/peer/frame.rs
@@ -21,8 +21,8 @@
 use hawthornkeel_core::state::command::CentreOrder;
 use hawthornkeel_core::state::command::Command;
 use hawthornkeel_core::state::command::Outcome;
-use hawthornkeel_core::state::published::Published;
-use hawthornkeel_core::state::takeout::Hold;
+use hawthornkeel_core::state::published::PublishedState;
+use hawthornkeel_core::state::take_out::TakeOut;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -48,7 +48,7 @@
     /// Answers [`Frame::Follow`].
     Followed(Followed),
     /// Orders to take data centres out, with what is known of their place in the log; one-way.
-    TakeOuts(Vec<Hold>),
+    TakeOuts(Vec<TakeOut>),
     /// Call: who leads the control instances.
     Lead,
     /// Answers [`Frame::Lead`].
@@ -204,9 +204,9 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Followed {
     /// State, where it is newer than the caller's.
-    pub published: Option<Published>,
+    pub published: Option<PublishedState>,
     /// Orders to take data centres out that the sender knows.
-    pub holds: Vec<Hold>,
+    pub holds: Vec<TakeOut>,
     /// Time since the sender's state was last known to be that of a group with a leader, in
     /// milliseconds, or `None` if it never was.
     pub age_ms: Option<u64>,
--- a/hawthornkeel/src/target/refusal.rs
+++ b/hawthornkeel/src/target/refusal.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hawthornkeel_core::request::refusal::Ran;
+use hawthornkeel_core::request::refusal::RunStatus;
 use http::StatusCode;
 use serde::Deserialize;
 
@@ -14,12 +14,12 @@
 /// [`Problem`]: crate::http::problem::Problem
 pub(crate) fn says_not_run(body: &Bytes) -> bool {
     let refusal = serde_json::from_slice::<Refusal>(body);
-    refusal.is_ok_and(|r| r.ran == Ran::NotRun)
+    refusal.is_ok_and(|r| r.ran == RunStatus::NotRun)
 }
 
 #[derive(Deserialize)]
 struct Refusal {
-    ran: Ran,
+    ran: RunStatus,
 }
 
 /// Returns the error that an answer's status stands for.
--- a/hawthornkeel/src/trial.rs
+++ b/hawthornkeel/src/trial.rs
@@ -121,7 +121,7 @@
     let workspace = document.workspaces.first().map_or("", |w| w.name.as_str());
     let mut text = String::from("Call a pipeline with:\n");
     for pipeline in &document.pipelines {
-        let key = if pipeline.has_unrepeatable() { " -H 'Idempotency-Key: first'" } else { "" };
+        let key = if pipeline.has_non_idempotent() { " -H 'Idempotency-Key: first'" } else { "" };
         let _ = writeln!(
             text,
             "  curl -sS http://{{address}}/v1/pipelines/{} \\\n    -H 'Authorization: Bearer \
--- a/hawthornkeel/tests/control_watch.rs
+++ b/hawthornkeel/tests/control_watch.rs
@@ -6,11 +6,11 @@
 use hawthornkeel::peer::frame::Followed;
 use hawthornkeel_core::ids::LogIndex;
 use hawthornkeel_core::ids::Version;
-use hawthornkeel_core::state::published::Published;
+use hawthornkeel_core::state::published::PublishedState;
 use rstest::rstest;
 
-fn published(index: u64) -> Published {
-    Published { index: LogIndex(index), version: Version(index), ..Published::default() }
+fn published(index: u64) -> PublishedState {
+    PublishedState { index: LogIndex(index), version: Version(index), ..PublishedState::default() }
 }
 
 #[rstest]
--- a/hawthornkeel/tests/http_problem.rs
+++ b/hawthornkeel/tests/http_problem.rs
@@ -6,7 +6,7 @@
 use hawthornkeel::http::message::Response;
 use hawthornkeel::http::problem::Code;
 use hawthornkeel::http::problem::Problem;
-use hawthornkeel_core::request::refusal::Ran;
+use hawthornkeel_core::request::refusal::RunStatus;
 use rstest::rstest;
 use serde_json::Value;
 
@@ -16,12 +16,12 @@
 }
 
 #[rstest]
-#[case::not_run(Code::Overloaded, Ran::NotRun, 503, "overloaded", "not-run")]
-#[case::unknown(Code::OutcomeUnknown, Ran::Unknown, 502, "outcome-unknown", "unknown")]
-#[case::done(Code::InProgress, Ran::Done, 409, "in-progress", "done")]
+#[case::not_run(Code::Overloaded, RunStatus::NotRun, 503, "overloaded", "not-run")]
+#[case::unknown(Code::OutcomeUnknown, RunStatus::Unknown, 502, "outcome-unknown", "unknown")]
+#[case::done(Code::InProgress, RunStatus::Done, 409, "in-progress", "done")]
 fn refusal_says_code_and_ran(
     #[case] code: Code,
-    #[case] ran: Ran,
+    #[case] ran: RunStatus,
     #[case] status: u16,
     #[case] text: &str,
     #[case] said: &str,
--- a/hawthornkeel/tests/peer_frames.rs
+++ b/hawthornkeel/tests/peer_frames.rs
@@ -21,8 +21,8 @@
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::state::command::CentreOrder;
 use hawthornkeel_core::state::command::CentreState;
-use hawthornkeel_core::state::published::Published;
-use hawthornkeel_core::state::takeout::Hold;
+use hawthornkeel_core::state::published::PublishedState;
+use hawthornkeel_core::state::take_out::TakeOut;
 use hawthornkeel_fakes::document::large;
 use support::peer;
 use support::run;
@@ -48,7 +48,8 @@
 }
 
 fn followed(index: u64, text: &str) -> Frame {
-    let published = Published { index: LogIndex(index), text: text.into(), ..Published::default() };
+    let published =
+        PublishedState { index: LogIndex(index), text: text.into(), ..PublishedState::default() };
     Frame::Followed(Followed { published: Some(published), ..Followed::default() })
 }
 
@@ -97,8 +98,11 @@
                 centre: "east".into(),
                 state: CentreState::TakenOut,
             };
-            a.send(&InstanceName::new("b"), &Frame::TakeOuts(vec![Hold { order, floor: None }]))
-                .unwrap();
+            a.send(
+                &InstanceName::new("b"),
+                &Frame::TakeOuts(vec![TakeOut { order, log_index: None }]),
+            )
+            .unwrap();
         }
         until("all frames", || seen.borrow().len() == 500).await;
         assert!(seen.borrow().iter().copied().eq(0..500));
--- a/hawthornkeel_core/benches/hedges/site.rs
+++ b/hawthornkeel_core/benches/hedges/site.rs
@@ -19,8 +19,8 @@
 use hawthornkeel_core::request::event::Action;
 use hawthornkeel_core::request::event::Input;
 use hawthornkeel_core::request::failure::CallFailure;
-use hawthornkeel_core::request::profile::Profile;
-use hawthornkeel_core::request::run::Run;
+use hawthornkeel_core::request::run::PipelineRun;
+use hawthornkeel_core::request::spec::RequestSpec;
 use hawthornkeel_core::routing::CallOutcome;
 use hawthornkeel_core::routing::Decision;
 use hawthornkeel_core::routing::Permit;
@@ -101,7 +101,7 @@
 }
 
 struct Request {
-    run: Run,
+    run: PipelineRun,
     arrived: Instant,
     chosen: Option<Permit>,
     /// Target of the first call.
@@ -196,7 +196,7 @@
         }
         self.totals.requests += 1;
         let id = RequestId(u128::from(self.totals.requests));
-        let run = Run::new(Profile {
+        let run = PipelineRun::new(RequestSpec {
             id,
             instance: "e0".into(),
             workspace: "w".into(),
@@ -236,7 +236,7 @@
         for action in request.run.handle(self.now, input) {
             self.carry_out(id, action);
         }
-        if self.requests.get(&id).is_some_and(|r| r.run.ended()) {
+        if self.requests.get(&id).is_some_and(|r| r.run.is_ended()) {
             self.requests.swap_remove(&id);
         }
     }
@@ -252,7 +252,7 @@
             Action::Hedge(call) => self.hedge(call),
             Action::Cancel(call) => self.cancel(call),
             Action::Finish(_) => self.finish(id),
-            Action::Unroute | Action::Refuse(_) => {
+            Action::ReleasePermit | Action::Refuse(_) => {
                 let stage = StageIndex(0);
                 let call = CallId { request: id, stage, attempt: AttemptNumber(0) };
                 self.router.cancel(self.now, call);
--- a/hawthornkeel_core/benches/state.rs
+++ b/hawthornkeel_core/benches/state.rs
@@ -23,7 +23,7 @@
 use hawthornkeel_core::state::command::Command;
 use hawthornkeel_core::state::command::Settle;
 use hawthornkeel_core::state::command::Settlement;
-use hawthornkeel_core::state::command::Stamped;
+use hawthornkeel_core::state::command::TimestampedCommand;
 use hawthornkeel_core::time::WallTime;
 
 /// Claims in the snapshot.
@@ -35,7 +35,7 @@
 /// Claims and settlements applied in one iteration.
 const BATCH: u64 = 1_000;
 
-fn pair(number: u64) -> [Stamped; 2] {
+fn pair(number: u64) -> [TimestampedCommand; 2] {
     let key = ClaimKey {
         workspace: WorkspaceName::new("kumamoto"),
         key: Arc::from(format!("0d6a2f3c-9b1e-4c57-8a10-{number:012x}")),
@@ -51,8 +51,8 @@
     let claim = Claim { key, digest: number, claimant, settle_ms: 30_000 };
     let at = WallTime::from_millis(1_700_000_000_000 + number);
     [
-        Stamped { at, command: Command::Claim(claim) },
-        Stamped { at, command: Command::Settle(settle) },
+        TimestampedCommand { timestamp: at, command: Command::Claim(claim) },
+        TimestampedCommand { timestamp: at, command: Command::Settle(settle) },
     ]
 }
 
@@ -72,7 +72,7 @@
     println!("snapshot: {} bytes for {CLAIMS} claims with {ANSWER}-byte answers", bytes.len());
 
     let mut group = c.benchmark_group("state");
-    let commands: Vec<Stamped> = (CLAIMS..CLAIMS + BATCH).flat_map(pair).collect();
+    let commands: Vec<TimestampedCommand> = (CLAIMS..CLAIMS + BATCH).flat_map(pair).collect();
     group.throughput(Throughput::Elements(commands.len() as u64));
     group.bench_function("apply", |b| {
         b.iter_batched_ref(
--- a/hawthornkeel_core/src/document.rs
+++ b/hawthornkeel_core/src/document.rs
@@ -156,7 +156,7 @@
     }
 
     /// Tells whether any stage may run at most once.
-    pub fn has_unrepeatable(&self) -> bool {
+    pub fn has_non_idempotent(&self) -> bool {
         self.stages.iter().any(|s| !s.idempotent)
     }
 }
--- a/hawthornkeel_core/src/orders.rs
+++ b/hawthornkeel_core/src/orders.rs
@@ -19,28 +19,28 @@
     /// Longest time for which a leader's lease lasts after its last renewal.
     pub lease: Duration,
     /// Longest time from the sending of an order until it is answered or given up.
-    pub longest: Duration,
+    pub timeout: Duration,
 }
 
 impl Default for OrderSettings {
     fn default() -> Self {
-        Self { lease: Duration::from_secs(1), longest: Duration::from_secs(5) }
+        Self { lease: Duration::from_secs(1), timeout: Duration::from_secs(5) }
     }
 }
 
 /// Why an order may not be sent now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OrderHold {
+pub enum OrderError {
     /// This instance does not lead with its lease.
     NotLeader,
     /// An earlier leader's order may still be on its way, until this time.
-    Until(Instant),
+    NotBefore(Instant),
     /// An order to the same target is on its way.
     Busy,
 }
 
 /// Leadership as seen now: the term, where this instance leads with its lease.
-pub type Leading = Option<Term>;
+pub type LeaderTerm = Option<Term>;
 
 /// Decides when this instance may send orders.
 #[derive(Clone, Debug, Default)]
@@ -58,7 +58,7 @@
     }
 
     /// Takes in whether this instance leads; to be called often, so that a term's begin is seen.
-    pub fn observe(&mut self, now: Instant, leading: Leading) {
+    pub fn observe(&mut self, now: Instant, leading: LeaderTerm) {
         if let Some(term) = leading
             && term != self.term
         {
@@ -75,21 +75,21 @@
     pub fn begin(
         &mut self,
         now: Instant,
-        leading: Leading,
+        leading: LeaderTerm,
         target: &TargetName,
         fencing: Fencing,
-    ) -> Result<(), OrderHold> {
+    ) -> Result<(), OrderError> {
         self.observe(now, leading);
         if leading.is_none() {
-            return Err(OrderHold::NotLeader);
+            return Err(OrderError::NotLeader);
         }
-        let clear = self.since + self.settings.lease + self.settings.longest;
+        let clear = self.since + self.settings.lease + self.settings.timeout;
         match fencing {
-            Fencing::Ignored if now < clear => return Err(OrderHold::Until(clear)),
+            Fencing::Ignored if now < clear => return Err(OrderError::NotBefore(clear)),
             Fencing::Ignored | Fencing::Checked => {}
         }
         if !self.busy.insert(target.clone()) {
-            return Err(OrderHold::Busy);
+            return Err(OrderError::Busy);
         }
         Ok(())
     }
--- a/hawthornkeel_core/src/request/event.rs
+++ b/hawthornkeel_core/src/request/event.rs
@@ -50,11 +50,11 @@
     /// A call has gone on for so long that a second one is worth it.
     HedgeDue(CallId),
     /// The time asked for has passed.
-    Woken,
+    TimerFired,
     /// The deadline has passed.
     DeadlinePassed,
     /// The caller closed its connection.
-    CallerLeft,
+    CallerDisconnected,
 }
 
 /// Why a claim was not decided.
@@ -77,7 +77,7 @@
         attempt: AttemptNumber,
     },
     /// Give back the permit of the chosen target unused.
-    Unroute,
+    ReleasePermit,
     /// Ask the control instances for the claim.
     Claim(Claim),
     /// Call the chosen target.
@@ -95,8 +95,8 @@
     /// Record how the claim ended, and report [`Input::Settled`].
     Settle(Settle),
     /// Record how the claim ended, without a report.
-    SettleLater(Settle),
-    /// Report [`Input::Woken`] after this time.
+    SettleInBackground(Settle),
+    /// Report [`Input::TimerFired`] after this time.
     Wait(Duration),
     /// Give the caller the last stage's answer.
     Finish(Bytes),
--- a/hawthornkeel_core/src/request/failure.rs
+++ b/hawthornkeel_core/src/request/failure.rs
@@ -12,13 +12,13 @@
     /// The target answered that it takes no more work at present.
     Refused,
     /// No progress was made for the progress timeout.
-    Silent,
+    ProgressTimeout,
     /// The connection ended before the answer began.
     Reset,
     /// The answer ended before its end marker.
     Truncated,
     /// The answer carries another call's identity.
-    Crossed,
+    WrongCall,
     /// The answer can't be read.
     Malformed,
     /// The target answered with an error status.
@@ -42,26 +42,26 @@
         match self {
             Self::NotSent | Self::Declined => Evidence::DidNotRun,
             Self::Refused
-            | Self::Silent
+            | Self::ProgressTimeout
             | Self::Reset
             | Self::Truncated
-            | Self::Crossed
+            | Self::WrongCall
             | Self::Malformed
             | Self::Status(_) => Evidence::MayHaveRun,
         }
     }
 
     /// Tells whether another target may answer where this one failed.
-    pub fn worth_retry(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         match self {
             Self::Status(status) => status >= 500,
             Self::NotSent
             | Self::Declined
             | Self::Refused
-            | Self::Silent
+            | Self::ProgressTimeout
             | Self::Reset
             | Self::Truncated
-            | Self::Crossed
+            | Self::WrongCall
             | Self::Malformed => true,
         }
     }
@@ -73,10 +73,10 @@
             Self::NotSent => f.write_str("not-sent"),
             Self::Declined => f.write_str("declined"),
             Self::Refused => f.write_str("refused"),
-            Self::Silent => f.write_str("silent"),
+            Self::ProgressTimeout => f.write_str("silent"),
             Self::Reset => f.write_str("reset"),
             Self::Truncated => f.write_str("truncated"),
-            Self::Crossed => f.write_str("crossed"),
+            Self::WrongCall => f.write_str("crossed"),
             Self::Malformed => f.write_str("malformed"),
             Self::Status(status) => write!(f, "status-{status}"),
         }
--- a/hawthornkeel_core/src/request/mod.rs
+++ b/hawthornkeel_core/src/request/mod.rs
@@ -2,6 +2,6 @@
 
 pub mod event;
 pub mod failure;
-pub mod profile;
 pub mod refusal;
 pub mod run;
+pub mod spec;
--- a/hawthornkeel_core/src/request/refusal.rs
+++ b/hawthornkeel_core/src/request/refusal.rs
@@ -9,7 +9,7 @@
 /// Whether a refused request ran.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ran {
+pub enum RunStatus {
     /// No stage was dispatched to a target, and none will be.
     NotRun,
     /// A stage was dispatched, and whether it ran is not known.
@@ -18,7 +18,7 @@
     Done,
 }
 
-impl fmt::Display for Ran {
+impl fmt::Display for RunStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::NotRun => "not-run",
@@ -83,7 +83,7 @@
     /// Why.
     pub code: RefusalCode,
     /// Whether the request ran.
-    pub ran: Ran,
+    pub ran: RunStatus,
     /// When to come back, where that makes sense.
     pub retry_after: Option<Duration>,
 }
--- a/hawthornkeel_core/src/request/run/calling.rs
+++ b/hawthornkeel_core/src/request/run/calling.rs
@@ -7,11 +7,11 @@
 use crate::request::event::Action;
 use crate::request::failure::CallFailure;
 use crate::request::failure::Evidence;
-use crate::request::refusal::Ran;
 use crate::request::refusal::Refusal;
 use crate::request::refusal::RefusalCode;
+use crate::request::refusal::RunStatus;
 use crate::request::run::Phase;
-use crate::request::run::Run;
+use crate::request::run::PipelineRun;
 use crate::request::run::Trace;
 use crate::request::run::calls::Calls;
 use crate::state::command::Claimant;
@@ -21,7 +21,7 @@
 /// Attempts at a stage that did not run, at most, beside those that may have run.
 const IDLE_ATTEMPTS: u16 = 16;
 
-impl Run {
+impl PipelineRun {
     /// Calls the chosen target.
     pub(super) fn dispatch(&mut self) -> Vec<Action> {
         let call = self.call();
@@ -99,7 +99,7 @@
             return self.outcome_unknown(claimant);
         }
         let next = self.attempt.0.saturating_add(1);
-        if !failure.worth_retry() || !self.has_attempts(next) {
+        if !failure.is_retryable() || !self.has_attempts(next) {
             return self.refuse(RefusalCode::StageFailed, None);
         }
         if self.out_of_time(now) {
@@ -123,15 +123,15 @@
 
     /// Returns the identity of the current attempt's call.
     fn call(&self) -> CallId {
-        CallId { request: self.profile.id, stage: self.stage, attempt: self.attempt }
+        CallId { request: self.spec.id, stage: self.stage, attempt: self.attempt }
     }
 
     /// Tells whether a second call beside the one in progress is allowed.
     ///
     /// An answer of which pieces are given to the caller as they come has one source only.
     fn may_repeat(&self) -> bool {
-        let last = usize::from(self.stage.0) + 1 == self.profile.pipeline.stages.len();
-        let streamed = last && self.profile.streamed;
+        let last = usize::from(self.stage.0) + 1 == self.spec.pipeline.stages.len();
+        let streamed = last && self.spec.streamed;
         let running = self.spent.saturating_add(1);
         let allowed = self.current().is_some_and(|s| s.idempotent && running < s.max_attempts);
         allowed && !streamed && self.claimant.is_none()
@@ -148,10 +148,13 @@
 
     /// Records that a stage was dispatched with an unknown outcome and says so at once.
     fn outcome_unknown(&mut self, claimant: Claimant) -> Vec<Action> {
-        let refusal =
-            Refusal { code: RefusalCode::OutcomeUnknown, ran: Ran::Unknown, retry_after: None };
+        let refusal = Refusal {
+            code: RefusalCode::OutcomeUnknown,
+            ran: RunStatus::Unknown,
+            retry_after: None,
+        };
         let settle = self.settle(claimant, Settlement::Unknown);
-        let mut actions: Vec<_> = settle.map(Action::SettleLater).into_iter().collect();
+        let mut actions: Vec<_> = settle.map(Action::SettleInBackground).into_iter().collect();
         actions.extend(self.end(Action::Refuse(refusal)));
         actions
     }
--- a/hawthornkeel_core/src/request/run/ending.rs
+++ b/hawthornkeel_core/src/request/run/ending.rs
@@ -8,18 +8,18 @@
 use crate::ids::StageIndex;
 use crate::request::event::Action;
 use crate::request::event::Input;
-use crate::request::refusal::Ran;
 use crate::request::refusal::Refusal;
 use crate::request::refusal::RefusalCode;
+use crate::request::refusal::RunStatus;
 use crate::request::run::Phase;
+use crate::request::run::PipelineRun;
 use crate::request::run::QUORUM_RETRY;
-use crate::request::run::Run;
 use crate::request::run::SETTLE_MARGIN;
 use crate::request::run::Trace;
 use crate::request::run::calls::Calls;
 use crate::state::command::Settlement;
 
-impl Run {
+impl PipelineRun {
     /// Ends a request whose caller has left, but for a claimed call: its answer is recorded, so
     /// that a resend gets it.
     pub(super) fn caller_left(&mut self) -> Vec<Action> {
@@ -40,7 +40,7 @@
         let claimant = self.claimant.take();
         let settle = claimant.and_then(|c| self.settle(c, settlement));
         self.phase = Phase::Ended;
-        settle.map(Action::SettleLater).into_iter().collect()
+        settle.map(Action::SettleInBackground).into_iter().collect()
     }
 
     /// Ends a request whose time is over.
@@ -49,9 +49,9 @@
         match self.phase.clone() {
             Phase::Calling(calls) => self.abandon_calls(calls),
             Phase::Claiming => {
-                let mut actions = vec![Action::Unroute];
+                let mut actions = vec![Action::ReleasePermit];
                 let settle = self.settle(self.new_claimant(), Settlement::Released);
-                actions.extend(settle.map(Action::SettleLater));
+                actions.extend(settle.map(Action::SettleInBackground));
                 actions.extend(self.refuse(code, None));
                 actions
             }
@@ -60,13 +60,13 @@
             Phase::Held => {
                 let refusal = Refusal {
                     code: RefusalCode::InProgress,
-                    ran: Ran::Unknown,
+                    ran: RunStatus::Unknown,
                     retry_after: Some(QUORUM_RETRY),
                 };
                 self.end(Action::Refuse(refusal))
             }
             Phase::Routing => {
-                let mut actions = vec![Action::Unroute];
+                let mut actions = vec![Action::ReleasePermit];
                 actions.extend(self.refuse(code, None));
                 actions
             }
@@ -86,7 +86,11 @@
         // The call goes on, so that a late answer can still be recorded for a resend.
         self.phase = Phase::Late(call);
         let code = RefusalCode::OutcomeUnknown;
-        vec![Action::Refuse(Refusal { code, ran: Ran::Unknown, retry_after: Some(SETTLE_MARGIN) })]
+        vec![Action::Refuse(Refusal {
+            code,
+            ran: RunStatus::Unknown,
+            retry_after: Some(SETTLE_MARGIN),
+        })]
     }
 
     /// Ends a request whose answer is known while its record is not confirmed.
@@ -100,9 +104,9 @@
     }
 
     /// Gives the permit back and refuses.
-    pub(super) fn unroute_and_refuse(&mut self, code: RefusalCode, ran: Ran) -> Vec<Action> {
+    pub(super) fn unroute_and_refuse(&mut self, code: RefusalCode, ran: RunStatus) -> Vec<Action> {
         let refusal = Refusal { code, ran, retry_after: None };
-        let mut actions = vec![Action::Unroute];
+        let mut actions = vec![Action::ReleasePermit];
         actions.extend(self.end(Action::Refuse(refusal)));
         actions
     }
--- a/hawthornkeel_core/src/request/run/mod.rs
+++ b/hawthornkeel_core/src/request/run/mod.rs
@@ -15,11 +15,11 @@
 use crate::ids::StageIndex;
 use crate::request::event::Action;
 use crate::request::event::Input;
-use crate::request::profile::Profile;
-use crate::request::refusal::Ran;
 use crate::request::refusal::Refusal;
 use crate::request::refusal::RefusalCode;
+use crate::request::refusal::RunStatus;
 use crate::request::run::calls::Calls;
+use crate::request::spec::RequestSpec;
 use crate::state::command::ClaimKey;
 use crate::state::command::Claimant;
 use crate::state::command::Settle;
@@ -65,8 +65,8 @@
 
 /// One request on its way through its pipeline.
 #[derive(Debug)]
-pub struct Run {
-    profile: Profile,
+pub struct PipelineRun {
+    spec: RequestSpec,
     phase: Phase,
     stage: StageIndex,
     attempt: AttemptNumber,
@@ -79,11 +79,11 @@
     left: bool,
 }
 
-impl Run {
+impl PipelineRun {
     /// Creates the run of an admitted request.
-    pub fn new(profile: Profile) -> Self {
+    pub fn new(spec: RequestSpec) -> Self {
         Self {
-            profile,
+            spec,
             phase: Phase::New,
             stage: StageIndex(0),
             attempt: AttemptNumber(0),
@@ -97,8 +97,8 @@
     }
 
     /// Returns what the request is.
-    pub fn profile(&self) -> &Profile {
-        &self.profile
+    pub fn spec(&self) -> &RequestSpec {
+        &self.spec
     }
 
     /// Returns the position of the stage in progress.
@@ -107,13 +107,13 @@
     }
 
     /// Tells whether nothing more is to be done; the final answer was given then or before.
-    pub fn ended(&self) -> bool {
+    pub fn is_ended(&self) -> bool {
         self.phase == Phase::Ended
     }
 
     /// Returns the shortest time that the stages from the current one on take.
     pub fn remaining_floor(&self) -> Duration {
-        let stages = self.profile.pipeline.stages.iter();
+        let stages = self.spec.pipeline.stages.iter();
         stages.skip(usize::from(self.stage.0)).map(Stage::floor).sum()
     }
 
@@ -126,7 +126,7 @@
             (Phase::Ended, _) => Vec::new(),
             (Phase::Late(current), input) => self.late(current, input),
             (_, Input::DeadlinePassed) => self.abandon(),
-            (_, Input::CallerLeft) => self.caller_left(),
+            (_, Input::CallerDisconnected) => self.caller_left(),
             (Phase::New, Input::Started) => self.start(now),
             (Phase::Routing, Input::Routed) => self.routed(now),
             (Phase::Routing, Input::NotRouted { retry_after }) => {
@@ -134,7 +134,7 @@
             }
             (Phase::Claiming, Input::Claimed(outcome)) => self.claimed(now, outcome),
             (Phase::Claiming, Input::NotClaimed(failure)) => self.not_claimed(failure),
-            (Phase::Held, Input::Woken) => self.route(),
+            (Phase::Held, Input::TimerFired) => self.route(),
             (Phase::Calling(calls), Input::Answered { call, answer }) if calls.has(call) => {
                 self.answered(now, calls, call, answer)
             }
@@ -152,7 +152,7 @@
 
     /// Checks that the request can be served at all and begins with its first stage.
     fn start(&mut self, now: Instant) -> Vec<Action> {
-        if self.profile.pipeline.has_unrepeatable() && self.profile.key.is_none() {
+        if self.spec.pipeline.has_non_idempotent() && self.spec.key.is_none() {
             return self.refuse(RefusalCode::KeyRequired, None);
         }
         self.begin_stage(now)
@@ -178,7 +178,7 @@
     /// Goes on with the chosen target: claims first where the stage may not be repeated.
     fn routed(&mut self, now: Instant) -> Vec<Action> {
         if self.out_of_time(now) {
-            let mut actions = vec![Action::Unroute];
+            let mut actions = vec![Action::ReleasePermit];
             actions.extend(self.refuse(RefusalCode::DeadlineUnreachable, None));
             return actions;
         }
@@ -203,35 +203,35 @@
     }
 
     /// Returns what can truly be said about whether the request ran.
-    fn ran(&self) -> Ran {
+    fn ran(&self) -> RunStatus {
         match (self.recorded, self.trace) {
-            (true, _) => Ran::Done,
-            (false, Trace::Some) => Ran::Unknown,
-            (false, Trace::Nothing) => Ran::NotRun,
+            (true, _) => RunStatus::Done,
+            (false, Trace::Some) => RunStatus::Unknown,
+            (false, Trace::Nothing) => RunStatus::NotRun,
         }
     }
 
     /// Tells whether the remaining time can't cover the remaining stages.
     fn out_of_time(&self, now: Instant) -> bool {
-        now + self.remaining_floor() > self.profile.deadline
+        now + self.remaining_floor() > self.spec.deadline
     }
 
     /// Returns the current stage, or nothing after the last.
     fn current(&self) -> Option<&Stage> {
-        self.profile.pipeline.stages.get(usize::from(self.stage.0))
+        self.spec.pipeline.stages.get(usize::from(self.stage.0))
     }
 
     /// Returns the key of the claim on the current stage.
     fn claim_key(&self) -> Option<ClaimKey> {
-        let key = self.profile.key.clone()?;
-        Some(ClaimKey { workspace: self.profile.workspace.clone(), key, stage: self.stage })
+        let key = self.spec.key.clone()?;
+        Some(ClaimKey { workspace: self.spec.workspace.clone(), key, stage: self.stage })
     }
 
     /// Returns the identity under which the current attempt claims.
     fn new_claimant(&self) -> Claimant {
         Claimant {
-            instance: self.profile.instance.clone(),
-            request: self.profile.id,
+            instance: self.spec.instance.clone(),
+            request: self.spec.id,
             attempt: self.attempt,
         }
     }
--- a/hawthornkeel_core/src/request/profile.rs
+++ b/hawthornkeel_core/src/request/spec.rs
@@ -10,7 +10,7 @@
 
 /// What a request is, fixed at its arrival.
 #[derive(Clone, Debug)]
-pub struct Profile {
+pub struct RequestSpec {
     /// Identity of the request.
     pub id: RequestId,
     /// Entry instance that serves it.
--- a/hawthornkeel_core/src/state/centres.rs
+++ b/hawthornkeel_core/src/state/centres.rs
@@ -29,7 +29,7 @@
     }
 
     /// Decides an order logged at `index`, and tells whether it changed a record.
-    pub fn order(&mut self, index: LogIndex, order: &CentreOrder) -> (CentreOutcome, bool) {
+    pub fn apply(&mut self, index: LogIndex, order: &CentreOrder) -> (CentreOutcome, bool) {
         if let Some(first) = self.history.get(order.operation) {
             let outcome = match first.order == *order {
                 true => CentreOutcome::Recorded(first.clone()),
--- a/hawthornkeel_core/src/state/claims/record.rs
+++ b/hawthornkeel_core/src/state/claims/record.rs
@@ -11,7 +11,7 @@
 use crate::ids::RequestId;
 use crate::names::InstanceName;
 use crate::state::claims::CLAIM_WINDOW;
-use crate::state::clock::later;
+use crate::state::clock::saturating_add;
 use crate::state::command::Claim;
 use crate::state::command::ClaimKey;
 use crate::state::command::Claimant;
@@ -89,7 +89,7 @@
     pub(super) fn claimed(now: WallTime, claim: &Claim) -> Self {
         let settle = Duration::from_millis(claim.settle_ms).min(CLAIM_WINDOW);
         let instance = claim.claimant.instance.clone();
-        let phase = Phase::Claimed { lapse: later(now, settle), instance };
+        let phase = Phase::Claimed { lapse: saturating_add(now, settle), instance };
         Self { digest: claim.digest, ..Self::new(now, &claim.claimant, phase) }
     }
 
--- a/hawthornkeel_core/src/state/clock.rs
+++ b/hawthornkeel_core/src/state/clock.rs
@@ -28,7 +28,7 @@
     /// Takes the next command's stamp and returns the time at which the command takes effect.
     pub fn advance(&mut self, stamp: WallTime) -> WallTime {
         match self.stamp {
-            Some(last) => self.now = later(self.now, stamp.since(last).min(MAX_STEP)),
+            Some(last) => self.now = saturating_add(self.now, stamp.since(last).min(MAX_STEP)),
             None => self.now = stamp,
         }
         self.stamp = Some(stamp);
@@ -37,7 +37,7 @@
 }
 
 /// Returns the point `duration` after `time`.
-pub fn later(time: WallTime, duration: Duration) -> WallTime {
+pub fn saturating_add(time: WallTime, duration: Duration) -> WallTime {
     let millis = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
     WallTime::from_millis(time.as_millis().saturating_add(millis))
 }
--- a/hawthornkeel_core/src/state/command.rs
+++ b/hawthornkeel_core/src/state/command.rs
@@ -38,9 +38,10 @@
 
 /// Command as it stands in the log.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Stamped {
+pub struct TimestampedCommand {
     /// Wall clock of the leader that proposed it.
-    pub at: WallTime,
+    #[serde(rename = "at")]
+    pub timestamp: WallTime,
     /// Command proper.
     pub command: Command,
 }
@@ -204,12 +205,12 @@
     /// The document is accepted under this version.
     Accepted(Version),
     /// Another document came first.
-    Conflict(Winner),
+    Conflict(AcceptedSubmission),
 }
 
 /// Document that stands where another was submitted.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Winner {
+pub struct AcceptedSubmission {
     /// Who submitted it.
     pub operator: OperatorName,
     /// Operation number of its submission.
--- a/hawthornkeel_core/src/state/documents.rs
+++ b/hawthornkeel_core/src/state/documents.rs
@@ -17,10 +17,10 @@
 use crate::ids::OperationNumber;
 use crate::ids::Version;
 use crate::names::OperatorName;
+use crate::state::command::AcceptedSubmission;
 use crate::state::command::Replace;
 use crate::state::command::Submit;
 use crate::state::command::SubmitOutcome;
-use crate::state::command::Winner;
 use crate::state::history::History;
 
 /// Environment document in force, with the history of submissions.
@@ -44,9 +44,9 @@
 
 impl Submission {
     /// Returns the document that stands instead of another one under the same number.
-    fn winner(&self, operation: OperationNumber) -> Winner {
+    fn winner(&self, operation: OperationNumber) -> AcceptedSubmission {
         match &self.outcome {
-            SubmitOutcome::Accepted(version) => Winner {
+            SubmitOutcome::Accepted(version) => AcceptedSubmission {
                 operator: self.operator.clone(),
                 operation,
                 version: *version,
@@ -119,8 +119,8 @@
         SubmitOutcome::Accepted(self.version)
     }
 
-    fn in_force(&self) -> Winner {
-        Winner {
+    fn in_force(&self) -> AcceptedSubmission {
+        AcceptedSubmission {
             operator: self.operator.clone(),
             operation: self.operation,
             version: self.version,
--- a/hawthornkeel_core/src/state/fences.rs
+++ b/hawthornkeel_core/src/state/fencing.rs
@@ -10,13 +10,13 @@
 /// One counter serves all targets: the numbers of each target rise, and nothing has to be kept for
 /// targets that are gone.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Fences {
+pub struct FencingCounter {
     last: FencingNumber,
 }
 
-impl Fences {
+impl FencingCounter {
     /// Draws a number higher than every one drawn before.
-    pub fn draw(&mut self) -> FencingNumber {
+    pub fn next_number(&mut self) -> FencingNumber {
         self.last = FencingNumber(self.last.0.saturating_add(1));
         self.last
     }
--- a/hawthornkeel_core/src/state/mod.rs
+++ b/hawthornkeel_core/src/state/mod.rs
@@ -8,10 +8,10 @@
 pub mod clock;
 pub mod command;
 pub mod documents;
-pub mod fences;
+pub mod fencing;
 pub mod history;
 pub mod published;
-pub mod takeout;
+pub mod take_out;
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -22,10 +22,10 @@
 use crate::state::clock::Clock;
 use crate::state::command::Command;
 use crate::state::command::Outcome;
-use crate::state::command::Stamped;
+use crate::state::command::TimestampedCommand;
 use crate::state::documents::Documents;
-use crate::state::fences::Fences;
-use crate::state::published::Published;
+use crate::state::fencing::FencingCounter;
+use crate::state::published::PublishedState;
 
 /// Replicated state machine.
 ///
@@ -37,7 +37,8 @@
     claims: Claims,
     documents: Documents,
     centres: Centres,
-    fences: Fences,
+    #[serde(rename = "fences")]
+    fencing: FencingCounter,
     published: LogIndex,
 }
 
@@ -45,8 +46,8 @@
     /// Applies the command at log position `index` and returns its outcome.
     ///
     /// The commands of a batch are applied in order under the same position.
-    pub fn apply(&mut self, index: LogIndex, stamped: &Stamped) -> Outcome {
-        let now = self.clock.advance(stamped.at);
+    pub fn apply(&mut self, index: LogIndex, stamped: &TimestampedCommand) -> Outcome {
+        let now = self.clock.advance(stamped.timestamp);
         self.claims.expire(now);
         match &stamped.command {
             Command::Claim(claim) => Outcome::Claim(self.claims.claim(now, claim)),
@@ -66,13 +67,13 @@
                 Outcome::Replace(self.documents.version())
             }
             Command::Centre(order) => {
-                let (outcome, changed) = self.centres.order(index, order);
+                let (outcome, changed) = self.centres.apply(index, order);
                 if changed {
                     self.published = index;
                 }
                 Outcome::Centre(outcome)
             }
-            Command::Fence(_) => Outcome::Fence(self.fences.draw()),
+            Command::Fence(_) => Outcome::Fence(self.fencing.next_number()),
         }
     }
 
@@ -80,8 +81,8 @@
     ///
     /// Its index names a log position, so it is to be taken after the whole batch at that position
     /// is applied, never between two commands of one batch.
-    pub fn published(&self) -> Published {
-        Published {
+    pub fn published(&self) -> PublishedState {
+        PublishedState {
             index: self.published,
             version: self.documents.version(),
             text: self.documents.text(),
--- a/hawthornkeel_core/src/state/published.rs
+++ b/hawthornkeel_core/src/state/published.rs
@@ -13,7 +13,7 @@
 
 /// What every instance follows; replaced as a whole, never by one with a lower index.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Published {
+pub struct PublishedState {
     /// Log position of the last change to any part.
     pub index: LogIndex,
     /// Version of the environment document; zero before the first.
--- a/hawthornkeel_core/src/state/takeout.rs
+++ b/hawthornkeel_core/src/state/take_out.rs
@@ -15,20 +15,21 @@
 use crate::state::command::CentreState;
 
 /// Orders remembered, at most.
-pub const MAX_HOLDS: usize = 256;
+pub const MAX_TAKE_OUTS: usize = 256;
 
 /// Order to take a data centre out, as one instance knows it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Hold {
+pub struct TakeOut {
     /// Order proper.
     pub order: CentreOrder,
     /// Log position from which on the log decides, or `None` while the order is not logged.
-    pub floor: Option<LogIndex>,
+    #[serde(rename = "floor")]
+    pub log_index: Option<LogIndex>,
 }
 
 /// What came of an order that was heard.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Heard {
+pub enum MergeOutcome {
     /// It is new here, and is to be passed on.
     New,
     /// Nothing changed.
@@ -43,54 +44,54 @@
 
 /// Orders to take data centres out that one instance knows.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Holds {
-    holds: Vec<Hold>,
+pub struct TakeOuts {
+    holds: Vec<TakeOut>,
 }
 
-impl Holds {
+impl TakeOuts {
     /// Takes in an order from an operator or a peer.
-    pub fn hear(&mut self, heard: &Hold) -> Heard {
+    pub fn merge(&mut self, heard: &TakeOut) -> MergeOutcome {
         if heard.order.state != CentreState::TakenOut {
-            return Heard::Ignored;
+            return MergeOutcome::Ignored;
         }
         if let Some(hold) = self.find(&heard.order) {
-            if hold.floor > heard.floor {
-                return Heard::Outdated;
+            if hold.log_index > heard.log_index {
+                return MergeOutcome::Outdated;
             }
-            let known = hold.floor == heard.floor;
-            hold.floor = heard.floor;
-            return if known { Heard::Known } else { Heard::New };
+            let known = hold.log_index == heard.log_index;
+            hold.log_index = heard.log_index;
+            return if known { MergeOutcome::Known } else { MergeOutcome::New };
         }
-        if self.holds.len() >= MAX_HOLDS && !self.forget_logged() {
-            return Heard::Full;
+        if self.holds.len() >= MAX_TAKE_OUTS && !self.forget_logged() {
+            return MergeOutcome::Full;
         }
         self.holds.push(heard.clone());
-        Heard::New
+        MergeOutcome::New
     }
 
     /// Notes that `order` stands in the log at `index`.
     ///
     /// Where the log refused the order, because its operation number was used before, the position
     /// after what is followed is to be given: the order then holds until a later one is logged.
-    pub fn logged(&mut self, order: &CentreOrder, index: LogIndex) {
+    pub fn mark_logged(&mut self, order: &CentreOrder, index: LogIndex) {
         if let Some(hold) = self.find(order) {
-            hold.floor = hold.floor.max(Some(index));
+            hold.log_index = hold.log_index.max(Some(index));
         }
     }
 
     /// Returns the order as known here.
-    pub fn get(&self, order: &CentreOrder) -> Option<&Hold> {
+    pub fn get(&self, order: &CentreOrder) -> Option<&TakeOut> {
         self.holds.iter().find(|h| h.order == *order)
     }
 
     /// Returns all orders known.
-    pub fn all(&self) -> &[Hold] {
+    pub fn all(&self) -> &[TakeOut] {
         &self.holds
     }
 
     /// Returns the orders that are not logged as far as is known here.
-    pub fn unlogged(&self) -> impl Iterator<Item = &Hold> {
-        self.holds.iter().filter(|h| h.floor.is_none())
+    pub fn unlogged(&self) -> impl Iterator<Item = &TakeOut> {
+        self.holds.iter().filter(|h| h.log_index.is_none())
     }
 
     /// Returns the data centres that take no new work, given the records followed.
@@ -104,19 +105,19 @@
         centres.into_iter().cloned().collect()
     }
 
-    fn find(&mut self, order: &CentreOrder) -> Option<&mut Hold> {
+    fn find(&mut self, order: &CentreOrder) -> Option<&mut TakeOut> {
         self.holds.iter_mut().find(|h| h.order == *order)
     }
 
     /// Forgets the oldest order whose place in the log is known.
     fn forget_logged(&mut self) -> bool {
-        let oldest = self.holds.iter().position(|h| h.floor.is_some());
+        let oldest = self.holds.iter().position(|h| h.log_index.is_some());
         oldest.map(|at| self.holds.remove(at)).is_some()
     }
 }
 
 /// Tells whether an order holds whatever `records` say.
-fn in_force(hold: &Hold, records: &IndexMap<CentreName, CentreRecord>) -> bool {
-    let Some(floor) = hold.floor else { return true };
-    records.get(&hold.order.centre).is_none_or(|r| r.index < floor)
+fn in_force(hold: &TakeOut, records: &IndexMap<CentreName, CentreRecord>) -> bool {
+    let Some(log_index) = hold.log_index else { return true };
+    records.get(&hold.order.centre).is_none_or(|r| r.index < log_index)
 }
--- a/hawthornkeel_core/tests/document_races.rs
+++ b/hawthornkeel_core/tests/document_races.rs
@@ -5,11 +5,11 @@
 use hawthornkeel_core::ids::OperationNumber;
 use hawthornkeel_core::ids::Version;
 use hawthornkeel_core::names::OperatorName;
+use hawthornkeel_core::state::command::AcceptedSubmission;
 use hawthornkeel_core::state::command::Command;
 use hawthornkeel_core::state::command::Outcome;
 use hawthornkeel_core::state::command::Submit;
 use hawthornkeel_core::state::command::SubmitOutcome;
-use hawthornkeel_core::state::command::Winner;
 use hawthornkeel_core::state::history::MAX_OPERATIONS;
 use state_common::Driver;
 
@@ -32,7 +32,7 @@
 }
 
 fn lost_to(who: &str, number: u64, version: u64, text: &str) -> SubmitOutcome {
-    SubmitOutcome::Conflict(Winner {
+    SubmitOutcome::Conflict(AcceptedSubmission {
         operator: OperatorName::new(who),
         operation: OperationNumber(number),
         version: Version(version),
--- a/hawthornkeel_core/tests/hedged_calls.rs
+++ b/hawthornkeel_core/tests/hedged_calls.rs
@@ -15,10 +15,10 @@
 use hawthornkeel_core::request::event::Action;
 use hawthornkeel_core::request::event::Input;
 use hawthornkeel_core::request::failure::CallFailure;
-use hawthornkeel_core::request::profile::Profile;
-use hawthornkeel_core::request::refusal::Ran;
 use hawthornkeel_core::request::refusal::RefusalCode;
-use hawthornkeel_core::request::run::Run;
+use hawthornkeel_core::request::refusal::RunStatus;
+use hawthornkeel_core::request::run::PipelineRun;
+use hawthornkeel_core::request::spec::RequestSpec;
 use hawthornkeel_core::routing::CallOutcome;
 use hawthornkeel_core::routing::Decision;
 use hawthornkeel_core::routing::Permit;
@@ -50,9 +50,9 @@
     CallId { request: RequestId(7), stage, attempt }
 }
 
-fn profile(stages: Vec<Stage>) -> Profile {
+fn spec(stages: Vec<Stage>) -> RequestSpec {
     let pipeline = Pipeline { name: "release".into(), stages, ..Pipeline::default() };
-    Profile {
+    RequestSpec {
         id: RequestId(7),
         instance: "entry-1".into(),
         workspace: "makers".into(),
@@ -69,8 +69,8 @@
 }
 
 /// Creates a run whose first call is in progress.
-fn called(profile: Profile) -> Run {
-    let mut run = Run::new(profile);
+fn called(spec: RequestSpec) -> PipelineRun {
+    let mut run = PipelineRun::new(spec);
     run.handle(NOW, Input::Started);
     let mut actions = run.handle(NOW, Input::Routed);
     if let [Action::Claim(_)] = actions[..] {
@@ -81,17 +81,17 @@
 }
 
 /// Creates a run whose first call and its hedge are in progress.
-fn hedged(stages: Vec<Stage>) -> Run {
-    let mut run = called(profile(stages));
+fn hedged(stages: Vec<Stage>) -> PipelineRun {
+    let mut run = called(spec(stages));
     assert_eq!(run.handle(NOW, Input::HedgeDue(FIRST)), vec![Action::Hedge(HEDGE)]);
     run
 }
 
-fn answer(run: &mut Run, call: CallId) -> Vec<Action> {
+fn answer(run: &mut PipelineRun, call: CallId) -> Vec<Action> {
     run.handle(NOW, Input::Answered { call, answer: Bytes::from("a") })
 }
 
-fn fail(run: &mut Run, call: CallId, received: usize) -> Vec<Action> {
+fn fail(run: &mut PipelineRun, call: CallId, received: usize) -> Vec<Action> {
     run.handle(NOW, Input::Failed { call, failure: CallFailure::Reset, received })
 }
 
@@ -132,7 +132,7 @@
     assert_eq!(third, vec![Action::Dispatch { call: call(2), resume: 10 }]);
     let last = fail(&mut run, call(2), 10);
     let [Action::Refuse(refusal)] = last[..] else { panic!("{last:?}") };
-    assert_eq!((refusal.code, refusal.ran), (RefusalCode::StageFailed, Ran::Unknown));
+    assert_eq!((refusal.code, refusal.ran), (RefusalCode::StageFailed, RunStatus::Unknown));
 }
 
 #[test]
@@ -146,12 +146,12 @@
 
 #[rstest]
 #[case(Input::DeadlinePassed)]
-#[case(Input::CallerLeft)]
+#[case(Input::CallerDisconnected)]
 fn end_of_the_request_cancels_both_calls(#[case] input: Input) {
     let mut run = hedged(vec![stage("read")]);
     let actions = run.handle(NOW, input);
     assert_eq!(actions[..2], [Action::Cancel(FIRST), Action::Cancel(HEDGE)]);
-    assert!(run.ended());
+    assert!(run.is_ended());
 }
 
 #[rstest]
@@ -160,7 +160,7 @@
 #[case::streamed(stage("draft"), true, 0)]
 #[case::no_time_left(stage("read"), false, 7_995)]
 fn no_hedge(#[case] stage: Stage, #[case] streamed: bool, #[case] millis: u64) {
-    let mut run = called(Profile { streamed, ..profile(vec![stage]) });
+    let mut run = called(RequestSpec { streamed, ..spec(vec![stage]) });
     let now = NOW + Duration::from_millis(millis);
     assert_eq!(run.handle(now, Input::HedgeDue(FIRST)), vec![]);
 }
--- a/hawthornkeel_core/tests/highest_version.rs
+++ b/hawthornkeel_core/tests/highest_version.rs
@@ -8,7 +8,7 @@
 use hawthornkeel_core::state::command::Command;
 use hawthornkeel_core::state::command::Outcome;
 use hawthornkeel_core::state::command::Replace;
-use hawthornkeel_core::state::command::Stamped;
+use hawthornkeel_core::state::command::TimestampedCommand;
 use hawthornkeel_core::time::WallTime;
 use rstest::rstest;
 
@@ -18,7 +18,10 @@
         text: Arc::from(text),
         hash: Arc::from(format!("hash of {text}")),
     });
-    state.apply(LogIndex(index), &Stamped { at: WallTime::from_millis(index), command })
+    state.apply(
+        LogIndex(index),
+        &TimestampedCommand { timestamp: WallTime::from_millis(index), command },
+    )
 }
 
 #[rstest]
--- a/hawthornkeel_core/tests/request_run.rs
+++ b/hawthornkeel_core/tests/request_run.rs
@@ -11,10 +11,10 @@
 use hawthornkeel_core::request::event::ClaimFailure;
 use hawthornkeel_core::request::event::Input;
 use hawthornkeel_core::request::failure::CallFailure;
-use hawthornkeel_core::request::profile::Profile;
-use hawthornkeel_core::request::refusal::Ran;
 use hawthornkeel_core::request::refusal::RefusalCode;
-use hawthornkeel_core::request::run::Run;
+use hawthornkeel_core::request::refusal::RunStatus;
+use hawthornkeel_core::request::run::PipelineRun;
+use hawthornkeel_core::request::spec::RequestSpec;
 use hawthornkeel_core::state::command::ClaimOutcome;
 use hawthornkeel_core::state::command::Settlement;
 use hawthornkeel_core::time::Instant;
@@ -27,9 +27,9 @@
     Stage { name: name.into(), idempotent, max_attempts, floor_ms: 10, ..Stage::default() }
 }
 
-fn run(stages: Vec<Stage>, key: Option<&str>) -> Run {
+fn run(stages: Vec<Stage>, key: Option<&str>) -> PipelineRun {
     let pipeline = Pipeline { name: "release".into(), stages, ..Pipeline::default() };
-    Run::new(Profile {
+    PipelineRun::new(RequestSpec {
         id: RequestId(7),
         instance: "entry-1".into(),
         workspace: "makers".into(),
@@ -42,7 +42,7 @@
 }
 
 /// Brings a request up to the dispatch of its first stage.
-fn dispatch(run: &mut Run, claimed: bool) -> Vec<Action> {
+fn dispatch(run: &mut PipelineRun, claimed: bool) -> Vec<Action> {
     run.handle(NOW, Input::Started);
     let actions = run.handle(NOW, Input::Routed);
     if !claimed {
@@ -52,21 +52,21 @@
     run.handle(NOW, Input::Claimed(ClaimOutcome::Granted))
 }
 
-fn fail(run: &mut Run, actions: &[Action], failure: CallFailure) -> Vec<Action> {
+fn fail(run: &mut PipelineRun, actions: &[Action], failure: CallFailure) -> Vec<Action> {
     let Some(Action::Dispatch { call, .. }) = actions.last() else {
         panic!("no dispatch in {actions:?}");
     };
     run.handle(NOW, Input::Failed { call: *call, failure, received: 0 })
 }
 
-fn answer(run: &mut Run, actions: &[Action], text: &'static str) -> Vec<Action> {
+fn answer(run: &mut PipelineRun, actions: &[Action], text: &'static str) -> Vec<Action> {
     let Some(Action::Dispatch { call, .. }) = actions.last() else {
         panic!("no dispatch in {actions:?}");
     };
     run.handle(NOW, Input::Answered { call: *call, answer: Bytes::from(text) })
 }
 
-fn refusal(actions: &[Action]) -> (RefusalCode, Ran) {
+fn refusal(actions: &[Action]) -> (RefusalCode, RunStatus) {
     let found = actions.iter().find_map(|a| match a {
         Action::Refuse(r) => Some((r.code, r.ran)),
         _ => None,
@@ -82,17 +82,17 @@
     let second = run.handle(NOW, Input::Routed);
     let last = answer(&mut run, &second, "b");
     assert_eq!(last, vec![Action::Finish(Bytes::from("b"))]);
-    assert!(run.ended());
+    assert!(run.is_ended());
 }
 
 #[test]
 fn answer_to_older_attempt_is_ignored() {
     let mut run = run(vec![stage("read", true)], None);
     let first = dispatch(&mut run, false);
-    fail(&mut run, &first, CallFailure::Silent);
+    fail(&mut run, &first, CallFailure::ProgressTimeout);
     run.handle(NOW, Input::Routed);
     assert_eq!(answer(&mut run, &first, "late"), vec![]);
-    assert!(!run.ended());
+    assert!(!run.is_ended());
 }
 
 #[test]
@@ -105,23 +105,25 @@
         actions = run.handle(NOW, Input::Routed);
     }
     let last = fail(&mut run, &actions, CallFailure::Reset);
-    assert_eq!(refusal(&last), (RefusalCode::StageFailed, Ran::Unknown));
+    assert_eq!(refusal(&last), (RefusalCode::StageFailed, RunStatus::Unknown));
 }
 
 #[rstest]
-#[case(CallFailure::Silent)]
+#[case(CallFailure::ProgressTimeout)]
 #[case(CallFailure::Reset)]
 #[case(CallFailure::Truncated)]
-#[case(CallFailure::Crossed)]
+#[case(CallFailure::WrongCall)]
 #[case(CallFailure::Refused)]
 #[case(CallFailure::Status(500))]
 fn claimed_call_that_may_have_run_is_never_repeated(#[case] failure: CallFailure) {
     let mut run = run(vec![stage("sign", false)], Some("k"));
     let actions = dispatch(&mut run, true);
     let last = fail(&mut run, &actions, failure);
-    assert_eq!(refusal(&last), (RefusalCode::OutcomeUnknown, Ran::Unknown));
-    assert!(matches!(&last[0], Action::SettleLater(s) if s.settlement == Settlement::Unknown));
-    assert!(run.ended());
+    assert_eq!(refusal(&last), (RefusalCode::OutcomeUnknown, RunStatus::Unknown));
+    assert!(
+        matches!(&last[0], Action::SettleInBackground(s) if s.settlement == Settlement::Unknown)
+    );
+    assert!(run.is_ended());
 }
 
 #[rstest]
@@ -148,7 +150,7 @@
     let [Action::Settle(settle)] = &released[..] else { panic!("{released:?}") };
     assert_eq!(settle.settlement, Settlement::Released);
     let last = run.handle(NOW, Input::Settled);
-    assert_eq!(refusal(&last), (RefusalCode::NoCapacity, Ran::NotRun));
+    assert_eq!(refusal(&last), (RefusalCode::NoCapacity, RunStatus::NotRun));
 }
 
 #[test]
@@ -157,19 +159,21 @@
     run.handle(NOW, Input::Started);
     run.handle(NOW, Input::Routed);
     let last = run.handle(NOW, Input::NotClaimed(ClaimFailure::Undecided));
-    assert_eq!(refusal(&last), (RefusalCode::NoQuorum, Ran::NotRun));
-    assert!(matches!(&last[1], Action::SettleLater(s) if s.settlement == Settlement::Released));
+    assert_eq!(refusal(&last), (RefusalCode::NoQuorum, RunStatus::NotRun));
+    assert!(
+        matches!(&last[1], Action::SettleInBackground(s) if s.settlement == Settlement::Released)
+    );
     assert_eq!(run.handle(NOW, Input::Claimed(ClaimOutcome::Granted)), vec![]);
 }
 
 #[rstest]
-#[case(ClaimOutcome::Unknown, RefusalCode::OutcomeUnknown, Ran::Unknown)]
-#[case(ClaimOutcome::DoneDropped, RefusalCode::OutcomeUnknown, Ran::Done)]
-#[case(ClaimOutcome::Mismatch, RefusalCode::KeyReused, Ran::NotRun)]
+#[case(ClaimOutcome::Unknown, RefusalCode::OutcomeUnknown, RunStatus::Unknown)]
+#[case(ClaimOutcome::DoneDropped, RefusalCode::OutcomeUnknown, RunStatus::Done)]
+#[case(ClaimOutcome::Mismatch, RefusalCode::KeyReused, RunStatus::NotRun)]
 fn resend_is_told_the_truth(
     #[case] outcome: ClaimOutcome,
     #[case] code: RefusalCode,
-    #[case] ran: Ran,
+    #[case] ran: RunStatus,
 ) {
     let mut run = run(vec![stage("sign", false)], Some("k"));
     run.handle(NOW, Input::Started);
@@ -184,7 +188,7 @@
     run.handle(NOW, Input::Started);
     run.handle(NOW, Input::Routed);
     let last = run.handle(NOW, Input::Claimed(ClaimOutcome::Done(Bytes::from("signed"))));
-    assert_eq!(last, vec![Action::Unroute, Action::Finish(Bytes::from("signed"))]);
+    assert_eq!(last, vec![Action::ReleasePermit, Action::Finish(Bytes::from("signed"))]);
 }
 
 #[test]
@@ -192,9 +196,9 @@
     let mut run = run(vec![stage("sign", false)], Some("k"));
     let actions = dispatch(&mut run, true);
     let told = run.handle(NOW, Input::DeadlinePassed);
-    assert_eq!(refusal(&told), (RefusalCode::OutcomeUnknown, Ran::Unknown));
+    assert_eq!(refusal(&told), (RefusalCode::OutcomeUnknown, RunStatus::Unknown));
     let late = answer(&mut run, &actions, "signed");
-    assert!(matches!(&late[..], [Action::SettleLater(s)]
+    assert!(matches!(&late[..], [Action::SettleInBackground(s)]
         if s.settlement == Settlement::Done(Bytes::from("signed"))));
 }
 
@@ -202,13 +206,13 @@
 fn caller_leaving_cancels_only_what_may_be_repeated() {
     let mut repeatable = run(vec![stage("read", true)], None);
     dispatch(&mut repeatable, false);
-    let actions = repeatable.handle(NOW, Input::CallerLeft);
+    let actions = repeatable.handle(NOW, Input::CallerDisconnected);
     assert!(matches!(actions[0], Action::Cancel(_)));
 
     let mut claimed = run(vec![stage("sign", false)], Some("k"));
     dispatch(&mut claimed, true);
-    assert_eq!(claimed.handle(NOW, Input::CallerLeft), vec![]);
-    assert!(!claimed.ended());
+    assert_eq!(claimed.handle(NOW, Input::CallerDisconnected), vec![]);
+    assert!(!claimed.is_ended());
 }
 
 #[test]
@@ -216,14 +220,14 @@
     let mut run = run(vec![stage("read", true)], None);
     let late = NOW + Duration::from_millis(7_995);
     let last = run.handle(late, Input::Started);
-    assert_eq!(refusal(&last), (RefusalCode::DeadlineUnreachable, Ran::NotRun));
+    assert_eq!(refusal(&last), (RefusalCode::DeadlineUnreachable, RunStatus::NotRun));
 }
 
 #[test]
 fn missing_key_is_refused_where_a_stage_may_not_be_repeated() {
     let mut run = run(vec![stage("sign", false)], None);
     let last = run.handle(NOW, Input::Started);
-    assert_eq!(refusal(&last), (RefusalCode::KeyRequired, Ran::NotRun));
+    assert_eq!(refusal(&last), (RefusalCode::KeyRequired, RunStatus::NotRun));
 }
 
 #[test]
@@ -244,7 +248,7 @@
     let mut run = run(vec![stage("read", true)], None);
     let mut actions = dispatch(&mut run, false);
     let mut count = 0;
-    while !run.ended() {
+    while !run.is_ended() {
         fail(&mut run, &actions, CallFailure::Refused);
         actions = run.handle(NOW, Input::Routed);
         count += 1;
--- a/hawthornkeel_core/tests/state_common/mod.rs
+++ b/hawthornkeel_core/tests/state_common/mod.rs
@@ -20,7 +20,7 @@
 use hawthornkeel_core::state::command::Settle;
 use hawthornkeel_core::state::command::SettleOutcome;
 use hawthornkeel_core::state::command::Settlement;
-use hawthornkeel_core::state::command::Stamped;
+use hawthornkeel_core::state::command::TimestampedCommand;
 use hawthornkeel_core::time::WallTime;
 
 /// Time that a claim has to settle, in milliseconds.
@@ -37,7 +37,7 @@
 impl Driver {
     pub fn apply(&mut self, command: Command) -> Outcome {
         self.index += 1;
-        let stamped = Stamped { at: WallTime::from_millis(self.now), command };
+        let stamped = TimestampedCommand { timestamp: WallTime::from_millis(self.now), command };
         self.state.apply(LogIndex(self.index), &stamped)
     }
 
