--- a/hawthornkeel_core/benches/state.rs
+++ b/hawthornkeel_core/benches/state.rs
@@ -1,4 +1,4 @@
-//! Cost of applying claims and size of a snapshot of 100,000 claims.
+//! Cost of applying claims, and size and coding time of a snapshot of 100,000 claims.
 #![allow(missing_docs)]
 
 use std::hint::black_box;
@@ -26,16 +26,16 @@
 use hawthornkeel_core::state::command::TimestampedCommand;
 use hawthornkeel_core::time::WallTime;
 
-/// Claims in the snapshot.
+/// Number of claims in the snapshot.
 const CLAIMS: u64 = 100_000;
 
-/// Answer of a settled claim, in bytes.
-const ANSWER: usize = 64;
+/// Size of a settled claim's answer, in bytes.
+const ANSWER_BYTES: usize = 64;
 
-/// Claims and settlements applied in one iteration.
+/// Number of claims applied and settled in one iteration.
 const BATCH: u64 = 1_000;
 
-fn pair(number: u64) -> [TimestampedCommand; 2] {
+fn claim_and_settle(number: u64) -> [TimestampedCommand; 2] {
     let key = ClaimKey {
         workspace: WorkspaceName::new("kumamoto"),
         key: Arc::from(format!("0d6a2f3c-9b1e-4c57-8a10-{number:012x}")),
@@ -46,7 +46,7 @@
         request: RequestId(u128::from(number) << 64 | 0x5bd1_e995),
         attempt: AttemptNumber(0),
     };
-    let settlement = Settlement::Done(Bytes::from(vec![b'a'; ANSWER]));
+    let settlement = Settlement::Done(Bytes::from(vec![b'a'; ANSWER_BYTES]));
     let settle = Settle { key: key.clone(), claimant: claimant.clone(), settlement };
     let claim = Claim { key, digest: number, claimant, settle_ms: 30_000 };
     let at = WallTime::from_millis(1_700_000_000_000 + number);
@@ -56,30 +56,34 @@
     ]
 }
 
-fn filled() -> State {
+fn filled_state() -> State {
     let mut state = State::default();
     for number in 0..CLAIMS {
-        for stamped in pair(number) {
-            state.apply(LogIndex(number + 1), &stamped);
+        for command in claim_and_settle(number) {
+            state.apply(LogIndex(number + 1), &command);
         }
     }
     state
 }
 
 fn state(c: &mut Criterion) {
-    let state = filled();
+    let state = filled_state();
     let bytes = postcard::to_stdvec(&state).expect("a state encodes");
-    println!("snapshot: {} bytes for {CLAIMS} claims with {ANSWER}-byte answers", bytes.len());
+    println!(
+        "snapshot: {} bytes for {CLAIMS} claims with {ANSWER_BYTES}-byte answers",
+        bytes.len()
+    );
 
     let mut group = c.benchmark_group("state");
-    let commands: Vec<TimestampedCommand> = (CLAIMS..CLAIMS + BATCH).flat_map(pair).collect();
+    let commands: Vec<TimestampedCommand> =
+        (CLAIMS..CLAIMS + BATCH).flat_map(claim_and_settle).collect();
     group.throughput(Throughput::Elements(commands.len() as u64));
     group.bench_function("apply", |b| {
         b.iter_batched_ref(
             || state.clone(),
             |state| {
-                for stamped in &commands {
-                    black_box(state.apply(LogIndex(CLAIMS + 1), stamped));
+                for command in &commands {
+                    black_box(state.apply(LogIndex(CLAIMS + 1), command));
                 }
             },
             BatchSize::PerIteration,
--- a/hawthornkeel_core/src/document.rs
+++ b/hawthornkeel_core/src/document.rs
@@ -1,6 +1,6 @@
-//! The environment document: what operators ask the system to serve.
+//! Environment document: the workspaces, pools and pipelines that operators configure.
 //!
-//! It holds no address, so the same bytes are promoted unchanged from trial to production.
+//! It contains no addresses, so that the same bytes can be promoted from trial to production.
 
 use std::time::Duration;
 
@@ -13,51 +13,51 @@
 use crate::names::StageName;
 use crate::names::WorkspaceName;
 
-/// Environment document.
+/// Desired configuration of one environment.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Document {
-    /// Name of the environment's purpose, for logs.
+    /// Name of the environment, used in logs.
     pub name: String,
-    /// Workspaces that may send requests.
+    /// Workspaces whose requests are accepted.
     #[serde(rename = "workspace")]
     pub workspaces: Vec<Workspace>,
     /// Pools of targets.
     #[serde(rename = "pool")]
     pub pools: Vec<Pool>,
-    /// Pipelines that requests run through.
+    /// Pipelines that callers can request.
     #[serde(rename = "pipeline")]
     pub pipelines: Vec<Pipeline>,
 }
 
 impl Document {
-    /// Returns the workspace called `name`.
+    /// Returns the workspace named `name`.
     pub fn workspace(&self, name: &str) -> Option<&Workspace> {
         self.workspaces.iter().find(|w| w.name.as_str() == name)
     }
 
-    /// Returns the pool called `name`.
+    /// Returns the pool named `name`.
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         self.pools.iter().find(|p| p.name.as_str() == name)
     }
 
-    /// Returns the pipeline called `name`.
+    /// Returns the pipeline named `name`.
     pub fn pipeline(&self, name: &str) -> Option<&Pipeline> {
         self.pipelines.iter().find(|p| p.name.as_str() == name)
     }
 }
 
-/// Customer's share of the system.
+/// Customer with its scheduling weight, priority and limits.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Workspace {
     /// Unique name.
     pub name: WorkspaceName,
-    /// Share under contention, relative to the other workspaces.
+    /// Fair-queueing weight under contention, relative to the other workspaces.
     pub weight: u32,
-    /// Priority passed to engines: higher goes first.
+    /// Priority passed to engines; higher values run first.
     pub priority: u8,
-    /// Requests in progress at one entry instance, at most.
+    /// Maximum number of requests in progress at one entry instance.
     pub max_requests: u32,
 }
 
@@ -67,25 +67,25 @@
     }
 }
 
-/// Kind of protocol that a pool's targets speak.
+/// Protocol of a pool's targets.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PoolKind {
-    /// Plain service: JSON over HTTP, one answer a call.
+    /// Plain service: JSON over HTTP with one answer per call.
     #[default]
     Service,
-    /// Model engine: completions protocol with streamed answers.
+    /// Model engine: completions API with streamed answers.
     Engine,
 }
 
-/// Whether targets of a pool refuse an order with an old fencing number.
+/// Whether a pool's targets refuse orders with a stale fencing number.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fencing {
-    /// Orders are accepted whatever their fencing number.
+    /// Targets accept orders regardless of the fencing number.
     #[default]
     Ignored,
-    /// Orders with an old fencing number are refused.
+    /// Targets refuse orders with a fencing number lower than the last one accepted.
     Checked,
 }
 
@@ -97,13 +97,13 @@
     pub name: PoolName,
     /// Protocol of the targets.
     pub kind: PoolKind,
-    /// Model asked for, where the targets are engines.
+    /// Model requested from the targets; engines only.
     pub model: Option<ModelName>,
-    /// Calls that a warm target bears at once.
+    /// Maximum number of concurrent calls to a warm target.
     pub warm_limit: u32,
-    /// Calls that a cold target bears at once, summed over all entry instances.
+    /// Maximum number of concurrent calls to a cold target from all entry instances together.
     pub cold_limit: u32,
-    /// Calls that a cold target answers before it counts as warm.
+    /// Number of answered calls after which a cold target counts as warm.
     pub warm_after: u32,
     /// Whether targets check fencing numbers.
     pub fencing: Fencing,
@@ -123,17 +123,17 @@
     }
 }
 
-/// Sequence of stages that answers a request.
+/// Sequence of stages that produces the answer to a request.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Pipeline {
     /// Unique name.
     pub name: PipelineName,
-    /// Time from arrival to the whole answer, in milliseconds.
+    /// Time from a request's arrival to its complete answer, in milliseconds.
     pub deadline_ms: u64,
-    /// Request body, in bytes at most.
+    /// Maximum size of a request body, in bytes.
     pub max_body: u64,
-    /// Stages in the order they run.
+    /// Stages in execution order.
     #[serde(rename = "stage")]
     pub stages: Vec<Stage>,
 }
@@ -150,12 +150,12 @@
 }
 
 impl Pipeline {
-    /// Returns the time from arrival to the whole answer.
+    /// Returns the time from a request's arrival to its complete answer.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
 
-    /// Tells whether any stage may run at most once.
+    /// Returns whether any stage is not idempotent and may run at most once.
     pub fn has_non_idempotent(&self) -> bool {
         self.stages.iter().any(|s| !s.idempotent)
     }
@@ -167,17 +167,17 @@
 pub struct Stage {
     /// Name, unique in the pipeline.
     pub name: StageName,
-    /// Pool whose targets run the stage.
+    /// Name of the pool whose targets run the stage.
     pub pool: PoolName,
-    /// Path of the call to a plain service.
+    /// Request path of calls to a plain service.
     pub path: String,
-    /// Whether the stage may run again for the same request.
+    /// Whether the stage may run more than once for the same request.
     pub idempotent: bool,
-    /// Shortest time that the stage takes, in milliseconds.
+    /// Lower bound of the stage's run time, in milliseconds.
     pub floor_ms: u64,
-    /// Attempts at the stage, at most.
+    /// Maximum number of attempts at the stage.
     pub max_attempts: u16,
-    /// Tokens that an engine generates, at most.
+    /// Maximum number of tokens that an engine generates.
     pub max_tokens: u32,
 }
 
@@ -196,7 +196,7 @@
 }
 
 impl Stage {
-    /// Returns the shortest time that the stage takes.
+    /// Returns the lower bound of the stage's run time.
     pub fn floor(&self) -> Duration {
         Duration::from_millis(self.floor_ms)
     }
--- a/hawthornkeel_core/src/ids.rs
+++ b/hawthornkeel_core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers that identify requests, attempts, log positions and versions.
+//! Numeric identifiers of requests, attempts, log positions and versions.
 
 use std::fmt;
 
@@ -25,52 +25,52 @@
 }
 
 number_type! {
-    /// Random identity of one request at one entry instance.
+    /// Random identifier of a request at one entry instance.
     RequestId, u128
 }
 number_type! {
-    /// Position of a stage in its pipeline, from zero.
+    /// Zero-based position of a stage in its pipeline.
     StageIndex, u16
 }
 number_type! {
-    /// Number of an attempt at a stage, from zero.
+    /// Zero-based number of an attempt at a stage.
     AttemptNumber, u16
 }
 number_type! {
-    /// Term of the replicated log: rises with each election.
+    /// Term of the replicated log; increases with each election.
     Term, u64
 }
 number_type! {
-    /// Position of an entry in the replicated log, from one.
+    /// One-based position of an entry in the replicated log.
     LogIndex, u64
 }
 number_type! {
-    /// Identity of a replica, drawn anew for each empty data folder.
+    /// Random identifier of a replica, generated anew for each empty data folder.
     ReplicaId, u64
 }
 number_type! {
-    /// Version of the environment document: rises with each accepted document.
+    /// Version of the environment document; increases with each accepted document.
     Version, u64
 }
 number_type! {
-    /// Number that an operator gives to an order, so that a resend is recognised.
+    /// Idempotency number that an operator assigns to an order, by which retries are detected.
     OperationNumber, u64
 }
 number_type! {
-    /// Incarnation of a target's process: differs after each start.
+    /// Incarnation of a target's process; changes with each restart.
     Incarnation, u64
 }
 number_type! {
-    /// Fencing number of an order to a target: rises with each order.
+    /// Fencing number of an order to a target; increases with each order.
     FencingNumber, u64
 }
 
-/// Identity of one call to a target: an answer is matched to it before it is used.
+/// Identifier of one call to a target; an answer is used only if it carries the same identifier.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CallId {
-    /// Request that the call works for.
+    /// Request that the call belongs to.
     pub request: RequestId,
-    /// Stage of the request's pipeline.
+    /// Stage of that request's pipeline.
     pub stage: StageIndex,
     /// Attempt at that stage.
     pub attempt: AttemptNumber,
--- a/hawthornkeel_core/src/lib.rs
+++ b/hawthornkeel_core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of the hawthornkeel serving system, free of I/O.
+//! Decision logic of the hawthornkeel serving system, without I/O.
 //!
-//! Nothing in this crate reads a clock, opens a socket, starts a thread or keeps a global. Time and
-//! randomness come in as arguments and actions go out as typed values, so that the same code runs
-//! under a real process and under a test on a virtual clock.
+//! This crate reads no clock, opens no socket, spawns no thread and has no global state. Time and
+//! randomness are passed in as arguments and actions are returned as typed values, so that the same
+//! code runs in production and in tests on a virtual clock.
 
 #![deny(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing)]
 
--- a/hawthornkeel_core/src/names.rs
+++ b/hawthornkeel_core/src/names.rs
@@ -1,4 +1,4 @@
-//! Names of things: shared immutable strings, one type for each kind of thing.
+//! Names as shared immutable strings, with a separate type for each kind of named object.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -54,7 +54,7 @@
 }
 
 name_type! {
-    /// Name of an instance: one process of the system.
+    /// Name of an instance, which is one process of the system.
     InstanceName
 }
 name_type! {
@@ -62,7 +62,7 @@
     CentreName
 }
 name_type! {
-    /// Name of a target: a model engine or a plain service that runs stages.
+    /// Name of a target, which is a model engine or a plain service that runs stages.
     TargetName
 }
 name_type! {
@@ -70,7 +70,7 @@
     PoolName
 }
 name_type! {
-    /// Name of a workspace: a customer's share of the system.
+    /// Name of a workspace, which is a customer of the system.
     WorkspaceName
 }
 name_type! {
@@ -86,10 +86,10 @@
     StageName
 }
 name_type! {
-    /// Name of a model that engines of a pool have loaded.
+    /// Name of a model that the engines of a pool have loaded.
     ModelName
 }
 name_type! {
-    /// Name of an operator, as given with an order.
+    /// Name of an operator, as given in an order.
     OperatorName
 }
--- a/hawthornkeel_core/src/orders.rs
+++ b/hawthornkeel_core/src/orders.rs
@@ -1,8 +1,8 @@
-//! When an order may be sent to a target.
+//! Decides when an order may be sent to a target.
 //!
 //! Only the leader of the replicated log sends orders. A target that checks fencing numbers refuses
-//! an old leader's order by itself. For one that ignores them, a new leader first waits until the
-//! old leader's lease and the longest order that it may have sent are over.
+//! the orders of a previous leader by itself. For a target that ignores them, a new leader first
+//! waits until the previous leader's lease has expired and its last order must have completed.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
 use crate::names::TargetName;
 use crate::time::Instant;
 
-/// Settings of orders.
+/// Timing of leases and orders.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OrderSettings {
-    /// Longest time for which a leader's lease lasts after its last renewal.
+    /// Time after the last renewal at which a leader's lease has expired.
     pub lease: Duration,
-    /// Longest time from the sending of an order until it is answered or given up.
+    /// Time after sending at which an unanswered order is abandoned.
     pub timeout: Duration,
 }
 
@@ -31,47 +31,49 @@
 /// Why an order may not be sent now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderError {
-    /// This instance does not lead with its lease.
+    /// This instance is not the leader or does not hold the lease.
     NotLeader,
-    /// An earlier leader's order may still be on its way, until this time.
+    /// An order of a previous leader may still be in flight until this time.
     NotBefore(Instant),
-    /// An order to the same target is on its way.
+    /// Another order to the same target is in flight.
     Busy,
 }
 
-/// Leadership as seen now: the term, where this instance leads with its lease.
+/// Term in which this instance leads and holds the lease, or `None` if it does not.
 pub type LeaderTerm = Option<Term>;
 
-/// Decides when this instance may send orders.
+/// Decides whether this instance may send an order to a target.
 #[derive(Clone, Debug, Default)]
 pub struct OrderGate {
     settings: OrderSettings,
     term: Term,
-    since: Instant,
-    busy: IndexSet<TargetName>,
+    term_start: Instant,
+    in_flight: IndexSet<TargetName>,
 }
 
 impl OrderGate {
-    /// Creates the gate of an instance that has not led yet.
+    /// Creates the gate of an instance that has not been the leader so far.
     pub fn new(settings: OrderSettings) -> Self {
         Self { settings, ..Self::default() }
     }
 
-    /// Takes in whether this instance leads; to be called often, so that a term's begin is seen.
+    /// Updates the leadership of this instance.
+    ///
+    /// Must be called frequently, because the wait is counted from the first call in a term.
     pub fn observe(&mut self, now: Instant, leading: LeaderTerm) {
         if let Some(term) = leading
             && term != self.term
         {
             self.term = term;
-            self.since = now;
+            self.term_start = now;
         }
     }
 
-    /// Begins an order to `target`, or tells why it may not be sent now.
+    /// Marks an order to `target` as in flight if it may be sent now.
     ///
     /// # Errors
-    /// Fails where this instance does not lead, has to wait, or has an order to the target on its
-    /// way.
+    /// Fails if this instance is not the leader, has to wait, or has another order to the target in
+    /// flight.
     pub fn begin(
         &mut self,
         now: Instant,
@@ -83,19 +85,19 @@
         if leading.is_none() {
             return Err(OrderError::NotLeader);
         }
-        let clear = self.since + self.settings.lease + self.settings.timeout;
+        let safe_from = self.term_start + self.settings.lease + self.settings.timeout;
         match fencing {
-            Fencing::Ignored if now < clear => return Err(OrderError::NotBefore(clear)),
+            Fencing::Ignored if now < safe_from => return Err(OrderError::NotBefore(safe_from)),
             Fencing::Ignored | Fencing::Checked => {}
         }
-        if !self.busy.insert(target.clone()) {
+        if !self.in_flight.insert(target.clone()) {
             return Err(OrderError::Busy);
         }
         Ok(())
     }
 
-    /// Notes that the order to `target` was answered or given up.
+    /// Marks the order to `target` as answered or abandoned.
     pub fn finish(&mut self, target: &TargetName) {
-        self.busy.swap_remove(target);
+        self.in_flight.swap_remove(target);
     }
 }
--- a/hawthornkeel_core/src/request/event.rs
+++ b/hawthornkeel_core/src/request/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a request, and what is to be done for it.
+//! Inputs and actions of a request's state machine.
 
 use std::time::Duration;
 
@@ -13,29 +13,29 @@
 use crate::state::command::ClaimOutcome;
 use crate::state::command::Settle;
 
-/// Something that happened to a request.
+/// Event that drives a request's state machine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Input {
     /// The request was admitted.
     Started,
-    /// A target was chosen for the stage asked for, and its permit is held.
+    /// A target was chosen for the requested stage, and its permit is held.
     Routed,
-    /// No target takes the stage.
+    /// No target accepts the stage.
     NotRouted {
-        /// Time after which one may, where known.
+        /// Time after which a target may accept it, if known.
         retry_after: Option<Duration>,
     },
-    /// The control instances decided on the claim asked for.
+    /// The control instances decided the requested claim.
     Claimed(ClaimOutcome),
-    /// The claim asked for was not decided.
+    /// The requested claim was not decided.
     NotClaimed(ClaimFailure),
-    /// The settlement asked for was recorded, or could not be.
+    /// The requested settlement was recorded, or could not be recorded in time.
     Settled,
-    /// A call was answered in full.
+    /// A call was answered completely.
     Answered {
         /// Call that the answer belongs to.
         call: CallId,
-        /// Whole answer.
+        /// Complete answer.
         answer: Bytes,
     },
     /// A call failed.
@@ -44,14 +44,14 @@
         call: CallId,
         /// How it failed.
         failure: CallFailure,
-        /// Bytes of the answer received, from which a stream can resume.
+        /// Number of bytes of the answer received, at which a stream can be resumed.
         received: usize,
     },
-    /// A call has gone on for so long that a second one is worth it.
+    /// A call has been in progress for the hedge delay.
     HedgeDue(CallId),
-    /// The time asked for has passed.
+    /// The requested wait has ended.
     TimerFired,
-    /// The deadline has passed.
+    /// The request's deadline has passed.
     DeadlinePassed,
     /// The caller closed its connection.
     CallerDisconnected,
@@ -60,46 +60,48 @@
 /// Why a claim was not decided.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClaimFailure {
-    /// No control instance took the claim: it is not in the log and will not be.
+    /// The claim was not proposed: it is not in the log and will not be.
     NotProposed,
-    /// The claim was proposed and may be in the log.
+    /// The claim may have been proposed and may be in the log.
     Undecided,
 }
 
-/// Something to be done for a request.
+/// Effect to be carried out for a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Choose a target for a stage.
     Route {
-        /// Stage to choose for.
+        /// Stage that needs a target.
         stage: StageIndex,
-        /// Attempt at the stage; above zero it is paid from the retry budget.
+        /// Attempt at the stage; attempts above zero draw on the retry budget.
         attempt: AttemptNumber,
     },
-    /// Give back the permit of the chosen target unused.
+    /// Release the unused permit of the chosen target.
     ReleasePermit,
-    /// Ask the control instances for the claim.
+    /// Request a decision on the claim from the control instances.
     Claim(Claim),
     /// Call the chosen target.
     Dispatch {
-        /// Identity of the call.
+        /// Identifier of the call.
         call: CallId,
-        /// Bytes of the answer received by earlier attempts, from which an engine resumes.
+        /// Number of bytes received by earlier attempts, after which an engine resumes.
         resume: usize,
     },
-    /// Call another target beside the call in progress, from the start of the answer, where one is
-    /// free at once and the hedge budget allows it; [`CallFailure::NotSent`] is reported if not.
+    /// Call a second target concurrently with the call in progress, from the start of the answer.
+    ///
+    /// Reports [`CallFailure::NotSent`] if no target is available immediately or the hedge budget
+    /// is exhausted.
     Hedge(CallId),
-    /// End a call that is in progress.
+    /// Cancel a call in progress.
     Cancel(CallId),
-    /// Record how the claim ended, and report [`Input::Settled`].
+    /// Settle the claim and report [`Input::Settled`].
     Settle(Settle),
-    /// Record how the claim ended, without a report.
+    /// Settle the claim in the background, without a report.
     SettleInBackground(Settle),
-    /// Report [`Input::TimerFired`] after this time.
+    /// Report [`Input::TimerFired`] after this duration.
     Wait(Duration),
-    /// Give the caller the last stage's answer.
+    /// Send the last stage's answer to the caller.
     Finish(Bytes),
-    /// Give the caller a refusal.
+    /// Send a refusal to the caller.
     Refuse(Refusal),
 }
--- a/hawthornkeel_core/src/request/failure.rs
+++ b/hawthornkeel_core/src/request/failure.rs
@@ -1,31 +1,31 @@
-//! How a call to a target fails, and what that says about whether it ran.
+//! Failures of calls to targets, and whether a failed call may have run.
 
 use std::fmt;
 
-/// Way in which a call to a target failed.
+/// How a call to a target failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum CallFailure {
-    /// No byte of the call was sent: it did not run.
+    /// No byte of the call was sent, so it did not run.
     NotSent,
     /// The target answered that it did not run the call.
     Declined,
-    /// The target answered that it takes no more work at present.
+    /// The target answered that it accepts no more work at present.
     Refused,
-    /// No progress was made for the progress timeout.
+    /// The progress timeout passed without progress.
     ProgressTimeout,
     /// The connection ended before the answer began.
     Reset,
     /// The answer ended before its end marker.
     Truncated,
-    /// The answer carries another call's identity.
+    /// The answer carries the identifier of another call.
     WrongCall,
-    /// The answer can't be read.
+    /// The answer can't be parsed.
     Malformed,
     /// The target answered with an error status.
     Status(u16),
 }
 
-/// What a failure says about whether the call ran.
+/// Whether a failed call can have run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Evidence {
     /// The call did not run and will not.
@@ -35,9 +35,9 @@
 }
 
 impl CallFailure {
-    /// Returns what the failure says about whether the call ran.
+    /// Returns whether the call can have run.
     ///
-    /// A refusal counts as a possible run: a service may refuse after it has begun.
+    /// A refused call may have run, because a service may refuse a call that it has already started.
     pub fn evidence(self) -> Evidence {
         match self {
             Self::NotSent | Self::Declined => Evidence::DidNotRun,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Tells whether another target may answer where this one failed.
+    /// Returns whether a retry at another target can succeed.
     pub fn is_retryable(self) -> bool {
         match self {
             Self::Status(status) => status >= 500,
--- a/hawthornkeel_core/src/request/mod.rs
+++ b/hawthornkeel_core/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Progress of one request through its pipeline.
+//! Execution of one request by its pipeline.
 
 pub mod event;
 pub mod failure;
--- a/hawthornkeel_core/src/request/refusal.rs
+++ b/hawthornkeel_core/src/request/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: why a request gets no answer, and whether it ran.
+//! Refusals of requests: why a request has no answer, and whether it ran.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,9 +12,9 @@
 pub enum RunStatus {
     /// No stage was dispatched to a target, and none will be.
     NotRun,
-    /// A stage was dispatched, and whether it ran is not known.
+    /// A stage was dispatched, and it is unknown whether it ran.
     Unknown,
-    /// The stage that may not be repeated ran and is recorded; a resend gets its answer.
+    /// A non-idempotent stage ran and is recorded; a retry gets its answer.
     Done,
 }
 
@@ -28,33 +28,33 @@
     }
 }
 
-/// Stable code of a refusal.
+/// Reason of a refusal, with a stable code.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum RefusalCode {
-    /// The pipeline has a stage that may not be repeated and the request has no idempotency key.
+    /// The pipeline has a non-idempotent stage and the request has no idempotency key.
     KeyRequired,
-    /// The idempotency key was used with another request.
+    /// The idempotency key was used with a different request.
     KeyReused,
-    /// Another attempt with the same idempotency key has not ended.
+    /// Another request with the same idempotency key is in progress.
     InProgress,
-    /// A stage that may not be repeated was dispatched and its outcome is not known.
+    /// A non-idempotent stage was dispatched and its outcome is unknown.
     OutcomeUnknown,
-    /// No quorum of control instances can be reached to claim the request.
+    /// No quorum of control instances was reached to decide the claim.
     NoQuorum,
-    /// The remaining time can't cover the remaining stages.
+    /// The remaining stages can't complete before the deadline.
     DeadlineUnreachable,
     /// The deadline passed.
     DeadlinePassed,
-    /// No target takes the stage in time.
+    /// No target accepts the stage in time.
     NoCapacity,
     /// Every attempt at a stage failed.
     StageFailed,
-    /// The workspace has as many requests in progress as it may.
+    /// The workspace has reached its limit of requests in progress.
     WorkspaceLimit,
 }
 
 impl RefusalCode {
-    /// Returns the code as it appears in answers and metrics.
+    /// Returns the code used in answers and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::KeyRequired => "key-required",
@@ -77,13 +77,13 @@
     }
 }
 
-/// Final answer to a request that gets no other.
+/// Response to a request that can't be answered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub code: RefusalCode,
     /// Whether the request ran.
     pub ran: RunStatus,
-    /// When to come back, where that makes sense.
+    /// Time after which the caller may retry, if a retry can help.
     pub retry_after: Option<Duration>,
 }
--- a/hawthornkeel_core/src/request/run/calling.rs
+++ b/hawthornkeel_core/src/request/run/calling.rs
@@ -1,4 +1,4 @@
-//! Calls of a stage: dispatch, hedge, answer, failure and retry.
+//! Calls of a stage: dispatch, hedges, answers, failures and retries.
 
 use bytes::Bytes;
 
@@ -12,14 +12,14 @@
 use crate::request::refusal::RunStatus;
 use crate::request::run::Phase;
 use crate::request::run::PipelineRun;
-use crate::request::run::Trace;
+use crate::request::run::SideEffects;
 use crate::request::run::calls::Calls;
 use crate::state::command::Claimant;
 use crate::state::command::Settlement;
 use crate::time::Instant;
 
-/// Attempts at a stage that did not run, at most, beside those that may have run.
-const IDLE_ATTEMPTS: u16 = 16;
+/// Maximum number of attempts at a stage that don't count against its own limit.
+const MAX_UNCOUNTED_ATTEMPTS: u16 = 16;
 
 impl PipelineRun {
     /// Calls the chosen target.
@@ -29,9 +29,9 @@
         vec![Action::Dispatch { call, resume: self.received }]
     }
 
-    /// Calls a second target where the stage may be repeated once more.
+    /// Starts a hedge of `call` if the stage allows one more concurrent call.
     pub(super) fn hedge(&mut self, now: Instant, calls: Calls, call: CallId) -> Vec<Action> {
-        if !calls.may_hedge(call) || !self.may_repeat() || self.out_of_time(now) {
+        if !calls.may_hedge(call) || !self.may_run_twice() || self.out_of_time(now) {
             return Vec::new();
         }
         self.attempt = AttemptNumber(self.attempt.0.saturating_add(1));
@@ -40,7 +40,7 @@
         vec![Action::Hedge(hedge)]
     }
 
-    /// Takes in the first whole answer and ends the call that it has beaten.
+    /// Handles the first complete answer and cancels the other call.
     pub(super) fn answered(
         &mut self,
         now: Instant,
@@ -48,14 +48,14 @@
         call: CallId,
         answer: Bytes,
     ) -> Vec<Action> {
-        let beaten = calls.without(call);
+        let others = calls.without(call);
         let mut actions: Vec<Action> =
-            beaten.into_iter().flat_map(Calls::all).map(Action::Cancel).collect();
-        actions.extend(self.take_answer(now, answer));
+            others.into_iter().flat_map(Calls::all).map(Action::Cancel).collect();
+        actions.extend(self.accept_answer(now, answer));
         actions
     }
 
-    /// Takes in a failed call; the other one goes on, where there is one.
+    /// Handles a failed call; the other call continues, if there is one.
     pub(super) fn call_failed(
         &mut self,
         now: Instant,
@@ -64,21 +64,21 @@
         failure: CallFailure,
         received: usize,
     ) -> Vec<Action> {
-        // What a hedge has received is its own: a retry resumes from the first call's answer.
+        // A retry resumes from the primary call's answer; what a hedge received is discarded.
         let received = if calls.is_hedge(call) { 0 } else { received };
         match calls.without(call) {
             Some(rest) => {
-                self.note_failure(failure, received);
+                self.record_failure(failure, received);
                 self.phase = Phase::Calling(rest);
                 Vec::new()
             }
-            None => self.failed(now, failure, received),
+            None => self.retry_or_refuse(now, failure, received),
         }
     }
 
-    /// Takes in a whole answer: recorded before it is used where the stage may not be repeated.
-    fn take_answer(&mut self, now: Instant, answer: Bytes) -> Vec<Action> {
-        self.trace = Trace::Some;
+    /// Handles a complete answer, which is recorded before use if the stage is not idempotent.
+    fn accept_answer(&mut self, now: Instant, answer: Bytes) -> Vec<Action> {
+        self.side_effects = SideEffects::Possible;
         let Some(claimant) = self.claimant.clone() else {
             return self.advance(now, answer);
         };
@@ -90,9 +90,14 @@
         vec![Action::Settle(settle)]
     }
 
-    /// Retries, resumes or refuses after the last call of an attempt has failed.
-    fn failed(&mut self, now: Instant, failure: CallFailure, received: usize) -> Vec<Action> {
-        self.note_failure(failure, received);
+    /// Retries or refuses after the last call of an attempt has failed.
+    fn retry_or_refuse(
+        &mut self,
+        now: Instant,
+        failure: CallFailure,
+        received: usize,
+    ) -> Vec<Action> {
+        self.record_failure(failure, received);
         if failure.evidence() == Evidence::MayHaveRun
             && let Some(claimant) = self.claimant.take()
         {
@@ -109,44 +114,44 @@
         self.route()
     }
 
-    /// Notes what a failed call leaves behind.
-    fn note_failure(&mut self, failure: CallFailure, received: usize) {
+    /// Records whether a failed call may have run and how much of its answer was received.
+    fn record_failure(&mut self, failure: CallFailure, received: usize) {
         let may_have_run = failure.evidence() == Evidence::MayHaveRun;
         if may_have_run {
-            self.trace = Trace::Some;
+            self.side_effects = SideEffects::Possible;
         }
         self.received = self.received.max(received);
         if failure != CallFailure::Refused {
-            self.spent = self.spent.saturating_add(u16::from(may_have_run));
+            self.counted_attempts = self.counted_attempts.saturating_add(u16::from(may_have_run));
         }
     }
 
-    /// Returns the identity of the current attempt's call.
+    /// Returns the identifier of the current attempt's call.
     fn call(&self) -> CallId {
         CallId { request: self.spec.id, stage: self.stage, attempt: self.attempt }
     }
 
-    /// Tells whether a second call beside the one in progress is allowed.
+    /// Returns whether a second concurrent call is allowed.
     ///
-    /// An answer of which pieces are given to the caller as they come has one source only.
-    fn may_repeat(&self) -> bool {
+    /// An answer that is streamed to the caller must come from a single call.
+    fn may_run_twice(&self) -> bool {
         let last = usize::from(self.stage.0) + 1 == self.spec.pipeline.stages.len();
         let streamed = last && self.spec.streamed;
-        let running = self.spent.saturating_add(1);
-        let allowed = self.current().is_some_and(|s| s.idempotent && running < s.max_attempts);
+        let attempts = self.counted_attempts.saturating_add(1);
+        let allowed = self.current().is_some_and(|s| s.idempotent && attempts < s.max_attempts);
         allowed && !streamed && self.claimant.is_none()
     }
 
-    /// Tells whether attempt `next` may be made.
+    /// Returns whether attempt `next` is allowed.
     ///
-    /// Attempts that did not run, or were refused, don't count against the stage's own limit.
+    /// Attempts that did not run or were refused don't count against the stage's own limit.
     fn has_attempts(&self, next: u16) -> bool {
         let limit = self.current().map_or(0, |s| s.max_attempts);
-        let idle = next.saturating_sub(self.spent);
-        self.spent < limit && idle <= IDLE_ATTEMPTS
+        let uncounted = next.saturating_sub(self.counted_attempts);
+        self.counted_attempts < limit && uncounted <= MAX_UNCOUNTED_ATTEMPTS
     }
 
-    /// Records that a stage was dispatched with an unknown outcome and says so at once.
+    /// Settles the claim as unknown and refuses the request without waiting for the settlement.
     fn outcome_unknown(&mut self, claimant: Claimant) -> Vec<Action> {
         let refusal = Refusal {
             code: RefusalCode::OutcomeUnknown,
--- a/hawthornkeel_core/src/request/run/calls.rs
+++ b/hawthornkeel_core/src/request/run/calls.rs
@@ -1,42 +1,42 @@
-//! Calls in progress for one stage: the first, and a hedge that races it.
+//! Calls in progress for one stage: the primary call and its hedge.
 
 use crate::ids::CallId;
 
 /// Calls in progress for one stage.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct Calls {
-    /// Call that was made first, until it fails.
-    first: Option<CallId>,
-    /// Call that races the first, until it fails.
+    /// Primary call, until it fails.
+    primary: Option<CallId>,
+    /// Hedge of the primary call, until it fails.
     hedge: Option<CallId>,
-    /// Whether a hedge was asked for.
+    /// Whether a hedge was started; at most one is.
     hedged: bool,
 }
 
 impl Calls {
-    /// Begins with one call.
-    pub fn new(first: CallId) -> Self {
-        Self { first: Some(first), hedge: None, hedged: false }
+    /// Creates the calls of a stage with only a primary call.
+    pub fn new(primary: CallId) -> Self {
+        Self { primary: Some(primary), hedge: None, hedged: false }
     }
 
     /// Returns the calls in progress.
     pub fn all(self) -> impl Iterator<Item = CallId> {
-        self.first.into_iter().chain(self.hedge)
+        self.primary.into_iter().chain(self.hedge)
     }
 
-    /// Tells whether `call` is in progress.
-    pub fn has(self, call: CallId) -> bool {
+    /// Returns whether `call` is in progress.
+    pub fn contains(self, call: CallId) -> bool {
         self.all().any(|c| c == call)
     }
 
-    /// Tells whether `call` is the hedge.
+    /// Returns whether `call` is the hedge.
     pub fn is_hedge(self, call: CallId) -> bool {
         self.hedge == Some(call)
     }
 
-    /// Tells whether `call` is the first one and no hedge was asked for yet.
+    /// Returns whether `call` is the primary call and has not been hedged.
     pub fn may_hedge(self, call: CallId) -> bool {
-        self.first == Some(call) && !self.hedged
+        self.primary == Some(call) && !self.hedged
     }
 
     /// Adds the hedge.
@@ -44,10 +44,10 @@
         Self { hedge: Some(hedge), hedged: true, ..self }
     }
 
-    /// Takes out a call that has failed; returns what goes on, if anything does.
+    /// Returns the calls that remain without `call`, or `None` if there are none.
     pub fn without(self, call: CallId) -> Option<Self> {
-        let first = self.first.filter(|c| *c != call);
+        let primary = self.primary.filter(|c| *c != call);
         let hedge = self.hedge.filter(|c| *c != call);
-        (first.is_some() || hedge.is_some()).then_some(Self { first, hedge, ..self })
+        (primary.is_some() || hedge.is_some()).then_some(Self { primary, hedge, ..self })
     }
 }
--- a/hawthornkeel_core/src/request/run/ending.rs
+++ b/hawthornkeel_core/src/request/run/ending.rs
@@ -1,4 +1,4 @@
-//! Ways in which a request ends: its answer, a refusal, the deadline or its caller's leaving.
+//! End of a request: by its answer, a refusal, the deadline or the caller's disconnection.
 
 use std::time::Duration;
 
@@ -11,27 +11,28 @@
 use crate::request::refusal::Refusal;
 use crate::request::refusal::RefusalCode;
 use crate::request::refusal::RunStatus;
+use crate::request::run::CLAIM_RETRY_AFTER;
 use crate::request::run::Phase;
 use crate::request::run::PipelineRun;
-use crate::request::run::QUORUM_RETRY;
 use crate::request::run::SETTLE_MARGIN;
-use crate::request::run::Trace;
+use crate::request::run::SideEffects;
 use crate::request::run::calls::Calls;
 use crate::state::command::Settlement;
 
 impl PipelineRun {
-    /// Ends a request whose caller has left, but for a claimed call: its answer is recorded, so
-    /// that a resend gets it.
-    pub(super) fn caller_left(&mut self) -> Vec<Action> {
+    /// Ends a request whose caller has disconnected.
+    ///
+    /// A claimed call continues and its answer is recorded, so that a retry gets it.
+    pub(super) fn caller_disconnected(&mut self) -> Vec<Action> {
         if self.claimant.is_some() {
-            self.left = true;
+            self.disconnected = true;
             return Vec::new();
         }
         self.abandon()
     }
 
-    /// Records how a claimed call ended after its caller was told that the outcome is unknown.
-    pub(super) fn late(&mut self, current: CallId, input: Input) -> Vec<Action> {
+    /// Settles a claimed call that ended after its caller was told that the outcome is unknown.
+    pub(super) fn settle_late(&mut self, current: CallId, input: Input) -> Vec<Action> {
         let settlement = match input {
             Input::Answered { call, answer } if call == current => Settlement::Done(answer),
             Input::Failed { call, .. } if call == current => Settlement::Unknown,
@@ -43,7 +44,7 @@
         settle.map(Action::SettleInBackground).into_iter().collect()
     }
 
-    /// Ends a request whose time is over.
+    /// Ends a request whose deadline has passed or whose caller has disconnected.
     pub(super) fn abandon(&mut self) -> Vec<Action> {
         let code = RefusalCode::DeadlinePassed;
         match self.phase.clone() {
@@ -61,7 +62,7 @@
                 let refusal = Refusal {
                     code: RefusalCode::InProgress,
                     ran: RunStatus::Unknown,
-                    retry_after: Some(QUORUM_RETRY),
+                    retry_after: Some(CLAIM_RETRY_AFTER),
                 };
                 self.end(Action::Refuse(refusal))
             }
@@ -70,21 +71,21 @@
                 actions.extend(self.refuse(code, None));
                 actions
             }
-            Phase::New | Phase::Late(_) | Phase::Ended => self.refuse(code, None),
+            Phase::New | Phase::LateAnswer(_) | Phase::Ended => self.refuse(code, None),
         }
     }
 
-    /// Ends a request in the middle of its calls.
+    /// Ends a request with calls in progress.
     pub(super) fn abandon_calls(&mut self, calls: Calls) -> Vec<Action> {
-        self.trace = Trace::Some;
+        self.side_effects = SideEffects::Possible;
         let claimed = calls.all().next().filter(|_| self.claimant.is_some());
         let Some(call) = claimed else {
             let mut actions: Vec<Action> = calls.all().map(Action::Cancel).collect();
             actions.extend(self.refuse(RefusalCode::DeadlinePassed, None));
             return actions;
         };
-        // The call goes on, so that a late answer can still be recorded for a resend.
-        self.phase = Phase::Late(call);
+        // The call continues, so that a late answer can still be recorded for a retry.
+        self.phase = Phase::LateAnswer(call);
         let code = RefusalCode::OutcomeUnknown;
         vec![Action::Refuse(Refusal {
             code,
@@ -93,7 +94,7 @@
         })]
     }
 
-    /// Ends a request whose answer is known while its record is not confirmed.
+    /// Ends a request that has an answer whose settlement is not yet confirmed.
     pub(super) fn end_recorded(&mut self, answer: Bytes, code: RefusalCode) -> Vec<Action> {
         self.stage = StageIndex(self.stage.0.saturating_add(1));
         self.claimant = None;
@@ -103,15 +104,15 @@
         self.refuse(code, None)
     }
 
-    /// Gives the permit back and refuses.
-    pub(super) fn unroute_and_refuse(&mut self, code: RefusalCode, ran: RunStatus) -> Vec<Action> {
+    /// Releases the permit and refuses the request.
+    pub(super) fn release_and_refuse(&mut self, code: RefusalCode, ran: RunStatus) -> Vec<Action> {
         let refusal = Refusal { code, ran, retry_after: None };
         let mut actions = vec![Action::ReleasePermit];
         actions.extend(self.end(Action::Refuse(refusal)));
         actions
     }
 
-    /// Refuses; a claim that is held and was not used is released first, on record.
+    /// Refuses the request; a claim that is held but unused is first settled as released.
     pub(super) fn refuse(
         &mut self,
         code: RefusalCode,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Ends the request with its final answer.
+    /// Ends the request with its last action.
     pub(super) fn end(&mut self, last: Action) -> Vec<Action> {
         self.phase = Phase::Ended;
         vec![last]
--- a/hawthornkeel_core/src/request/run/mod.rs
+++ b/hawthornkeel_core/src/request/run/mod.rs
@@ -1,4 +1,4 @@
-//! State machine of one request: stages in order, attempts, claims and the final answer.
+//! State machine of one request: stages, attempts, claims and the final answer.
 
 mod calling;
 mod calls;
@@ -26,57 +26,60 @@
 use crate::state::command::Settlement;
 use crate::time::Instant;
 
-/// Time beyond the deadline after which an unsettled claim counts as unknown.
+/// Time after the request's deadline at which an unsettled claim counts as unknown.
 const SETTLE_MARGIN: Duration = Duration::from_secs(2);
-/// Time to come back after where a quorum is missing.
-const QUORUM_RETRY: Duration = Duration::from_secs(2);
+/// Retry delay given to callers when a claim can't be granted or is held by another attempt.
+const CLAIM_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What a request waits for.
+/// State of a request, by what it waits for.
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum Phase {
-    /// Nothing was asked for yet.
+    /// The start of the request.
     New,
-    /// A target for the stage.
+    /// A target for the current stage.
     Routing,
-    /// The control instances' decision on the claim.
+    /// A decision on the claim by the control instances.
     Claiming,
-    /// The end of another attempt's claim.
+    /// The settlement of a claim that another attempt holds.
     Held,
-    /// The answer to a call or to its hedge.
+    /// An answer to the primary call or its hedge.
     Calling(Calls),
-    /// The answer to a claimed call whose caller was told already that its outcome is unknown.
-    Late(CallId),
-    /// The record of an answer, to go on with the next stage.
+    /// The answer to a claimed call after its caller was told that the outcome is unknown.
+    LateAnswer(CallId),
+    /// The settlement of a claim with this answer, before the next stage.
     Recording(Bytes),
-    /// The record of a release, to refuse.
+    /// The release of a claim, before this refusal.
     Releasing(Refusal),
-    /// Nothing: the final answer is given.
+    /// Nothing; the request has ended.
     Ended,
 }
 
-/// What has been dispatched for a request so far.
+/// Whether calls of a request may have run so far.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Trace {
-    /// Nothing that may have run.
-    Nothing,
-    /// Calls that may have run.
-    Some,
+enum SideEffects {
+    /// No call can have run.
+    Impossible,
+    /// At least one call may have run.
+    Possible,
 }
 
-/// One request on its way through its pipeline.
+/// Execution of one request by its pipeline.
 #[derive(Debug)]
 pub struct PipelineRun {
     spec: RequestSpec,
     phase: Phase,
     stage: StageIndex,
     attempt: AttemptNumber,
-    /// Attempts at the stage that may have run.
-    spent: u16,
+    /// Number of attempts that count against the stage's limit.
+    counted_attempts: u16,
+    /// Number of bytes of the current stage's answer received.
     received: usize,
     claimant: Option<Claimant>,
-    trace: Trace,
+    side_effects: SideEffects,
+    /// Whether a non-idempotent stage is recorded as done.
     recorded: bool,
-    left: bool,
+    /// Whether the caller has disconnected.
+    disconnected: bool,
 }
 
 impl PipelineRun {
@@ -87,46 +90,46 @@
             phase: Phase::New,
             stage: StageIndex(0),
             attempt: AttemptNumber(0),
-            spent: 0,
+            counted_attempts: 0,
             received: 0,
             claimant: None,
-            trace: Trace::Nothing,
+            side_effects: SideEffects::Impossible,
             recorded: false,
-            left: false,
+            disconnected: false,
         }
     }
 
-    /// Returns what the request is.
+    /// Returns the properties fixed at the request's arrival.
     pub fn spec(&self) -> &RequestSpec {
         &self.spec
     }
 
-    /// Returns the position of the stage in progress.
+    /// Returns the position of the current stage.
     pub fn stage(&self) -> StageIndex {
         self.stage
     }
 
-    /// Tells whether nothing more is to be done; the final answer was given then or before.
+    /// Returns whether the request has ended and needs no further input.
     pub fn is_ended(&self) -> bool {
         self.phase == Phase::Ended
     }
 
-    /// Returns the shortest time that the stages from the current one on take.
+    /// Returns the lower bound of the run time of the current and all later stages.
     pub fn remaining_floor(&self) -> Duration {
         let stages = self.spec.pipeline.stages.iter();
         stages.skip(usize::from(self.stage.0)).map(Stage::floor).sum()
     }
 
-    /// Takes in what happened at `now` and returns what is to be done.
+    /// Handles an input at `now` and returns the actions to carry out.
     ///
-    /// An input that does not belong to what the request waits for, such as the answer to an
-    /// abandoned call, changes nothing.
+    /// An input that the request does not wait for, such as the answer to an abandoned call, has no
+    /// effect.
     pub fn handle(&mut self, now: Instant, input: Input) -> Vec<Action> {
         match (self.phase.clone(), input) {
             (Phase::Ended, _) => Vec::new(),
-            (Phase::Late(current), input) => self.late(current, input),
+            (Phase::LateAnswer(current), input) => self.settle_late(current, input),
             (_, Input::DeadlinePassed) => self.abandon(),
-            (_, Input::CallerDisconnected) => self.caller_left(),
+            (_, Input::CallerDisconnected) => self.caller_disconnected(),
             (Phase::New, Input::Started) => self.start(now),
             (Phase::Routing, Input::Routed) => self.routed(now),
             (Phase::Routing, Input::NotRouted { retry_after }) => {
@@ -135,11 +138,11 @@
             (Phase::Claiming, Input::Claimed(outcome)) => self.claimed(now, outcome),
             (Phase::Claiming, Input::NotClaimed(failure)) => self.not_claimed(failure),
             (Phase::Held, Input::TimerFired) => self.route(),
-            (Phase::Calling(calls), Input::Answered { call, answer }) if calls.has(call) => {
+            (Phase::Calling(calls), Input::Answered { call, answer }) if calls.contains(call) => {
                 self.answered(now, calls, call, answer)
             }
             (Phase::Calling(calls), Input::Failed { call, failure, received })
-                if calls.has(call) =>
+                if calls.contains(call) =>
             {
                 self.call_failed(now, calls, call, failure, received)
             }
@@ -150,18 +153,18 @@
         }
     }
 
-    /// Checks that the request can be served at all and begins with its first stage.
+    /// Starts the first stage, unless a required idempotency key is missing.
     fn start(&mut self, now: Instant) -> Vec<Action> {
         if self.spec.pipeline.has_non_idempotent() && self.spec.key.is_none() {
             return self.refuse(RefusalCode::KeyRequired, None);
         }
-        self.begin_stage(now)
+        self.start_stage(now)
     }
 
-    /// Begins the current stage where the deadline leaves time for the rest.
-    fn begin_stage(&mut self, now: Instant) -> Vec<Action> {
+    /// Starts the current stage if the remaining stages can complete before the deadline.
+    fn start_stage(&mut self, now: Instant) -> Vec<Action> {
         self.attempt = AttemptNumber(0);
-        self.spent = 0;
+        self.counted_attempts = 0;
         self.received = 0;
         if self.out_of_time(now) {
             return self.refuse(RefusalCode::DeadlineUnreachable, None);
@@ -169,13 +172,13 @@
         self.route()
     }
 
-    /// Asks for a target.
+    /// Requests a target for the current stage.
     fn route(&mut self) -> Vec<Action> {
         self.phase = Phase::Routing;
         vec![Action::Route { stage: self.stage, attempt: self.attempt }]
     }
 
-    /// Goes on with the chosen target: claims first where the stage may not be repeated.
+    /// Dispatches to the chosen target, after claiming the stage if it is not idempotent.
     fn routed(&mut self, now: Instant) -> Vec<Action> {
         if self.out_of_time(now) {
             let mut actions = vec![Action::ReleasePermit];
@@ -189,34 +192,34 @@
         self.claim(now)
     }
 
-    /// Goes on with the next stage, or finishes after the last.
+    /// Starts the next stage, or finishes the request after the last one.
     fn advance(&mut self, now: Instant, answer: Bytes) -> Vec<Action> {
         self.claimant = None;
         self.stage = StageIndex(self.stage.0.saturating_add(1));
         if self.current().is_none() {
             return self.end(Action::Finish(answer));
         }
-        if self.left {
+        if self.disconnected {
             return self.refuse(RefusalCode::DeadlinePassed, None);
         }
-        self.begin_stage(now)
+        self.start_stage(now)
     }
 
-    /// Returns what can truly be said about whether the request ran.
+    /// Returns whether the request ran, as far as is known.
     fn ran(&self) -> RunStatus {
-        match (self.recorded, self.trace) {
+        match (self.recorded, self.side_effects) {
             (true, _) => RunStatus::Done,
-            (false, Trace::Some) => RunStatus::Unknown,
-            (false, Trace::Nothing) => RunStatus::NotRun,
+            (false, SideEffects::Possible) => RunStatus::Unknown,
+            (false, SideEffects::Impossible) => RunStatus::NotRun,
         }
     }
 
-    /// Tells whether the remaining time can't cover the remaining stages.
+    /// Returns whether the remaining stages can't complete before the deadline.
     fn out_of_time(&self, now: Instant) -> bool {
         now + self.remaining_floor() > self.spec.deadline
     }
 
-    /// Returns the current stage, or nothing after the last.
+    /// Returns the current stage, or `None` after the last one.
     fn current(&self) -> Option<&Stage> {
         self.spec.pipeline.stages.get(usize::from(self.stage.0))
     }
@@ -227,7 +230,7 @@
         Some(ClaimKey { workspace: self.spec.workspace.clone(), key, stage: self.stage })
     }
 
-    /// Returns the identity under which the current attempt claims.
+    /// Returns the current attempt as a claimant.
     fn new_claimant(&self) -> Claimant {
         Claimant {
             instance: self.spec.instance.clone(),
@@ -236,7 +239,7 @@
         }
     }
 
-    /// Returns the settlement of the current stage's claim.
+    /// Returns the settlement of the claim on the current stage.
     fn settle(&self, claimant: Claimant, settlement: Settlement) -> Option<Settle> {
         Some(Settle { key: self.claim_key()?, claimant, settlement })
     }
--- a/hawthornkeel_core/src/request/spec.rs
+++ b/hawthornkeel_core/src/request/spec.rs
@@ -1,4 +1,4 @@
-//! What a request is, fixed at its arrival.
+//! Properties of a request that are fixed when it arrives.
 
 use std::sync::Arc;
 
@@ -8,23 +8,23 @@
 use crate::names::WorkspaceName;
 use crate::time::Instant;
 
-/// What a request is, fixed at its arrival.
+/// Properties of a request that are fixed when it arrives.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
-    /// Identity of the request.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Entry instance that serves it.
+    /// Entry instance that serves the request.
     pub instance: InstanceName,
     /// Workspace of the caller.
     pub workspace: WorkspaceName,
-    /// Pipeline that it runs through.
+    /// Pipeline that the request runs through.
     pub pipeline: Arc<Pipeline>,
-    /// Idempotency key that the caller gave.
+    /// Idempotency key, if the caller gave one.
     pub key: Option<Arc<str>>,
-    /// Digest of the request's body.
+    /// Digest of the request body.
     pub digest: u64,
-    /// Whether pieces of the last stage's answer are given to the caller as they come.
+    /// Whether the last stage's answer is streamed to the caller.
     pub streamed: bool,
-    /// Time by which the whole answer is due.
+    /// Time by which the complete answer is due.
     pub deadline: Instant,
 }
--- a/hawthornkeel_core/src/state/centres.rs
+++ b/hawthornkeel_core/src/state/centres.rs
@@ -1,8 +1,8 @@
-//! Data centres taken out of service and brought back.
+//! Orders that take data centres out of service and bring them back.
 //!
-//! The order logged last decides. An operation number belongs to the first order that used it: a
-//! resend gets the first record again and changes nothing, even where a later order has undone it,
-//! and another order under the number is told which came first.
+//! The last order in the log determines a data centre's state. An operation number belongs to the
+//! first order that used it: a retry returns the first record again and changes nothing, even if a
+//! later order has reverted it, and a different order with the same number conflicts with the first.
 
 use indexmap::IndexMap;
 use serde::Deserialize;
@@ -15,7 +15,7 @@
 use crate::state::command::CentreRecord;
 use crate::state::history::History;
 
-/// Last order about each data centre, with the history of orders.
+/// Last order about each data centre, with a bounded history of orders.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Centres {
     records: IndexMap<CentreName, CentreRecord>,
@@ -28,7 +28,7 @@
         &self.records
     }
 
-    /// Decides an order logged at `index`, and tells whether it changed a record.
+    /// Applies an order logged at `index` and returns its outcome and whether it changed a record.
     pub fn apply(&mut self, index: LogIndex, order: &CentreOrder) -> (CentreOutcome, bool) {
         if let Some(first) = self.history.get(order.operation) {
             let outcome = match first.order == *order {
--- a/hawthornkeel_core/src/state/claims/mod.rs
+++ b/hawthornkeel_core/src/state/claims/mod.rs
@@ -1,26 +1,26 @@
-//! Claims on stages that may run at most once.
+//! Claims on non-idempotent stages, which may run at most once.
 //!
-//! | record | claim by its claimant | claim by another | settlement by its claimant |
+//! | record | claim by the same claimant | claim by another claimant | settlement by the claimant |
 //! |---|---|---|---|
-//! | none | granted | granted | only released |
+//! | none | granted | granted | released only |
 //! | claimed | granted again | held | any |
-//! | claimed, settle time over | unknown, for good | unknown, for good | any |
-//! | released | released | granted | only released |
-//! | done | the answer | the answer | only the same answer |
+//! | claimed, settle deadline passed | unknown, permanently | unknown, permanently | any |
+//! | released | released | granted | released only |
+//! | done | stored answer | stored answer | same answer only |
 //! | unknown | unknown | unknown | done or unknown |
 //!
-//! A settlement by anybody else is refused. A claim with another digest is a mismatch, except on a
-//! released record: nothing ran under it, so there is no answer to confuse.
+//! A settlement by any other claimant is refused. A claim with a different digest is a mismatch,
+//! except on a released record: nothing ran under it, so there is no answer to mix up.
 //!
-//! A claim whose settle time is over turns unknown when the first claim meets it. From then on
-//! somebody has been told that it may have run and may have acted on that, so it is never released
-//! afterwards; it may still turn out done. Until then nobody has been told, and a late release is
-//! accepted.
+//! A claim past its settle deadline becomes unknown when the next claim on its key is applied. That
+//! caller is told that the stage may have run and may act on it, so the claim can't be released
+//! afterwards; it can still be settled as done. Before that no caller has been told, and a late
+//! release is accepted.
 //!
-//! A release is recorded even where no claim is: a claim that was delayed on its way to the log is
-//! then not granted to a claimant that has given it up.
+//! A release is recorded even if there is no claim: a claim that reaches the log after its own
+//! release is then not granted to a claimant that no longer waits for it.
 
-mod listing;
+mod encoding;
 mod record;
 
 use std::collections::VecDeque;
@@ -39,75 +39,76 @@
 use crate::state::command::Settlement;
 use crate::time::WallTime;
 
-/// Time for which a key is remembered after its last claim; at most twice that.
+/// Minimum time for which a key is stored after its last claim; the maximum is twice as long.
 pub const CLAIM_WINDOW: Duration = Duration::from_secs(24 * 3600);
 
-/// Claims remembered at once, at most.
+/// Maximum number of stored claims.
 pub const MAX_CLAIMS: usize = 200_000;
 
-/// Answer kept for replay, in bytes at most.
+/// Maximum size of an answer that is stored for replay, in bytes.
 pub const MAX_ANSWER: usize = 64 * 1024;
 
-/// Answers kept for replay, in bytes at most over all claims; the oldest are dropped first.
+/// Maximum size of all stored answers together, in bytes; the oldest are dropped first.
 pub const MAX_ANSWERS: usize = 16 * 1024 * 1024;
 
-/// Claims by key, forgotten in the order they came.
+/// Claims by key, with expiry of old keys and eviction of old answers.
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
     records: IndexMap<KeyDigest, Record>,
-    /// One place a record, oldest first.
-    expiry: VecDeque<Place>,
-    /// Answers kept, oldest first; a place whose record has gone is skipped.
-    answers: VecDeque<AnswerPlace>,
-    /// Length of the answers kept, in bytes.
-    kept: usize,
-    /// Number of the next answer.
-    next: u64,
+    /// Expiry queue with one element for each record, oldest first.
+    expiry: VecDeque<QueuedKey>,
+    /// Stored answers, oldest first; elements without a matching record are skipped.
+    answers: VecDeque<QueuedAnswer>,
+    /// Size of the stored answers, in bytes.
+    stored_bytes: usize,
+    /// Sequence number of the next answer.
+    next_answer: u64,
 }
 
-/// Place of a key in the order of expiry.
+/// Element of the expiry queue.
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct QueuedKey {
     key: KeyDigest,
     since: WallTime,
 }
 
-/// Place of an answer in the order of dropping.
+/// Element of the queue of stored answers.
 #[derive(Clone, Copy, Debug)]
-struct AnswerPlace {
+struct QueuedAnswer {
     key: KeyDigest,
     number: u64,
 }
 
 impl Claims {
-    /// Returns the number of keys remembered.
+    /// Returns the number of stored keys.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Tells whether no key is remembered.
+    /// Returns whether no key is stored.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Returns the length of the answers kept, in bytes.
+    /// Returns the size of the stored answers, in bytes.
     pub fn answer_bytes(&self) -> usize {
-        self.kept
+        self.stored_bytes
     }
 
-    /// Forgets the keys whose window is over at `now`.
+    /// Removes the keys whose window has ended at `now`.
     pub fn expire(&mut self, now: WallTime) {
-        while let Some(place) = self.expiry.pop_front_if(|p| now.since(p.since) >= CLAIM_WINDOW) {
-            let renewed = self.records.get(&place.key).is_some_and(|r| r.claimed > place.since);
+        while let Some(queued) = self.expiry.pop_front_if(|q| now.since(q.since) >= CLAIM_WINDOW) {
+            let renewed =
+                self.records.get(&queued.key).is_some_and(|r| r.claimed_at > queued.since);
             if renewed {
-                self.expiry.push_back(Place { since: now, ..place });
+                self.expiry.push_back(QueuedKey { since: now, ..queued });
             } else {
-                self.forget(place.key);
+                self.remove(queued.key);
             }
         }
     }
 
-    /// Decides a claim at `now`.
+    /// Applies a claim at `now`.
     pub fn claim(&mut self, now: WallTime, claim: &Claim) -> ClaimOutcome {
         let key = KeyDigest::of(&claim.key);
         let full = self.records.len() >= MAX_CLAIMS;
@@ -118,9 +119,9 @@
             self.insert(now, key, Record::claimed(now, claim));
             return ClaimOutcome::Granted;
         };
-        let own = record.is_of(&claim.claimant);
+        let owned = record.is_owned_by(&claim.claimant);
         if matches!(record.phase, Phase::Released) {
-            if own {
+            if owned {
                 return ClaimOutcome::Released;
             }
             *record = Record::claimed(now, claim);
@@ -130,11 +131,11 @@
             return ClaimOutcome::Mismatch;
         }
         match &record.phase {
-            Phase::Claimed { lapse, .. } if now >= *lapse => {
+            Phase::Claimed { settle_deadline, .. } if now >= *settle_deadline => {
                 record.phase = Phase::Unknown;
                 ClaimOutcome::Unknown
             }
-            Phase::Claimed { .. } if own => ClaimOutcome::Granted,
+            Phase::Claimed { .. } if owned => ClaimOutcome::Granted,
             Phase::Claimed { instance, .. } => ClaimOutcome::Held(record.claimant(instance)),
             Phase::Released | Phase::Unknown => ClaimOutcome::Unknown,
             Phase::Done { answer, .. } => ClaimOutcome::Done(Bytes::copy_from_slice(answer)),
@@ -142,13 +143,13 @@
         }
     }
 
-    /// Decides a settlement at `now`.
+    /// Applies a settlement at `now`.
     pub fn settle(&mut self, now: WallTime, settle: &Settle) -> SettleOutcome {
         let key = KeyDigest::of(&settle.key);
         let Some(record) = self.records.get_mut(&key) else {
             return self.settle_absent(now, key, settle);
         };
-        if !record.is_of(&settle.claimant) {
+        if !record.is_owned_by(&settle.claimant) {
             return SettleOutcome::Refused;
         }
         match (&record.phase, &settle.settlement) {
@@ -156,12 +157,13 @@
             (Phase::Claimed { .. }, Settlement::Unknown) => record.phase = Phase::Unknown,
             (Phase::Claimed { .. } | Phase::Unknown, Settlement::Done(answer)) => {
                 record.phase = Phase::Dropped;
-                self.keep(key, answer);
+                self.store_answer(key, answer);
             }
             (Phase::Released, Settlement::Released)
             | (Phase::Unknown, Settlement::Unknown)
             | (Phase::Dropped, Settlement::Done(_)) => {}
-            (Phase::Done { answer: kept, .. }, Settlement::Done(answer)) if **kept == **answer => {}
+            (Phase::Done { answer: stored, .. }, Settlement::Done(answer))
+                if **stored == **answer => {}
             _ => return SettleOutcome::Refused,
         }
         SettleOutcome::Recorded
@@ -178,50 +180,50 @@
 
     fn insert(&mut self, now: WallTime, key: KeyDigest, record: Record) {
         self.records.insert(key, record);
-        self.expiry.push_back(Place { key, since: now });
+        self.expiry.push_back(QueuedKey { key, since: now });
     }
 
-    fn forget(&mut self, key: KeyDigest) {
+    fn remove(&mut self, key: KeyDigest) {
         if let Some(record) = self.records.swap_remove(&key) {
-            self.kept = self.kept.saturating_sub(record.answer_length());
+            self.stored_bytes = self.stored_bytes.saturating_sub(record.answer_bytes());
         }
-        // Places of answers that have gone would otherwise pile up while the bound is not reached.
-        while self.answers.front().is_some_and(|p| !self.is_kept(p)) {
+        // Otherwise stale elements would accumulate while the size limit is not reached.
+        while self.answers.front().is_some_and(|q| !self.is_stored(q)) {
             self.answers.pop_front();
         }
     }
 
-    /// Keeps an answer for replay where it fits, and drops the oldest ones to make room.
-    fn keep(&mut self, key: KeyDigest, answer: &Bytes) {
+    /// Stores an answer for replay unless it is too large, and drops the oldest answers if needed.
+    fn store_answer(&mut self, key: KeyDigest, answer: &Bytes) {
         if answer.len() > MAX_ANSWER {
             return;
         }
-        while self.kept.saturating_add(answer.len()) > MAX_ANSWERS {
+        while self.stored_bytes.saturating_add(answer.len()) > MAX_ANSWERS {
             match self.answers.pop_front() {
-                Some(place) => self.drop_answer(&place),
+                Some(queued) => self.drop_answer(&queued),
                 None => break,
             }
         }
-        let number = self.next;
+        let number = self.next_answer;
         if let Some(record) = self.records.get_mut(&key) {
             record.phase = Phase::Done { number, answer: Box::from(answer.as_ref()) };
-            self.kept = self.kept.saturating_add(answer.len());
-            self.answers.push_back(AnswerPlace { key, number });
-            self.next = number.saturating_add(1);
+            self.stored_bytes = self.stored_bytes.saturating_add(answer.len());
+            self.answers.push_back(QueuedAnswer { key, number });
+            self.next_answer = number.saturating_add(1);
         }
     }
 
-    fn drop_answer(&mut self, place: &AnswerPlace) {
-        if !self.is_kept(place) {
+    fn drop_answer(&mut self, queued: &QueuedAnswer) {
+        if !self.is_stored(queued) {
             return;
         }
-        if let Some(record) = self.records.get_mut(&place.key) {
-            self.kept = self.kept.saturating_sub(record.answer_length());
+        if let Some(record) = self.records.get_mut(&queued.key) {
+            self.stored_bytes = self.stored_bytes.saturating_sub(record.answer_bytes());
             record.phase = Phase::Dropped;
         }
     }
 
-    fn is_kept(&self, place: &AnswerPlace) -> bool {
-        self.records.get(&place.key).and_then(Record::answer_number) == Some(place.number)
+    fn is_stored(&self, queued: &QueuedAnswer) -> bool {
+        self.records.get(&queued.key).and_then(Record::answer_number) == Some(queued.number)
     }
 }
--- a/hawthornkeel_core/src/state/claims/record.rs
+++ b/hawthornkeel_core/src/state/claims/record.rs
@@ -1,4 +1,4 @@
-//! What is known of a key, in few bytes: control instances keep one record for each claim.
+//! Compact record of a claim; control instances keep one for each claimed key in memory.
 
 use std::time::Duration;
 
@@ -17,26 +17,27 @@
 use crate::state::command::Claimant;
 use crate::time::WallTime;
 
-/// Length of a key's digest, in bytes.
-const DIGEST_LENGTH: usize = 16;
+/// Size of a key's digest, in bytes.
+const DIGEST_BYTES: usize = 16;
 
-/// Digest that stands for a key: the start of a SHA-256.
+/// Truncated SHA-256 that identifies a key.
 ///
-/// Callers choose their keys, so the digest must withstand a search for two keys with the same one.
+/// Callers choose their keys, so the digest must be collision-resistant.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
-pub(super) struct KeyDigest([u8; DIGEST_LENGTH]);
+pub(super) struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
     /// Returns the digest of `key`.
     pub(super) fn of(key: &ClaimKey) -> Self {
         let workspace = key.workspace.as_str();
         let mut hasher = Sha256::new();
-        // The length keeps the workspace apart from the key that follows it.
+        // The length prefix keeps different pairs of workspace and key from being hashed as equal
+        // bytes.
         hasher.update(workspace.len().to_le_bytes());
         hasher.update(workspace);
         hasher.update(key.stage.0.to_le_bytes());
         hasher.update(key.key.as_bytes());
-        let mut digest = [0; DIGEST_LENGTH];
+        let mut digest = [0; DIGEST_BYTES];
         for (to, from) in digest.iter_mut().zip(hasher.finalize()) {
             *to = from;
         }
@@ -44,43 +45,45 @@
     }
 }
 
-/// What is known of a key.
+/// Record of the last claim on a key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Record {
-    /// Digest of the caller's request.
+    /// Digest of the request body.
     pub(super) digest: u64,
-    /// When the key was last claimed.
-    pub(super) claimed: WallTime,
-    /// How far the claim has come.
+    /// Time of the last claim.
+    #[serde(rename = "claimed")]
+    pub(super) claimed_at: WallTime,
+    /// State of the claim.
     pub(super) phase: Phase,
-    /// Request of the claimant, in bytes to need no alignment.
+    /// Request of the claimant; stored as bytes to avoid the alignment of `u128`.
     request: [u8; 16],
-    /// Attempt of the claimant.
+    /// Attempt number of the claimant.
     attempt: AttemptNumber,
 }
 
-/// How far a claim has come.
+/// State of a claim.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum Phase {
     /// Held by its claimant.
     Claimed {
-        /// Time from which on it counts as unknown.
-        lapse: WallTime,
+        /// Time from which the outcome counts as unknown.
+        #[serde(rename = "lapse")]
+        settle_deadline: WallTime,
         /// Instance of the claimant.
         instance: InstanceName,
     },
-    /// Did not run and will not.
+    /// The stage did not run and will not.
     Released,
-    /// Ran, with its answer kept.
+    /// The stage ran and its answer is stored.
     Done {
-        /// Number of the answer, in the order of recording.
+        /// Sequence number of the answer, in the order of recording.
         number: u64,
-        /// Answer proper; a copy, so that no larger buffer is kept with it.
+        /// Copy of the answer, so that no larger shared buffer is kept alive by it.
         answer: Box<[u8]>,
     },
-    /// Ran, with its answer not kept.
+    /// The stage ran and its answer is not stored.
     Dropped,
-    /// May have run.
+    /// The stage may have run.
     Unknown,
 }
 
@@ -89,32 +92,34 @@
     pub(super) fn claimed(now: WallTime, claim: &Claim) -> Self {
         let settle = Duration::from_millis(claim.settle_ms).min(CLAIM_WINDOW);
         let instance = claim.claimant.instance.clone();
-        let phase = Phase::Claimed { lapse: saturating_add(now, settle), instance };
+        let phase = Phase::Claimed { settle_deadline: saturating_add(now, settle), instance };
         Self { digest: claim.digest, ..Self::new(now, &claim.claimant, phase) }
     }
 
-    /// Creates the record of a release for which no claim is known.
+    /// Creates the record of a release that arrived before its claim.
     pub(super) fn released(now: WallTime, claimant: &Claimant) -> Self {
         Self::new(now, claimant, Phase::Released)
     }
 
-    fn new(claimed: WallTime, claimant: &Claimant, phase: Phase) -> Self {
+    fn new(claimed_at: WallTime, claimant: &Claimant, phase: Phase) -> Self {
         let request = claimant.request.0.to_le_bytes();
-        Self { digest: 0, claimed, phase, request, attempt: claimant.attempt }
+        Self { digest: 0, claimed_at, phase, request, attempt: claimant.attempt }
     }
 
-    /// Tells whether the claim is `claimant`'s.
+    /// Returns whether the claim belongs to `claimant`.
     ///
-    /// The instance is kept, and compared, while the claim may still be granted again.
-    pub(super) fn is_of(&self, claimant: &Claimant) -> bool {
-        let same = match &self.phase {
+    /// The instance is stored and compared only while the claim can still be granted again.
+    pub(super) fn is_owned_by(&self, claimant: &Claimant) -> bool {
+        let same_instance = match &self.phase {
             Phase::Claimed { instance, .. } => *instance == claimant.instance,
             Phase::Released | Phase::Done { .. } | Phase::Dropped | Phase::Unknown => true,
         };
-        same && self.request == claimant.request.0.to_le_bytes() && self.attempt == claimant.attempt
+        same_instance
+            && self.request == claimant.request.0.to_le_bytes()
+            && self.attempt == claimant.attempt
     }
 
-    /// Returns the claimant, at `instance`.
+    /// Returns the claimant, which is at `instance`.
     pub(super) fn claimant(&self, instance: &InstanceName) -> Claimant {
         Claimant {
             instance: instance.clone(),
@@ -123,7 +128,7 @@
         }
     }
 
-    /// Returns the number of the answer, where it is kept.
+    /// Returns the sequence number of the answer, if it is stored.
     pub(super) fn answer_number(&self) -> Option<u64> {
         match &self.phase {
             Phase::Done { number, .. } => Some(*number),
@@ -131,8 +136,8 @@
         }
     }
 
-    /// Returns the length of the answer kept, in bytes.
-    pub(super) fn answer_length(&self) -> usize {
+    /// Returns the size of the stored answer, in bytes.
+    pub(super) fn answer_bytes(&self) -> usize {
         match &self.phase {
             Phase::Done { answer, .. } => answer.len(),
             _ => 0,
--- a/hawthornkeel_core/src/state/clock.rs
+++ b/hawthornkeel_core/src/state/clock.rs
@@ -1,4 +1,4 @@
-//! Time of the replicated state, derived from the stamps of successive leaders.
+//! Clock of the replicated state, driven by the timestamps of successive leaders.
 
 use std::time::Duration;
 
@@ -7,36 +7,37 @@
 
 use crate::time::WallTime;
 
-/// Longest time that passes between two commands, however far apart their stamps are.
+/// Maximum step of the clock between two commands, however far apart their timestamps are.
 ///
-/// A leader whose clock is years ahead would otherwise expire every claim at once and leave the
-/// time there for good.
+/// Without this bound a leader whose clock is years ahead would expire every claim at once, and the
+/// clock would stay ahead permanently.
 pub const MAX_STEP: Duration = Duration::from_secs(3600);
 
-/// Clock that adds up the time between stamps and never goes back.
+/// Monotonic clock that accumulates the differences between successive timestamps.
 ///
-/// Only differences count: a leader whose clock is off by a constant adds the right time, and a
-/// change of leader adds between zero and [`MAX_STEP`]. Idle time beyond [`MAX_STEP`] is not
-/// counted, which keeps claims longer and never shorter.
+/// A leader whose clock is off by a constant thus advances it by the correct amount, and a change
+/// of leader advances it by zero to [`MAX_STEP`]. Idle time beyond [`MAX_STEP`] is not counted,
+/// which may extend the life of claims but never shortens it.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Clock {
     now: WallTime,
-    stamp: Option<WallTime>,
+    #[serde(rename = "stamp")]
+    last_timestamp: Option<WallTime>,
 }
 
 impl Clock {
-    /// Takes the next command's stamp and returns the time at which the command takes effect.
-    pub fn advance(&mut self, stamp: WallTime) -> WallTime {
-        match self.stamp {
-            Some(last) => self.now = saturating_add(self.now, stamp.since(last).min(MAX_STEP)),
-            None => self.now = stamp,
+    /// Advances the clock by a command's timestamp and returns the time at which it takes effect.
+    pub fn advance(&mut self, timestamp: WallTime) -> WallTime {
+        match self.last_timestamp {
+            Some(last) => self.now = saturating_add(self.now, timestamp.since(last).min(MAX_STEP)),
+            None => self.now = timestamp,
         }
-        self.stamp = Some(stamp);
+        self.last_timestamp = Some(timestamp);
         self.now
     }
 }
 
-/// Returns the point `duration` after `time`.
+/// Returns the time `duration` after `time`, saturating at the numeric limit.
 pub fn saturating_add(time: WallTime, duration: Duration) -> WallTime {
     let millis = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
     WallTime::from_millis(time.as_millis().saturating_add(millis))
--- a/hawthornkeel_core/src/state/command.rs
+++ b/hawthornkeel_core/src/state/command.rs
@@ -1,4 +1,4 @@
-//! Commands that change the replicated state, and their outcomes.
+//! Commands that change the replicated state, with their outcomes.
 
 use std::sync::Arc;
 
@@ -19,98 +19,98 @@
 use crate::names::WorkspaceName;
 use crate::time::WallTime;
 
-/// Change to the replicated state, carried by one log entry or as part of a batch.
+/// Change to the replicated state, stored in a log entry alone or in a batch.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Claims the one run of a stage that may not be repeated.
+    /// Claims the single run of a non-idempotent stage.
     Claim(Claim),
     /// Records how a claim ended.
     Settle(Settle),
-    /// Replaces the environment document.
+    /// Submits an environment document that replaces a given version.
     Submit(Submit),
-    /// Replaces the document where the one given has a higher version.
+    /// Replaces the environment document if the given version is higher.
     Replace(Replace),
     /// Takes a data centre out of service or brings it back.
     Centre(CentreOrder),
-    /// Draws the next fencing number for orders to a target.
+    /// Allocates a fencing number for an order to a target.
     Fence(TargetName),
 }
 
-/// Command as it stands in the log.
+/// Command as stored in the log.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct TimestampedCommand {
-    /// Wall clock of the leader that proposed it.
+    /// Wall clock time of the leader that proposed the command.
     #[serde(rename = "at")]
     pub timestamp: WallTime,
-    /// Command proper.
+    /// Command to apply.
     pub command: Command,
 }
 
-/// What a claim is on.
+/// Identifies the stage run that is claimed.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct ClaimKey {
     /// Workspace of the caller.
     pub workspace: WorkspaceName,
-    /// Idempotency key that the caller gave.
+    /// Idempotency key given by the caller.
     pub key: Arc<str>,
-    /// Stage that may run once.
+    /// Stage that may run at most once.
     pub stage: StageIndex,
 }
 
-/// Who claims.
+/// Attempt that makes a claim.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Claimant {
-    /// Entry instance.
+    /// Entry instance that serves the request.
     pub instance: InstanceName,
-    /// Request at that instance.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// Attempt at the stage.
+    /// Number of the attempt at the stage.
     pub attempt: AttemptNumber,
 }
 
-/// Request for the one run of a stage.
+/// Claim on the single run of a non-idempotent stage.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// What is claimed.
+    /// Stage run that is claimed.
     pub key: ClaimKey,
-    /// Digest of the caller's request: the same key with another body is refused.
+    /// Digest of the request body; a claim with the same key but another digest is a mismatch.
     pub digest: u64,
-    /// Who claims.
+    /// Attempt that makes the claim.
     pub claimant: Claimant,
-    /// Time after which the claim counts as unknown if it is not settled, in milliseconds.
+    /// Time after which the outcome of an unsettled claim counts as unknown, in milliseconds.
     pub settle_ms: u64,
 }
 
 /// How a claim ended.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Settlement {
-    /// Nothing was dispatched and nothing will be.
+    /// The stage was not dispatched and will not be.
     Released,
-    /// The stage ran and answered.
+    /// The stage ran and returned this answer.
     Done(Bytes),
-    /// The stage was dispatched and its outcome is not known.
+    /// The stage was dispatched and its outcome is unknown.
     Unknown,
 }
 
-/// Record of how a claim ended.
+/// Settlement of a claim.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Settle {
-    /// What was claimed.
+    /// Stage run that was claimed.
     pub key: ClaimKey,
-    /// Who claimed it.
+    /// Attempt that made the claim.
     pub claimant: Claimant,
-    /// How it ended.
+    /// How the claim ended.
     pub settlement: Settlement,
 }
 
-/// New environment document.
+/// Submission of an environment document.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Submit {
-    /// Who submits.
+    /// Operator that submits the document.
     pub operator: OperatorName,
-    /// Operation number, chosen by the operator.
+    /// Operation number chosen by the operator.
     pub operation: OperationNumber,
-    /// Version that the document replaces.
+    /// Version that the document is to replace.
     pub expected: Version,
     /// Text of the document.
     pub text: Arc<str>,
@@ -118,10 +118,10 @@
     pub hash: Arc<str>,
 }
 
-/// Document whose version its operators chose: the highest version is in force.
+/// Document with a version chosen by its operators; the highest version becomes current.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Replace {
-    /// Version that the document names.
+    /// Version of the document.
     pub version: Version,
     /// Text of the document.
     pub text: Arc<str>,
@@ -129,26 +129,26 @@
     pub hash: Arc<str>,
 }
 
-/// Whether a data centre takes new work.
+/// Whether a data centre accepts new work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub enum CentreState {
-    /// Takes new work.
+    /// Accepts new work.
     #[default]
     InService,
-    /// Takes no new work; running work finishes.
+    /// Accepts no new work; work in progress completes.
     TakenOut,
 }
 
-/// Order about a data centre.
+/// Operator's order that takes a data centre out of service or brings it back.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct CentreOrder {
-    /// Who orders.
+    /// Operator that gives the order.
     pub operator: OperatorName,
-    /// Operation number, chosen by the operator.
+    /// Operation number chosen by the operator.
     pub operation: OperationNumber,
-    /// Data centre concerned.
+    /// Data centre that the order is about.
     pub centre: CentreName,
-    /// State ordered.
+    /// Requested state of the data centre.
     pub state: CentreState,
 }
 
@@ -161,80 +161,80 @@
     Settle(SettleOutcome),
     /// Outcome of a submission.
     Submit(SubmitOutcome),
-    /// Version in force after a replacement, whether or not that changed it.
+    /// Current version after a replacement, whether or not the replacement changed it.
     Replace(Version),
     /// Outcome of an order about a data centre.
     Centre(CentreOutcome),
-    /// Fencing number drawn.
+    /// Fencing number that was allocated.
     Fence(FencingNumber),
 }
 
 /// Outcome of a claim.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
-    /// The claimant may dispatch, once.
+    /// The claimant may dispatch the stage once.
     Granted,
-    /// Another attempt holds the claim and may still settle it.
+    /// The claim is held by this other attempt, which may still settle it.
     Held(Claimant),
-    /// The stage ran already: its answer.
+    /// The stage ran before and returned this answer.
     Done(Bytes),
-    /// The stage ran already; its answer was too large to keep.
+    /// The stage ran before; its answer is no longer stored or was too large to store.
     DoneDropped,
-    /// The stage was dispatched and its outcome is not known.
+    /// The stage was dispatched and its outcome is unknown.
     Unknown,
-    /// The key was used with another request body.
+    /// The key was used with a different request body.
     Mismatch,
-    /// The claimant has released this claim before: it may not dispatch.
+    /// The claimant has already released this claim and may not dispatch the stage.
     Released,
-    /// No room for another claim: nothing was recorded.
+    /// The limit on claims is reached; nothing was recorded.
     Full,
 }
 
 /// Outcome of a settlement.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum SettleOutcome {
-    /// Recorded, or recorded before.
+    /// The settlement is recorded, by this command or an earlier one.
     Recorded,
-    /// The claim is not the claimant's, or has ended otherwise.
+    /// The claim belongs to another claimant or has already ended differently.
     Refused,
 }
 
 /// Outcome of a submission.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum SubmitOutcome {
-    /// The document is accepted under this version.
+    /// The document was accepted with this version.
     Accepted(Version),
-    /// Another document came first.
+    /// The document was rejected because of this accepted submission.
     Conflict(AcceptedSubmission),
 }
 
-/// Document that stands where another was submitted.
+/// Accepted submission that a rejected one conflicts with.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedSubmission {
-    /// Who submitted it.
+    /// Operator that submitted the document.
     pub operator: OperatorName,
-    /// Operation number of its submission.
+    /// Operation number of the submission.
     pub operation: OperationNumber,
-    /// Version that it was accepted under.
+    /// Version that the document was accepted with.
     pub version: Version,
-    /// SHA-256 of its text in hexadecimal.
+    /// SHA-256 of the document's text in hexadecimal.
     pub hash: Arc<str>,
 }
 
 /// Outcome of an order about a data centre.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum CentreOutcome {
-    /// Recorded at this log position.
+    /// The order is recorded, by this command or an earlier one.
     Recorded(CentreRecord),
-    /// The operation number was used before for another order.
+    /// The operation number was used before, for this other order.
     Conflict(CentreRecord),
 }
 
 /// Last order about a data centre.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct CentreRecord {
-    /// Order proper.
+    /// Order that was applied.
     pub order: CentreOrder,
-    /// Log position that gave it force.
+    /// Log position at which it was applied.
     pub index: crate::ids::LogIndex,
 }
--- a/hawthornkeel_core/src/state/documents.rs
+++ b/hawthornkeel_core/src/state/documents.rs
@@ -1,13 +1,14 @@
-//! Environment document in force and the submissions that led to it.
+//! Current environment document and the history of submissions.
 //!
-//! Two rules decide a race. A submission is accepted only where it names the version in force, so
-//! one of two submissions that replace the same version loses. An operation number belongs to the
-//! first submission that used it, whoever the operator is: the same operator with the same document
-//! gets the first outcome again, and anything else is told who was first. Submissions that lost are
-//! remembered too, so that a delayed copy of one is never accepted later.
+//! Two rules resolve races. A submission is accepted only if it names the current version, so only
+//! one of two submissions that replace the same version is accepted. An operation number belongs to
+//! the first submission that used it, whichever operator that was: a retry by the same operator with
+//! the same document returns the first outcome again, and any other submission gets a conflict that
+//! names the first. Rejected submissions are recorded too, so that a delayed duplicate of one is
+//! never accepted later.
 //!
-//! Where operators number their documents themselves, the highest number is in force and a
-//! document that is not higher is accepted without effect.
+//! Where operators number their documents themselves, the document with the highest number is
+//! current, and a document whose number is not higher has no effect.
 
 use std::sync::Arc;
 
@@ -23,7 +24,7 @@
 use crate::state::command::SubmitOutcome;
 use crate::state::history::History;
 
-/// Environment document in force, with the history of submissions.
+/// Current environment document, with a bounded history of submissions.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Documents {
     operator: OperatorName,
@@ -43,8 +44,8 @@
 }
 
 impl Submission {
-    /// Returns the document that stands instead of another one under the same number.
-    fn winner(&self, operation: OperationNumber) -> AcceptedSubmission {
+    /// Returns the accepted submission that another one with the same number conflicts with.
+    fn accepted(&self, operation: OperationNumber) -> AcceptedSubmission {
         match &self.outcome {
             SubmitOutcome::Accepted(version) => AcceptedSubmission {
                 operator: self.operator.clone(),
@@ -52,34 +53,34 @@
                 version: *version,
                 hash: Arc::clone(&self.hash),
             },
-            SubmitOutcome::Conflict(winner) => winner.clone(),
+            SubmitOutcome::Conflict(accepted) => accepted.clone(),
         }
     }
 }
 
 impl Documents {
-    /// Returns the version in force; zero before the first.
+    /// Returns the current version; zero before the first document.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Returns the text in force.
+    /// Returns the current text.
     pub fn text(&self) -> Arc<str> {
         Arc::clone(&self.text)
     }
 
-    /// Returns the SHA-256 of the text in force, in hexadecimal.
+    /// Returns the SHA-256 of the current text, in hexadecimal.
     pub fn hash(&self) -> Arc<str> {
         Arc::clone(&self.hash)
     }
 
-    /// Decides a submission.
+    /// Accepts or rejects a submission.
     pub fn submit(&mut self, submit: &Submit) -> SubmitOutcome {
         if let Some(first) = self.history.get(submit.operation) {
-            let resent = first.operator == submit.operator && first.hash == submit.hash;
-            return match resent {
+            let is_retry = first.operator == submit.operator && first.hash == submit.hash;
+            return match is_retry {
                 true => first.outcome.clone(),
-                false => SubmitOutcome::Conflict(first.winner(submit.operation)),
+                false => SubmitOutcome::Conflict(first.accepted(submit.operation)),
             };
         }
         let outcome = self.decide(submit);
@@ -92,9 +93,9 @@
         outcome
     }
 
-    /// Puts a document in force whose version is higher; tells whether it is.
+    /// Replaces the document if the new version is higher, and returns whether it is.
     ///
-    /// A lower or equal version changes nothing, whatever its content.
+    /// A lower or equal version changes nothing, regardless of its content.
     pub fn replace(&mut self, replace: &Replace) -> bool {
         if replace.version <= self.version {
             return false;
@@ -109,7 +110,7 @@
 
     fn decide(&mut self, submit: &Submit) -> SubmitOutcome {
         if submit.expected != self.version {
-            return SubmitOutcome::Conflict(self.in_force());
+            return SubmitOutcome::Conflict(self.current());
         }
         self.version = Version(self.version.0.saturating_add(1));
         self.operator = submit.operator.clone();
@@ -119,7 +120,7 @@
         SubmitOutcome::Accepted(self.version)
     }
 
-    fn in_force(&self) -> AcceptedSubmission {
+    fn current(&self) -> AcceptedSubmission {
         AcceptedSubmission {
             operator: self.operator.clone(),
             operation: self.operation,
--- a/hawthornkeel_core/src/state/fencing.rs
+++ b/hawthornkeel_core/src/state/fencing.rs
@@ -5,17 +5,17 @@
 
 use crate::ids::FencingNumber;
 
-/// Source of fencing numbers.
+/// Generator of fencing numbers.
 ///
-/// One counter serves all targets: the numbers of each target rise, and nothing has to be kept for
-/// targets that are gone.
+/// All targets share one counter: the numbers that each target sees still increase, and no state
+/// has to be kept for targets that no longer exist.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct FencingCounter {
     last: FencingNumber,
 }
 
 impl FencingCounter {
-    /// Draws a number higher than every one drawn before.
+    /// Returns a number higher than all numbers returned before.
     pub fn next_number(&mut self) -> FencingNumber {
         self.last = FencingNumber(self.last.0.saturating_add(1));
         self.last
--- a/hawthornkeel_core/src/state/history.rs
+++ b/hawthornkeel_core/src/state/history.rs
@@ -1,4 +1,4 @@
-//! Bounded memory of operations, so that a resend is recognised.
+//! Bounded history of operations, by which retries are detected.
 
 use std::collections::VecDeque;
 
@@ -8,35 +8,36 @@
 
 use crate::ids::OperationNumber;
 
-/// Operations remembered; the oldest are forgotten first.
+/// Maximum number of operations in a history; the oldest are evicted first.
 pub const MAX_OPERATIONS: usize = 10_000;
 
-/// Operations by number, forgotten in the order they came.
+/// Operations by number, evicted in first-in, first-out order.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct History<T> {
     operations: IndexMap<OperationNumber, T>,
-    order: VecDeque<OperationNumber>,
+    #[serde(rename = "order")]
+    eviction: VecDeque<OperationNumber>,
 }
 
 impl<T> Default for History<T> {
     fn default() -> Self {
-        Self { operations: IndexMap::new(), order: VecDeque::new() }
+        Self { operations: IndexMap::new(), eviction: VecDeque::new() }
     }
 }
 
 impl<T> History<T> {
-    /// Returns what was recorded under `number`.
+    /// Returns the operation recorded under `number`.
     pub fn get(&self, number: OperationNumber) -> Option<&T> {
         self.operations.get(&number)
     }
 
-    /// Records the first use of `number`.
+    /// Records the operation that used `number` first.
     pub fn record(&mut self, number: OperationNumber, operation: T) {
         if self.operations.insert(number, operation).is_none() {
-            self.order.push_back(number);
+            self.eviction.push_back(number);
         }
-        while self.order.len() > MAX_OPERATIONS {
-            if let Some(oldest) = self.order.pop_front() {
+        while self.eviction.len() > MAX_OPERATIONS {
+            if let Some(oldest) = self.eviction.pop_front() {
                 self.operations.swap_remove(&oldest);
             }
         }
--- a/hawthornkeel_core/src/state/mod.rs
+++ b/hawthornkeel_core/src/state/mod.rs
@@ -1,7 +1,7 @@
-//! Replicated state: claims, the environment document, data centres and fencing numbers.
+//! Replicated state machine: claims, the environment document, data centres and fencing numbers.
 //!
-//! Every replica applies the same commands in log order and reaches the same state: time is read
-//! only from the commands' stamps and nothing is drawn at random.
+//! Replicas that apply the same commands in log order reach the same state: time is taken only from
+//! the commands' timestamps, and there is no randomness.
 
 pub mod centres;
 pub mod claims;
@@ -29,8 +29,8 @@
 
 /// Replicated state machine.
 ///
-/// Its serialised form is the body of a snapshot: two replicas that applied the same commands
-/// serialise to the same bytes, whether or not one of them started from a snapshot.
+/// Its serialised form is the body of a snapshot. Replicas that applied the same commands serialise
+/// to the same bytes, even if one of them was restored from a snapshot.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct State {
     clock: Clock,
@@ -39,37 +39,38 @@
     centres: Centres,
     #[serde(rename = "fences")]
     fencing: FencingCounter,
-    published: LogIndex,
+    #[serde(rename = "published")]
+    published_index: LogIndex,
 }
 
 impl State {
     /// Applies the command at log position `index` and returns its outcome.
     ///
-    /// The commands of a batch are applied in order under the same position.
-    pub fn apply(&mut self, index: LogIndex, stamped: &TimestampedCommand) -> Outcome {
-        let now = self.clock.advance(stamped.timestamp);
+    /// The commands of a batch are applied in order, all with the position of the batch.
+    pub fn apply(&mut self, index: LogIndex, command: &TimestampedCommand) -> Outcome {
+        let now = self.clock.advance(command.timestamp);
         self.claims.expire(now);
-        match &stamped.command {
+        match &command.command {
             Command::Claim(claim) => Outcome::Claim(self.claims.claim(now, claim)),
             Command::Settle(settle) => Outcome::Settle(self.claims.settle(now, settle)),
             Command::Submit(submit) => {
                 let before = self.documents.version();
                 let outcome = self.documents.submit(submit);
                 if self.documents.version() > before {
-                    self.published = index;
+                    self.published_index = index;
                 }
                 Outcome::Submit(outcome)
             }
             Command::Replace(replace) => {
                 if self.documents.replace(replace) {
-                    self.published = index;
+                    self.published_index = index;
                 }
                 Outcome::Replace(self.documents.version())
             }
             Command::Centre(order) => {
                 let (outcome, changed) = self.centres.apply(index, order);
                 if changed {
-                    self.published = index;
+                    self.published_index = index;
                 }
                 Outcome::Centre(outcome)
             }
@@ -77,13 +78,13 @@
         }
     }
 
-    /// Returns the part that every instance follows.
+    /// Returns the part of the state that is distributed to every instance.
     ///
-    /// Its index names a log position, so it is to be taken after the whole batch at that position
-    /// is applied, never between two commands of one batch.
+    /// Its index refers to a log position, so it must be read only after the whole batch at that
+    /// position has been applied, never between two commands of a batch.
     pub fn published(&self) -> PublishedState {
         PublishedState {
-            index: self.published,
+            index: self.published_index,
             version: self.documents.version(),
             text: self.documents.text(),
             hash: self.documents.hash(),
--- a/hawthornkeel_core/src/state/published.rs
+++ b/hawthornkeel_core/src/state/published.rs
@@ -1,4 +1,4 @@
-//! Part of the replicated state that every instance follows.
+//! Part of the replicated state that is distributed to every instance.
 
 use std::sync::Arc;
 
@@ -11,12 +11,14 @@
 use crate::names::CentreName;
 use crate::state::command::CentreRecord;
 
-/// What every instance follows; replaced as a whole, never by one with a lower index.
+/// Part of the replicated state that is distributed to every instance.
+///
+/// It is replaced as a whole, and never by a state with a lower index.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct PublishedState {
-    /// Log position of the last change to any part.
+    /// Log position of the last change to any field.
     pub index: LogIndex,
-    /// Version of the environment document; zero before the first.
+    /// Version of the environment document; zero before the first document.
     pub version: Version,
     /// Text of the environment document.
     pub text: Arc<str>,
--- a/hawthornkeel_core/src/state/take_out.rs
+++ b/hawthornkeel_core/src/state/take_out.rs
@@ -1,8 +1,8 @@
-//! Data centres taken out without the log.
+//! Take-out orders that are applied before they are in the replicated log.
 //!
-//! An order to take a data centre out is in force at each instance that hears it, at once and
-//! without a quorum. It holds until its place in the log is known and the log, followed up to that
-//! place, decides. Bringing back is decided by the log alone.
+//! An instance applies an order to take a data centre out as soon as it receives it, without a
+//! quorum. The order overrides the log until its log position is known and the instance has
+//! received the state up to that position. Bringing a data centre back requires the log.
 
 use indexmap::IndexMap;
 use serde::Deserialize;
@@ -14,110 +14,114 @@
 use crate::state::command::CentreRecord;
 use crate::state::command::CentreState;
 
-/// Orders remembered, at most.
+/// Maximum number of take-out orders stored by an instance.
 pub const MAX_TAKE_OUTS: usize = 256;
 
-/// Order to take a data centre out, as one instance knows it.
+/// Order to take a data centre out, with its log position as known to one instance.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct TakeOut {
-    /// Order proper.
+    /// Order to apply.
     pub order: CentreOrder,
-    /// Log position from which on the log decides, or `None` while the order is not logged.
+    /// Log position from which the log takes precedence, or `None` while the order is not logged.
     #[serde(rename = "floor")]
     pub log_index: Option<LogIndex>,
 }
 
-/// What came of an order that was heard.
+/// Result of merging a received order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MergeOutcome {
-    /// It is new here, and is to be passed on.
+    /// The order or its log position is new here and must be forwarded.
     New,
-    /// Nothing changed.
+    /// The order was known; nothing changed.
     Known,
-    /// The sender lacks what is known here, and is to be told.
+    /// The sender has older information and must be sent the order as known here.
     Outdated,
-    /// It can't be remembered: too many orders are not logged.
+    /// The order was not stored, because too many orders are not logged.
     Full,
-    /// It is not an order to take a data centre out.
+    /// The order does not take a data centre out.
     Ignored,
 }
 
-/// Orders to take data centres out that one instance knows.
+/// Take-out orders known to one instance.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct TakeOuts {
-    holds: Vec<TakeOut>,
+    take_outs: Vec<TakeOut>,
 }
 
 impl TakeOuts {
-    /// Takes in an order from an operator or a peer.
-    pub fn merge(&mut self, heard: &TakeOut) -> MergeOutcome {
-        if heard.order.state != CentreState::TakenOut {
+    /// Merges an order from an operator or a peer.
+    pub fn merge(&mut self, received: &TakeOut) -> MergeOutcome {
+        if received.order.state != CentreState::TakenOut {
             return MergeOutcome::Ignored;
         }
-        if let Some(hold) = self.find(&heard.order) {
-            if hold.log_index > heard.log_index {
+        if let Some(take_out) = self.find(&received.order) {
+            if take_out.log_index > received.log_index {
                 return MergeOutcome::Outdated;
             }
-            let known = hold.log_index == heard.log_index;
-            hold.log_index = heard.log_index;
+            let known = take_out.log_index == received.log_index;
+            take_out.log_index = received.log_index;
             return if known { MergeOutcome::Known } else { MergeOutcome::New };
         }
-        if self.holds.len() >= MAX_TAKE_OUTS && !self.forget_logged() {
+        if self.take_outs.len() >= MAX_TAKE_OUTS && !self.evict_logged() {
             return MergeOutcome::Full;
         }
-        self.holds.push(heard.clone());
+        self.take_outs.push(received.clone());
         MergeOutcome::New
     }
 
-    /// Notes that `order` stands in the log at `index`.
+    /// Records that `order` is in the log at `index`.
     ///
-    /// Where the log refused the order, because its operation number was used before, the position
-    /// after what is followed is to be given: the order then holds until a later one is logged.
+    /// If the log refused the order because its operation number was already used, `index` must be
+    /// the position after the state received so far; the order then applies until a later one is
+    /// logged.
     pub fn mark_logged(&mut self, order: &CentreOrder, index: LogIndex) {
-        if let Some(hold) = self.find(order) {
-            hold.log_index = hold.log_index.max(Some(index));
+        if let Some(take_out) = self.find(order) {
+            take_out.log_index = take_out.log_index.max(Some(index));
         }
     }
 
-    /// Returns the order as known here.
+    /// Returns the order with its log position as known here.
     pub fn get(&self, order: &CentreOrder) -> Option<&TakeOut> {
-        self.holds.iter().find(|h| h.order == *order)
+        self.take_outs.iter().find(|t| t.order == *order)
     }
 
-    /// Returns all orders known.
+    /// Returns all known orders.
     pub fn all(&self) -> &[TakeOut] {
-        &self.holds
+        &self.take_outs
     }
 
-    /// Returns the orders that are not logged as far as is known here.
+    /// Returns the orders that are not known to be logged.
     pub fn unlogged(&self) -> impl Iterator<Item = &TakeOut> {
-        self.holds.iter().filter(|h| h.log_index.is_none())
+        self.take_outs.iter().filter(|t| t.log_index.is_none())
     }
 
-    /// Returns the data centres that take no new work, given the records followed.
+    /// Returns the data centres that accept no new work, given the records from the log.
     pub fn taken_out(&self, records: &IndexMap<CentreName, CentreRecord>) -> Vec<CentreName> {
         let logged = records.values().filter(|r| r.order.state == CentreState::TakenOut);
-        let held = self.holds.iter().filter(|h| in_force(h, records));
-        let mut centres: Vec<_> =
-            logged.map(|r| &r.order).chain(held.map(|h| &h.order)).map(|o| &o.centre).collect();
+        let overriding = self.take_outs.iter().filter(|t| overrides_log(t, records));
+        let mut centres: Vec<_> = logged
+            .map(|r| &r.order)
+            .chain(overriding.map(|t| &t.order))
+            .map(|o| &o.centre)
+            .collect();
         centres.sort();
         centres.dedup();
         centres.into_iter().cloned().collect()
     }
 
     fn find(&mut self, order: &CentreOrder) -> Option<&mut TakeOut> {
-        self.holds.iter_mut().find(|h| h.order == *order)
+        self.take_outs.iter_mut().find(|t| t.order == *order)
     }
 
-    /// Forgets the oldest order whose place in the log is known.
-    fn forget_logged(&mut self) -> bool {
-        let oldest = self.holds.iter().position(|h| h.log_index.is_some());
-        oldest.map(|at| self.holds.remove(at)).is_some()
+    /// Removes the oldest order with a known log position and returns whether there was one.
+    fn evict_logged(&mut self) -> bool {
+        let oldest = self.take_outs.iter().position(|t| t.log_index.is_some());
+        oldest.map(|index| self.take_outs.remove(index)).is_some()
     }
 }
 
-/// Tells whether an order holds whatever `records` say.
-fn in_force(hold: &TakeOut, records: &IndexMap<CentreName, CentreRecord>) -> bool {
-    let Some(log_index) = hold.log_index else { return true };
-    records.get(&hold.order.centre).is_none_or(|r| r.index < log_index)
+/// Returns whether an order takes precedence over `records`.
+fn overrides_log(take_out: &TakeOut, records: &IndexMap<CentreName, CentreRecord>) -> bool {
+    let Some(log_index) = take_out.log_index else { return true };
+    records.get(&take_out.order.centre).is_none_or(|r| r.index < log_index)
 }
--- a/hawthornkeel_core/src/time.rs
+++ b/hawthornkeel_core/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time as the core sees them.
+//! Monotonic and wall clock time.
 
 use std::fmt;
 use std::ops::Add;
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Point on a process's monotonic clock, in microseconds since an origin of the process's choice.
+/// Time on a process's monotonic clock, in microseconds since an arbitrary origin.
 ///
 /// Values of different processes are not comparable.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -19,22 +19,22 @@
     /// Origin of the clock.
     pub const ZERO: Self = Self { micros: 0 };
 
-    /// Creates the point `micros` microseconds after the origin.
+    /// Creates the time `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self { micros }
     }
 
-    /// Creates the point `millis` milliseconds after the origin.
+    /// Creates the time `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Self { micros: millis.saturating_mul(1000) }
     }
 
-    /// Returns the microseconds since the origin.
+    /// Returns the number of microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.micros
     }
 
-    /// Returns the time since `earlier`, or zero where `earlier` is later than `self`.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.micros.saturating_sub(earlier.micros))
     }
@@ -55,10 +55,10 @@
     }
 }
 
-/// Point on the wall clock, in milliseconds since the Unix epoch.
+/// Time on the wall clock, in milliseconds since the Unix epoch.
 ///
-/// Used only where a point must be meaningful to more than one process, such as the expiry of a
-/// claim; the leader's clock stamps it into the log, so that all replicas read the same value.
+/// Used only where more than one process must agree on a time, such as the expiry of a claim. The
+/// leader writes its clock's time into the log, so that all replicas read the same value.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
@@ -68,17 +68,17 @@
 }
 
 impl WallTime {
-    /// Creates the point `millis` milliseconds after the Unix epoch.
+    /// Creates the time `millis` milliseconds after the Unix epoch.
     pub const fn from_millis(millis: u64) -> Self {
         Self { millis }
     }
 
-    /// Returns the milliseconds since the Unix epoch.
+    /// Returns the number of milliseconds since the Unix epoch.
     pub const fn as_millis(self) -> u64 {
         self.millis
     }
 
-    /// Returns the time since `earlier`, or zero where `earlier` is later than `self`.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.millis.saturating_sub(earlier.millis))
     }
--- a/hawthornkeel_core/tests/centre_orders.rs
+++ b/hawthornkeel_core/tests/centre_orders.rs
@@ -1,4 +1,4 @@
-//! Orders about data centres and fencing numbers.
+//! Orders about data centres, and allocation of fencing numbers.
 
 mod state_common;
 
@@ -17,24 +17,24 @@
 
 const CENTRE: &str = "yatsushiro";
 
-fn order(who: &str, number: u64, state: CentreState) -> CentreOrder {
+fn order(operator: &str, number: u64, state: CentreState) -> CentreOrder {
     CentreOrder {
-        operator: OperatorName::new(who),
+        operator: OperatorName::new(operator),
         operation: OperationNumber(number),
         centre: CentreName::new(CENTRE),
         state,
     }
 }
 
-fn give(driver: &mut Driver, order: &CentreOrder) -> CentreOutcome {
+fn apply(driver: &mut Driver, order: &CentreOrder) -> CentreOutcome {
     match driver.apply(Command::Centre(order.clone())) {
         Outcome::Centre(outcome) => outcome,
-        other => panic!("not a centre's outcome: {other:?}"),
+        other => panic!("unexpected outcome of a data centre order: {other:?}"),
     }
 }
 
-fn in_force(driver: &Driver) -> CentreRecord {
-    driver.state.published().centres.get(CENTRE).cloned().expect("an order was given")
+fn current(driver: &Driver) -> CentreRecord {
+    driver.state.published().centres.get(CENTRE).cloned().expect("the data centre has a record")
 }
 
 fn record(order: &CentreOrder, index: u64) -> CentreRecord {
@@ -42,52 +42,54 @@
 }
 
 #[test]
-fn latest_logged_order_stands() {
+fn last_logged_order_applies() {
     let mut driver = Driver::default();
     let out = order("mori", 1, CentreState::TakenOut);
     let back = order("ueda", 2, CentreState::InService);
-    assert_eq!(give(&mut driver, &out), CentreOutcome::Recorded(record(&out, 1)));
-    assert_eq!(in_force(&driver), record(&out, 1));
-    assert_eq!(give(&mut driver, &back), CentreOutcome::Recorded(record(&back, 2)));
-    assert_eq!(in_force(&driver), record(&back, 2));
+    assert_eq!(apply(&mut driver, &out), CentreOutcome::Recorded(record(&out, 1)));
+    assert_eq!(current(&driver), record(&out, 1));
+    assert_eq!(apply(&mut driver, &back), CentreOutcome::Recorded(record(&back, 2)));
+    assert_eq!(current(&driver), record(&back, 2));
     assert_eq!(driver.state.published().index, LogIndex(2));
 }
 
 #[test]
-fn resend_does_not_undo_later_order() {
+fn retry_does_not_revert_later_order() {
     let mut driver = Driver::default();
     let out = order("mori", 1, CentreState::TakenOut);
     let back = order("mori", 2, CentreState::InService);
-    give(&mut driver, &out);
-    give(&mut driver, &back);
+    apply(&mut driver, &out);
+    apply(&mut driver, &back);
     driver.restore();
-    assert_eq!(give(&mut driver, &out), CentreOutcome::Recorded(record(&out, 1)));
-    assert_eq!(in_force(&driver), record(&back, 2));
-    assert_eq!(driver.state.published().index, LogIndex(2), "a resend changes nothing");
+    assert_eq!(apply(&mut driver, &out), CentreOutcome::Recorded(record(&out, 1)));
+    assert_eq!(current(&driver), record(&back, 2));
+    assert_eq!(driver.state.published().index, LogIndex(2), "a retry changes nothing");
 }
 
 #[test]
-fn equal_numbers_have_one_winner() {
+fn reused_number_conflicts() {
     let mut driver = Driver::default();
     let out = order("mori", 1, CentreState::TakenOut);
-    give(&mut driver, &out);
+    apply(&mut driver, &out);
     let back = order("ueda", 1, CentreState::InService);
-    assert_eq!(give(&mut driver, &back), CentreOutcome::Conflict(record(&out, 1)));
-    assert_eq!(in_force(&driver), record(&out, 1));
+    assert_eq!(apply(&mut driver, &back), CentreOutcome::Conflict(record(&out, 1)));
+    assert_eq!(current(&driver), record(&out, 1));
 }
 
 #[test]
-fn fencing_numbers_rise() {
+fn fencing_numbers_increase() {
     let mut driver = Driver::default();
     let mut last = None;
-    for number in 0..20 {
-        if number % 5 == 0 {
+    for step in 0..20 {
+        if step % 5 == 0 {
             driver.restore();
         }
-        let target = TargetName::new(if number % 2 == 0 { "engine-1" } else { "engine-2" });
-        let drawn = driver.apply(Command::Fence(target));
-        let Outcome::Fence(drawn) = drawn else { panic!("not a fencing number: {drawn:?}") };
-        assert!(Some(drawn) > last, "{drawn} after {last:?}");
-        last = Some(drawn);
+        let target = TargetName::new(if step % 2 == 0 { "engine-1" } else { "engine-2" });
+        let number = driver.apply(Command::Fence(target));
+        let Outcome::Fence(number) = number else {
+            panic!("unexpected outcome of an allocation: {number:?}")
+        };
+        assert!(Some(number) > last, "{number} after {last:?}");
+        last = Some(number);
     }
 }
--- a/hawthornkeel_core/tests/claim_properties.rs
+++ b/hawthornkeel_core/tests/claim_properties.rs
@@ -1,4 +1,4 @@
-//! Claims under random commands: one grant at a time, and the same state on every replica.
+//! Claims under random commands: at most one grant at a time, and equal state on all replicas.
 
 mod state_common;
 
@@ -30,7 +30,7 @@
 use state_common::settle;
 use state_common::snapshot;
 
-/// Longest step of the clock, in milliseconds: short enough that no key expires in a run.
+/// Maximum clock step in milliseconds; short enough that no key expires during a run.
 const STEP_MS: u64 = 600;
 
 fn settlement() -> impl Strategy<Value = Settlement> {
@@ -58,31 +58,32 @@
 }
 
 fn order_command() -> impl Strategy<Value = Command> {
-    let submit = (0..3_u8, 0..6_u64, 0..4_u64, 0..3_u8).prop_map(|(who, number, version, text)| {
-        let text = text.to_string();
-        Command::Submit(Submit {
-            operator: OperatorName::new(&who.to_string()),
-            operation: OperationNumber(number),
-            expected: Version(version),
-            hash: text.as_str().into(),
-            text: text.into(),
-        })
-    });
-    let centre = (0..3_u8, 0..6_u64, any::<bool>()).prop_map(|(who, number, out)| {
+    let submit =
+        (0..3_u8, 0..6_u64, 0..4_u64, 0..3_u8).prop_map(|(operator, number, version, text)| {
+            let text = text.to_string();
+            Command::Submit(Submit {
+                operator: OperatorName::new(&operator.to_string()),
+                operation: OperationNumber(number),
+                expected: Version(version),
+                hash: text.as_str().into(),
+                text: text.into(),
+            })
+        });
+    let centre = (0..3_u8, 0..6_u64, any::<bool>()).prop_map(|(operator, number, taken_out)| {
         Command::Centre(CentreOrder {
-            operator: OperatorName::new(&who.to_string()),
+            operator: OperatorName::new(&operator.to_string()),
             operation: OperationNumber(number),
             centre: CentreName::new("yatsushiro"),
-            state: if out { CentreState::TakenOut } else { CentreState::InService },
+            state: if taken_out { CentreState::TakenOut } else { CentreState::InService },
         })
     });
     let fence = proptest::strategy::Just(Command::Fence(TargetName::new("engine-1")));
     prop_oneof![submit, centre, fence]
 }
 
-/// What is known outside about one key.
+/// What callers have been told about one key.
 #[derive(Clone, Default)]
-struct Told {
+struct Observed {
     holder: Option<RequestId>,
     attempt: u16,
     unknown: bool,
@@ -93,40 +94,40 @@
     #[test]
     fn one_grant_at_a_time(commands in vec((0..STEP_MS, claim_command()), 1..80)) {
         let mut driver = Driver::default();
-        let mut told = vec![Told::default(); 2];
+        let mut observed = vec![Observed::default(); 2];
         for (step, command) in commands {
             driver.now += step;
             let outcome = driver.apply(command.clone());
             let (key, by) = match &command {
                 Command::Claim(claim) => (&claim.key, &claim.claimant),
                 Command::Settle(settle) => (&settle.key, &settle.claimant),
-                other => panic!("not about a claim: {other:?}"),
+                other => panic!("unexpected command: {other:?}"),
             };
-            let told = &mut told[key.key.parse::<usize>().unwrap()];
+            let observed = &mut observed[key.key.parse::<usize>().unwrap()];
             match (command.clone(), outcome) {
                 (_, Outcome::Claim(ClaimOutcome::Granted)) => {
-                    let other = told.holder.is_some_and(|h| {
-                        (h, told.attempt) != (by.request, by.attempt.0)
+                    let other = observed.holder.is_some_and(|h| {
+                        (h, observed.attempt) != (by.request, by.attempt.0)
                     });
                     prop_assert!(!other, "granted to a second claimant");
-                    prop_assert!(!told.unknown, "granted after unknown was told");
-                    prop_assert!(told.answer.is_none(), "granted after an answer");
-                    told.holder = Some(by.request);
-                    told.attempt = by.attempt.0;
+                    prop_assert!(!observed.unknown, "granted after unknown was reported");
+                    prop_assert!(observed.answer.is_none(), "granted after an answer");
+                    observed.holder = Some(by.request);
+                    observed.attempt = by.attempt.0;
                 }
-                (_, Outcome::Claim(ClaimOutcome::Unknown)) => told.unknown = true,
+                (_, Outcome::Claim(ClaimOutcome::Unknown)) => observed.unknown = true,
                 (_, Outcome::Claim(ClaimOutcome::Done(answer))) => {
-                    prop_assert_eq!(Some(answer), told.answer.clone());
+                    prop_assert_eq!(Some(answer), observed.answer.clone());
                 }
                 (Command::Settle(settle), Outcome::Settle(SettleOutcome::Recorded)) => {
                     match settle.settlement {
                         Settlement::Released => {
-                            prop_assert!(!told.unknown, "released after unknown was told");
-                            prop_assert!(told.answer.is_none(), "released after an answer");
-                            told.holder = None;
+                            prop_assert!(!observed.unknown, "released after unknown was reported");
+                            prop_assert!(observed.answer.is_none(), "released after an answer");
+                            observed.holder = None;
                         }
-                        Settlement::Done(answer) => told.answer = Some(answer),
-                        Settlement::Unknown => told.unknown = true,
+                        Settlement::Done(answer) => observed.answer = Some(answer),
+                        Settlement::Unknown => observed.unknown = true,
                     }
                 }
                 _ => {}
@@ -141,22 +142,22 @@
             1..80,
         ),
     ) {
-        let mut whole = Driver::default();
+        let mut continuous = Driver::default();
         let mut restored = Driver::default();
-        let mut published = whole.state.published();
+        let mut published = continuous.state.published();
         for (at, restore, command) in commands {
-            whole.now = u64::from(at) * 1_000;
-            restored.now = whole.now;
-            prop_assert_eq!(whole.apply(command.clone()), restored.apply(command));
+            continuous.now = u64::from(at) * 1_000;
+            restored.now = continuous.now;
+            prop_assert_eq!(continuous.apply(command.clone()), restored.apply(command));
             if restore {
                 restored.restore();
             }
-            let next = whole.state.published();
+            let next = continuous.state.published();
             prop_assert!(next.version >= published.version && next.index >= published.index);
             prop_assert!(next == published || next.index > published.index);
             published = next;
         }
-        prop_assert_eq!(whole.state.published(), restored.state.published());
-        prop_assert_eq!(snapshot(&whole.state), snapshot(&restored.state));
+        prop_assert_eq!(continuous.state.published(), restored.state.published());
+        prop_assert_eq!(snapshot(&continuous.state), snapshot(&restored.state));
     }
 }
--- a/hawthornkeel_core/tests/claim_rules.rs
+++ b/hawthornkeel_core/tests/claim_rules.rs
@@ -1,4 +1,4 @@
-//! Claims: who may run a stage that runs at most once, and what everybody else is told.
+//! Rules of claims: which attempt may run a non-idempotent stage, and what other attempts get.
 
 mod state_common;
 
@@ -27,8 +27,8 @@
 
 const YEAR_MS: u64 = 365 * 24 * 3600 * 1000;
 
-/// Lets `millis` pass with commands often enough that all of it counts.
-fn pass(driver: &mut Driver, millis: u64) {
+/// Advances the clock by `millis` in steps of at most [`MAX_STEP`], so that all of it counts.
+fn advance(driver: &mut Driver, millis: u64) {
     let step = u64::try_from(MAX_STEP.as_millis()).unwrap();
     let end = driver.now + millis;
     while driver.now < end {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn resent_claim_granted_to_same_attempt_only() {
+fn retried_claim_granted_to_same_attempt_only() {
     let mut driver = Driver::default();
     assert_eq!(driver.claim("lot-7", 1, &claimant(1, 0)), ClaimOutcome::Granted);
     assert_eq!(driver.claim("lot-7", 1, &claimant(1, 0)), ClaimOutcome::Granted);
@@ -49,9 +49,9 @@
 }
 
 #[test]
-fn keys_stand_apart() {
+fn different_keys_do_not_collide() {
     let mut driver = Driver::default();
-    // The last two would have the same bytes without a mark where the workspace ends.
+    // The last two would be hashed as equal bytes without the length prefix of the workspace.
     let keys = [
         ("ab", "c", 0),
         ("a", "bc", 0),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn other_body_is_mismatch() {
+fn different_body_is_mismatch() {
     let mut driver = Driver::default();
     driver.claim("lot-7", 1, &claimant(1, 0));
     assert_eq!(driver.claim("lot-7", 2, &claimant(2, 0)), ClaimOutcome::Mismatch);
@@ -100,13 +100,13 @@
 }
 
 #[test]
-fn released_key_is_claimed_anew() {
+fn released_key_can_be_reclaimed() {
     let mut driver = Driver::default();
     driver.claim("lot-7", 1, &claimant(1, 0));
     driver.settle("lot-7", &claimant(1, 0), Settlement::Released);
     assert_eq!(driver.claim("lot-7", 2, &claimant(2, 0)), ClaimOutcome::Granted);
     let late = driver.settle("lot-7", &claimant(1, 0), Settlement::Released);
-    assert_eq!(late, SettleOutcome::Refused, "the claim is another's by now");
+    assert_eq!(late, SettleOutcome::Refused, "another attempt owns the claim now");
     assert_eq!(driver.claim("lot-7", 2, &claimant(3, 0)), ClaimOutcome::Held(claimant(2, 0)));
 }
 
@@ -125,13 +125,13 @@
 }
 
 #[test]
-fn lapsed_claim_is_unknown_for_good() {
+fn overdue_claim_stays_unknown() {
     let mut driver = Driver::default();
     driver.claim("lot-7", 1, &claimant(1, 0));
     driver.now += SETTLE_MS;
     assert_eq!(driver.claim("lot-7", 1, &claimant(2, 0)), ClaimOutcome::Unknown);
     let released = driver.settle("lot-7", &claimant(1, 0), Settlement::Released);
-    assert_eq!(released, SettleOutcome::Refused, "somebody was told that it may have run");
+    assert_eq!(released, SettleOutcome::Refused, "unknown has already been reported");
     assert_eq!(driver.claim("lot-7", 1, &claimant(1, 0)), ClaimOutcome::Unknown);
     driver.settle("lot-7", &claimant(1, 0), done("signed"));
     let replayed = ClaimOutcome::Done(Bytes::from_static(b"signed"));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn lapsed_claim_released_while_nobody_was_told() {
+fn overdue_claim_can_be_released_before_next_claim() {
     let mut driver = Driver::default();
     driver.claim("lot-7", 1, &claimant(1, 0));
     driver.now += 5 * SETTLE_MS;
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn clock_stepping_back_does_not_revive_a_claim() {
+fn clock_step_back_does_not_extend_claim() {
     let mut driver = Driver { now: 100_000, ..Driver::default() };
     driver.claim("lot-7", 1, &claimant(1, 0));
     driver.now = 10_000;
@@ -183,7 +183,11 @@
     let replayed = ClaimOutcome::Done(Bytes::from_static(b"signed"));
     assert_eq!(driver.claim("lot-7", 1, &claimant(3, 0)), replayed);
     driver.now += SETTLE_MS;
-    assert_eq!(driver.claim("lot-8", 1, &claimant(3, 0)), ClaimOutcome::Unknown, "time goes on");
+    assert_eq!(
+        driver.claim("lot-8", 1, &claimant(3, 0)),
+        ClaimOutcome::Unknown,
+        "the clock advances again"
+    );
 }
 
 #[test]
@@ -192,28 +196,28 @@
     let mut driver = Driver::default();
     driver.claim("lot-7", 1, &claimant(1, 0));
     driver.settle("lot-7", &claimant(1, 0), done("signed"));
-    pass(&mut driver, window - 1);
+    advance(&mut driver, window - 1);
     let replayed = ClaimOutcome::Done(Bytes::from_static(b"signed"));
     assert_eq!(driver.claim("lot-7", 1, &claimant(2, 0)), replayed);
-    pass(&mut driver, 1);
+    advance(&mut driver, 1);
     assert!(driver.state.claims().is_empty());
     assert_eq!(driver.state.claims().answer_bytes(), 0);
 }
 
 #[test]
-fn key_claimed_anew_keeps_its_whole_window() {
+fn reclaimed_key_gets_a_full_window() {
     let window = u64::try_from(CLAIM_WINDOW.as_millis()).unwrap();
     let mut driver = Driver::default();
     driver.claim("lot-7", 1, &claimant(1, 0));
     driver.settle("lot-7", &claimant(1, 0), Settlement::Released);
-    pass(&mut driver, window - 1);
+    advance(&mut driver, window - 1);
     driver.claim("lot-7", 1, &claimant(2, 0));
     driver.settle("lot-7", &claimant(2, 0), done("signed"));
     driver.restore();
-    pass(&mut driver, window - 1);
+    advance(&mut driver, window - 1);
     let replayed = ClaimOutcome::Done(Bytes::from_static(b"signed"));
     assert_eq!(driver.claim("lot-7", 1, &claimant(3, 0)), replayed);
-    pass(&mut driver, window);
+    advance(&mut driver, window);
     assert!(driver.state.claims().is_empty());
 }
 
@@ -234,7 +238,7 @@
     assert_eq!(driver.claim("lot-0", 1, &claimant(9_999, 0)), ClaimOutcome::DoneDropped);
     assert_eq!(driver.claim("lot-1", 1, &claimant(9_999, 0)), ClaimOutcome::Done(answer));
     let again = driver.settle("lot-0", &claimant(0, 0), done("signed"));
-    assert_eq!(again, SettleOutcome::Recorded, "it ran, whatever the answer was");
+    assert_eq!(again, SettleOutcome::Recorded, "only the fact that it ran is stored");
 }
 
 #[test]
@@ -258,7 +262,7 @@
 }
 
 #[test]
-fn large_answer_is_not_kept() {
+fn large_answer_is_not_stored() {
     let mut driver = Driver::default();
     driver.claim("lot-7", 1, &claimant(1, 0));
     let answer = Bytes::from(vec![b'a'; MAX_ANSWER + 1]);
@@ -268,7 +272,7 @@
 }
 
 #[test]
-fn full_table_records_nothing() {
+fn claims_beyond_limit_are_not_stored() {
     let mut driver = Driver::default();
     for number in 0..MAX_CLAIMS {
         driver.claim(&number.to_string(), 1, &claimant(number as u128, 0));
--- a/hawthornkeel_core/tests/document_races.rs
+++ b/hawthornkeel_core/tests/document_races.rs
@@ -1,4 +1,4 @@
-//! Submissions of the environment document: races, resends and versions.
+//! Submissions of the environment document: races, retries and versions.
 
 mod state_common;
 
@@ -13,9 +13,15 @@
 use hawthornkeel_core::state::history::MAX_OPERATIONS;
 use state_common::Driver;
 
-fn submit(driver: &mut Driver, who: &str, number: u64, expected: u64, text: &str) -> SubmitOutcome {
+fn submit(
+    driver: &mut Driver,
+    operator: &str,
+    number: u64,
+    expected: u64,
+    text: &str,
+) -> SubmitOutcome {
     let command = Command::Submit(Submit {
-        operator: OperatorName::new(who),
+        operator: OperatorName::new(operator),
         operation: OperationNumber(number),
         expected: Version(expected),
         text: text.into(),
@@ -23,7 +29,7 @@
     });
     match driver.apply(command) {
         Outcome::Submit(outcome) => outcome,
-        other => panic!("not a submission's outcome: {other:?}"),
+        other => panic!("unexpected outcome of a submission: {other:?}"),
     }
 }
 
@@ -31,9 +37,9 @@
     SubmitOutcome::Accepted(Version(version))
 }
 
-fn lost_to(who: &str, number: u64, version: u64, text: &str) -> SubmitOutcome {
+fn conflict_with(operator: &str, number: u64, version: u64, text: &str) -> SubmitOutcome {
     SubmitOutcome::Conflict(AcceptedSubmission {
-        operator: OperatorName::new(who),
+        operator: OperatorName::new(operator),
         operation: OperationNumber(number),
         version: Version(version),
         hash: format!("hash of {text}").into(),
@@ -41,26 +47,26 @@
 }
 
 #[test]
-fn equal_numbers_have_one_winner() {
+fn reused_number_conflicts() {
     let mut driver = Driver::default();
     assert_eq!(submit(&mut driver, "mori", 1, 0, "a"), accepted(1));
-    assert_eq!(submit(&mut driver, "ueda", 1, 0, "b"), lost_to("mori", 1, 1, "a"));
-    assert_eq!(submit(&mut driver, "ueda", 1, 1, "b"), lost_to("mori", 1, 1, "a"));
-    assert_eq!(submit(&mut driver, "mori", 1, 1, "c"), lost_to("mori", 1, 1, "a"));
+    assert_eq!(submit(&mut driver, "ueda", 1, 0, "b"), conflict_with("mori", 1, 1, "a"));
+    assert_eq!(submit(&mut driver, "ueda", 1, 1, "b"), conflict_with("mori", 1, 1, "a"));
+    assert_eq!(submit(&mut driver, "mori", 1, 1, "c"), conflict_with("mori", 1, 1, "a"));
     assert_eq!(&*driver.state.published().text, "a");
 }
 
 #[test]
-fn equal_versions_have_one_winner() {
+fn replaced_version_conflicts() {
     let mut driver = Driver::default();
     assert_eq!(submit(&mut driver, "mori", 1, 0, "a"), accepted(1));
     assert_eq!(submit(&mut driver, "mori", 2, 1, "b"), accepted(2));
-    assert_eq!(submit(&mut driver, "ueda", 3, 1, "c"), lost_to("mori", 2, 2, "b"));
+    assert_eq!(submit(&mut driver, "ueda", 3, 1, "c"), conflict_with("mori", 2, 2, "b"));
     assert_eq!(&*driver.state.published().text, "b");
 }
 
 #[test]
-fn resend_gets_first_outcome() {
+fn retry_gets_first_outcome() {
     let mut driver = Driver::default();
     submit(&mut driver, "mori", 1, 0, "a");
     submit(&mut driver, "ueda", 2, 1, "b");
@@ -68,23 +74,23 @@
     assert_eq!(submit(&mut driver, "mori", 1, 0, "a"), accepted(1));
     let published = driver.state.published();
     assert_eq!((published.version, &*published.text), (Version(2), "b"));
-    assert_eq!(published.index.0, 2, "a resend changes nothing");
+    assert_eq!(published.index.0, 2, "a retry changes nothing");
 }
 
 #[test]
-fn delayed_copy_of_loser_never_wins() {
+fn delayed_duplicate_stays_rejected() {
     let mut driver = Driver::default();
     submit(&mut driver, "mori", 1, 0, "a");
-    assert_eq!(submit(&mut driver, "ueda", 2, 2, "early"), lost_to("mori", 1, 1, "a"));
+    assert_eq!(submit(&mut driver, "ueda", 2, 2, "early"), conflict_with("mori", 1, 1, "a"));
     submit(&mut driver, "mori", 3, 1, "b");
-    assert_eq!(submit(&mut driver, "ueda", 2, 2, "early"), lost_to("mori", 1, 1, "a"));
+    assert_eq!(submit(&mut driver, "ueda", 2, 2, "early"), conflict_with("mori", 1, 1, "a"));
     assert_eq!(&*driver.state.published().text, "b");
 }
 
 #[test]
 fn history_is_bounded() {
     let mut driver = Driver::default();
-    // From three times the bound on, every number is encoded in as many bytes.
+    // Numbers from three times the limit on are all encoded in the same number of bytes.
     let total = MAX_OPERATIONS as u64 * 3;
     for number in 0..total {
         assert_eq!(submit(&mut driver, "mori", number, number, "a"), accepted(number + 1));
@@ -94,6 +100,6 @@
         assert_eq!(submit(&mut driver, "mori", number, number, "a"), accepted(number + 1));
     }
     assert_eq!(state_common::snapshot(&driver.state).len(), size);
-    let forgotten = submit(&mut driver, "mori", 0, 0, "a");
-    assert_eq!(forgotten, lost_to("mori", total + 99, total + 100, "a"));
+    let evicted = submit(&mut driver, "mori", 0, 0, "a");
+    assert_eq!(evicted, conflict_with("mori", total + 99, total + 100, "a"));
 }
--- a/hawthornkeel_core/tests/highest_version.rs
+++ b/hawthornkeel_core/tests/highest_version.rs
@@ -1,4 +1,4 @@
-//! Documents that their operators number: the highest number is in force.
+//! Documents with versions chosen by operators: the highest version is current.
 
 use std::sync::Arc;
 
@@ -27,8 +27,8 @@
 #[rstest]
 #[case::lower(4, "old")]
 #[case::same(5, "other")]
-#[case::resent(5, "five")]
-fn no_effect(#[case] version: u64, #[case] text: &str) {
+#[case::duplicate(5, "five")]
+fn not_higher_ignored(#[case] version: u64, #[case] text: &str) {
     let mut state = State::default();
     assert_eq!(replace(&mut state, 1, 5, "five"), Outcome::Replace(Version(5)));
     assert_eq!(replace(&mut state, 2, version, text), Outcome::Replace(Version(5)));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn uneven_steps() {
+fn version_gaps() {
     let mut state = State::default();
     for (index, version) in [(1, 3), (2, 9), (3, 7), (4, 40)] {
         replace(&mut state, index, version, &version.to_string());
--- a/hawthornkeel_core/tests/order_fencing.rs
+++ b/hawthornkeel_core/tests/order_fencing.rs
@@ -1,4 +1,4 @@
-//! Orders to targets across a change of leaders.
+//! Orders to targets across leader changes.
 
 use std::time::Duration;
 
@@ -19,23 +19,23 @@
 }
 
 #[test]
-fn new_leader_waits_where_numbers_are_ignored() {
+fn new_leader_waits_if_numbers_are_ignored() {
     let mut gate = OrderGate::new(SETTINGS);
     let leading = Some(Term(7));
-    let clear = START + Duration::from_secs(6);
+    let safe_from = START + Duration::from_secs(6);
     let early = gate.begin(START, leading, &target(), Fencing::Ignored);
-    assert_eq!(early, Err(OrderError::NotBefore(clear)));
-    assert_eq!(gate.begin(clear, leading, &target(), Fencing::Ignored), Ok(()));
+    assert_eq!(early, Err(OrderError::NotBefore(safe_from)));
+    assert_eq!(gate.begin(safe_from, leading, &target(), Fencing::Ignored), Ok(()));
 }
 
 #[test]
-fn new_leader_orders_at_once_where_numbers_are_checked() {
+fn new_leader_sends_at_once_if_numbers_are_checked() {
     let mut gate = OrderGate::new(SETTINGS);
     assert_eq!(gate.begin(START, Some(Term(7)), &target(), Fencing::Checked), Ok(()));
 }
 
 #[test]
-fn wait_begins_anew_with_each_term() {
+fn wait_restarts_with_each_term() {
     let mut gate = OrderGate::new(SETTINGS);
     gate.observe(START, Some(Term(7)));
     gate.observe(START + Duration::from_secs(1), None);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn instance_without_the_lease_orders_nothing() {
+fn instance_without_lease_sends_nothing() {
     let mut gate = OrderGate::new(SETTINGS);
     gate.observe(START, Some(Term(7)));
     let later = START + Duration::from_secs(60);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn orders_to_one_target_follow_each_other() {
+fn orders_to_one_target_are_serialised() {
     let mut gate = OrderGate::new(SETTINGS);
     let leading = Some(Term(7));
     assert_eq!(gate.begin(START, leading, &target(), Fencing::Checked), Ok(()));
--- a/hawthornkeel_core/tests/request_run.rs
+++ b/hawthornkeel_core/tests/request_run.rs
@@ -1,4 +1,4 @@
-//! Progress of a request: retries, claims and what a refusal says.
+//! State machine of a request: retries, claims and the run status in refusals.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -41,14 +41,14 @@
     })
 }
 
-/// Brings a request up to the dispatch of its first stage.
+/// Advances a request to the dispatch of its first stage.
 fn dispatch(run: &mut PipelineRun, claimed: bool) -> Vec<Action> {
     run.handle(NOW, Input::Started);
     let actions = run.handle(NOW, Input::Routed);
     if !claimed {
         return actions;
     }
-    assert!(matches!(actions[..], [Action::Claim(_)]), "claims before dispatch: {actions:?}");
+    assert!(matches!(actions[..], [Action::Claim(_)]), "no claim before the dispatch: {actions:?}");
     run.handle(NOW, Input::Claimed(ClaimOutcome::Granted))
 }
 
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn answer_to_older_attempt_is_ignored() {
+fn answer_to_earlier_attempt_is_ignored() {
     let mut run = run(vec![stage("read", true)], None);
     let first = dispatch(&mut run, false);
     fail(&mut run, &first, CallFailure::ProgressTimeout);
@@ -129,7 +129,7 @@
 #[rstest]
 #[case(CallFailure::NotSent)]
 #[case(CallFailure::Declined)]
-fn claimed_call_that_did_not_run_is_sent_under_the_same_claim(#[case] failure: CallFailure) {
+fn claimed_call_that_did_not_run_is_retried_under_the_same_claim(#[case] failure: CallFailure) {
     let mut run = run(vec![stage("sign", false)], Some("k"));
     let actions = dispatch(&mut run, true);
     let next = fail(&mut run, &actions, failure);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn release_is_recorded_before_the_caller_hears_not_run() {
+fn release_is_recorded_before_not_run_is_reported() {
     let mut run = run(vec![stage("sign", false)], Some("k"));
     let actions = dispatch(&mut run, true);
     fail(&mut run, &actions, CallFailure::NotSent);
@@ -170,7 +170,7 @@
 #[case(ClaimOutcome::Unknown, RefusalCode::OutcomeUnknown, RunStatus::Unknown)]
 #[case(ClaimOutcome::DoneDropped, RefusalCode::OutcomeUnknown, RunStatus::Done)]
 #[case(ClaimOutcome::Mismatch, RefusalCode::KeyReused, RunStatus::NotRun)]
-fn resend_is_told_the_truth(
+fn duplicate_request_gets_run_status(
     #[case] outcome: ClaimOutcome,
     #[case] code: RefusalCode,
     #[case] ran: RunStatus,
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn resend_replays_the_recorded_answer() {
+fn duplicate_request_gets_recorded_answer() {
     let mut run = run(vec![stage("sign", false)], Some("k"));
     run.handle(NOW, Input::Started);
     run.handle(NOW, Input::Routed);
@@ -203,10 +203,10 @@
 }
 
 #[test]
-fn caller_leaving_cancels_only_what_may_be_repeated() {
-    let mut repeatable = run(vec![stage("read", true)], None);
-    dispatch(&mut repeatable, false);
-    let actions = repeatable.handle(NOW, Input::CallerDisconnected);
+fn disconnect_cancels_only_idempotent_calls() {
+    let mut idempotent = run(vec![stage("read", true)], None);
+    dispatch(&mut idempotent, false);
+    let actions = idempotent.handle(NOW, Input::CallerDisconnected);
     assert!(matches!(actions[0], Action::Cancel(_)));
 
     let mut claimed = run(vec![stage("sign", false)], Some("k"));
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn request_without_time_is_refused_before_any_dispatch() {
+fn unreachable_deadline_is_refused_before_any_dispatch() {
     let mut run = run(vec![stage("read", true)], None);
     let late = NOW + Duration::from_millis(7_995);
     let last = run.handle(late, Input::Started);
@@ -224,14 +224,14 @@
 }
 
 #[test]
-fn missing_key_is_refused_where_a_stage_may_not_be_repeated() {
+fn missing_key_is_refused_for_non_idempotent_stage() {
     let mut run = run(vec![stage("sign", false)], None);
     let last = run.handle(NOW, Input::Started);
     assert_eq!(refusal(&last), (RefusalCode::KeyRequired, RunStatus::NotRun));
 }
 
 #[test]
-fn refusals_leave_the_attempts_that_may_run() {
+fn refused_attempts_are_not_counted() {
     let mut run = run(vec![stage("read", true)], None);
     let mut actions = dispatch(&mut run, false);
     for _ in 0..5 {
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn endless_refusals_end() {
+fn repeated_refusals_end() {
     let mut run = run(vec![stage("read", true)], None);
     let mut actions = dispatch(&mut run, false);
     let mut count = 0;
@@ -252,6 +252,6 @@
         fail(&mut run, &actions, CallFailure::Refused);
         actions = run.handle(NOW, Input::Routed);
         count += 1;
-        assert!(count < 100, "refusals are retried without end");
+        assert!(count < 100, "refused calls are retried forever");
     }
 }
--- a/hawthornkeel_core/tests/state_common/mod.rs
+++ b/hawthornkeel_core/tests/state_common/mod.rs
@@ -1,4 +1,4 @@
-//! Builders of commands for the tests of the replicated state.
+//! Test driver and command builders for tests of the replicated state.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -23,10 +23,10 @@
 use hawthornkeel_core::state::command::TimestampedCommand;
 use hawthornkeel_core::time::WallTime;
 
-/// Time that a claim has to settle, in milliseconds.
+/// Settle time of a claim, in milliseconds.
 pub const SETTLE_MS: u64 = 1_000;
 
-/// State with a clock and a log position that tests move.
+/// Replicated state with a clock that tests set and a log index that increases with each command.
 #[derive(Default)]
 pub struct Driver {
     pub state: State,
@@ -37,21 +37,21 @@
 impl Driver {
     pub fn apply(&mut self, command: Command) -> Outcome {
         self.index += 1;
-        let stamped = TimestampedCommand { timestamp: WallTime::from_millis(self.now), command };
-        self.state.apply(LogIndex(self.index), &stamped)
+        let command = TimestampedCommand { timestamp: WallTime::from_millis(self.now), command };
+        self.state.apply(LogIndex(self.index), &command)
     }
 
     pub fn claim(&mut self, key: &str, digest: u64, claimant: &Claimant) -> ClaimOutcome {
         match self.apply(claim(key, digest, claimant)) {
             Outcome::Claim(outcome) => outcome,
-            other => panic!("not a claim's outcome: {other:?}"),
+            other => panic!("unexpected outcome of a claim: {other:?}"),
         }
     }
 
     pub fn settle(&mut self, key: &str, by: &Claimant, settlement: Settlement) -> SettleOutcome {
         match self.apply(settle(key, by, settlement)) {
             Outcome::Settle(outcome) => outcome,
-            other => panic!("not a settlement's outcome: {other:?}"),
+            other => panic!("unexpected outcome of a settlement: {other:?}"),
         }
     }
 
