--- a/hawthornkeel/benches/token_path.rs
+++ b/hawthornkeel/benches/token_path.rs
@@ -37,7 +37,7 @@
 use hawthornkeel_core::document::Workspace;
 use hawthornkeel_core::ids::Version;
 use hawthornkeel_core::lease::LeaseSettings;
-use hawthornkeel_core::routing::types::Liveness;
+use hawthornkeel_core::routing::types::Lifecycle;
 use hawthornkeel_core::routing::types::TargetInfo;
 use hawthornkeel_fakes::behaviour::Behaviour;
 use hawthornkeel_fakes::raw::RawCaller;
@@ -406,7 +406,7 @@
             address: Arc::from(engine.to_string()),
             pool: "engines".into(),
             centre: "bench".into(),
-            liveness: Liveness::Live,
+            lifecycle: Lifecycle::Live,
         }];
         *context.targets.borrow_mut() = targets.clone();
         apply_document(&context, Version(1), document());
--- a/hawthornkeel/src/entry/call.rs
+++ b/hawthornkeel/src/entry/call.rs
@@ -116,7 +116,7 @@
         .address
         .parse()
         .map_err(|_| CallError::NotSent("address can't be parsed".to_owned()))?;
-    let until = permit.permit().map_or(Instant::ZERO, |p| p.until);
+    let until = permit.permit().map_or(Instant::ZERO, |p| p.deadline);
     let left = context.clock.until(until);
     if left.is_zero() {
         return Err(CallError::NotSent("permit expired".to_owned()));
@@ -142,8 +142,8 @@
 /// the target may be granted to another call then.
 fn longest(context: &Context, permit: &HeldPermit, plan: &CallPlan) -> Duration {
     let late = context.clock.until(plan.deadline) + LATE_ANSWER;
-    let grant_end = permit.permit().and_then(|p| p.grant_end);
-    grant_end.map_or(late, |end| late.min(context.clock.until(end)))
+    let grant_expiry = permit.permit().and_then(|p| p.grant_expiry);
+    grant_expiry.map_or(late, |end| late.min(context.clock.until(end)))
 }
 
 /// Returns the time without a byte after which a call counts as silent.
--- a/hawthornkeel/src/entry/context.rs
+++ b/hawthornkeel/src/entry/context.rs
@@ -131,7 +131,7 @@
             return Some("no targets known yet");
         }
         let waited = self.ready_by.get().is_some_and(|by| self.clock.now() >= by);
-        if !waited && !self.router.borrow().knows_issuer() {
+        if !waited && !self.router.borrow().has_issuer() {
             return Some("no issuer of grants heard yet");
         }
         None
@@ -182,7 +182,7 @@
     pub fn give_back(&self, decision: Decision) {
         if let Decision::Send { permit, .. } = decision {
             let now = self.clock.now();
-            self.router.borrow_mut().finished(now, permit, CallOutcome::Cancelled);
+            self.router.borrow_mut().finish_call(now, permit, CallOutcome::Cancelled);
         }
     }
 }
--- a/hawthornkeel/src/entry/controllers/lease.rs
+++ b/hawthornkeel/src/entry/controllers/lease.rs
@@ -184,7 +184,7 @@
 
 fn take_grant(context: &Rc<Context>, message: &GrantMessage) {
     let now = context.clock.now();
-    context.router.borrow_mut().handle_grant(now, message);
+    context.router.borrow_mut().handle_message(now, message);
     context.pump();
 }
 
--- a/hawthornkeel/src/entry/controllers/load.rs
+++ b/hawthornkeel/src/entry/controllers/load.rs
@@ -68,7 +68,7 @@
 fn known_targets(context: &Context) -> Vec<TargetInfo> {
     let router = context.router.borrow();
     let targets = context.targets.borrow();
-    targets.iter().filter(|t| router.knows(&t.name)).cloned().collect()
+    targets.iter().filter(|t| router.in_subset(&t.name)).cloned().collect()
 }
 
 async fn poll(context: Rc<Context>, target: TargetInfo) {
--- a/hawthornkeel/src/entry/controllers/targets.rs
+++ b/hawthornkeel/src/entry/controllers/targets.rs
@@ -8,7 +8,7 @@
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::PoolName;
 use hawthornkeel_core::names::TargetName;
-use hawthornkeel_core::routing::types::Liveness;
+use hawthornkeel_core::routing::types::Lifecycle;
 use hawthornkeel_core::routing::types::TargetInfo;
 use hawthornkeel_core::time::Instant;
 use serde::Deserialize;
@@ -36,7 +36,7 @@
     pool: PoolName,
     data_centre: CentreName,
     #[serde(default)]
-    state: Liveness,
+    state: Lifecycle,
 }
 
 /// Polls until the process ends.
@@ -84,7 +84,7 @@
             address: Arc::from(self.address.to_string()),
             pool: self.pool,
             centre: self.data_centre,
-            liveness: self.state,
+            lifecycle: self.state,
         }
     }
 }
--- a/hawthornkeel/src/entry/drive/calls.rs
+++ b/hawthornkeel/src/entry/drive/calls.rs
@@ -7,7 +7,7 @@
 use hawthornkeel_core::request::event::Input;
 use hawthornkeel_core::request::failure::CallFailure;
 use hawthornkeel_core::request::failure::Evidence;
-use hawthornkeel_core::routing::types::Repeat;
+use hawthornkeel_core::routing::types::AttemptKind;
 use hawthornkeel_core::state::command::ClaimOutcome;
 
 use crate::entry::call::CallPlan;
@@ -68,15 +68,15 @@
 
     fn next_stage(&mut self) {
         self.excluded.clear();
-        self.repeat = Repeat::First;
+        self.repeat = AttemptKind::First;
         self.text.borrow_mut().clear();
     }
 }
 
 /// Returns how the next attempt repeats the stage after `failure`.
-fn repeat_after(failure: CallFailure, before: Repeat) -> Repeat {
+fn repeat_after(failure: CallFailure, before: AttemptKind) -> AttemptKind {
     match (failure.evidence(), before) {
-        (Evidence::MayHaveRun, _) | (_, Repeat::MayHaveRun) => Repeat::MayHaveRun,
-        (Evidence::DidNotRun, _) => Repeat::NotRun,
+        (Evidence::MayHaveRun, _) | (_, AttemptKind::Retry) => AttemptKind::Retry,
+        (Evidence::DidNotRun, _) => AttemptKind::SafeRetry,
     }
 }
--- a/hawthornkeel/src/entry/drive/hedge.rs
+++ b/hawthornkeel/src/entry/drive/hedge.rs
@@ -6,8 +6,8 @@
 use hawthornkeel_core::names::TargetName;
 use hawthornkeel_core::request::event::Input;
 use hawthornkeel_core::request::failure::CallFailure;
+use hawthornkeel_core::routing::types::AttemptKind;
 use hawthornkeel_core::routing::types::Permit;
-use hawthornkeel_core::routing::types::Repeat;
 use hawthornkeel_core::routing::types::StageRequest;
 use hawthornkeel_core::time::Instant;
 
@@ -43,7 +43,7 @@
 impl Drive {
     /// Notes when a hedge of call `id`, to be made under `permit`, is due.
     pub(super) fn set_timer(&mut self, id: CallId, permit: Option<&Permit>) {
-        let after = permit.and_then(|p| self.context.router.borrow().hedge_after(p));
+        let after = permit.and_then(|p| self.context.router.borrow().hedge_delay(p));
         let now = self.context.clock.now();
         self.timer = after.map(|after| Timer { call: id, due: now + after });
     }
@@ -97,7 +97,7 @@
     fn hedge_request(&self, id: CallId) -> Option<StageRequest> {
         let request = self.stage_request(id.stage, id.attempt)?;
         let excluded = self.excluded.iter().chain(&self.called).cloned().collect();
-        Some(StageRequest { excluded, repeat: Repeat::Hedge, ..request })
+        Some(StageRequest { excluded, kind: AttemptKind::Hedge, ..request })
     }
 
     /// Returns the plan of a call that shares nothing received with the first one.
--- a/hawthornkeel/src/entry/drive/mod.rs
+++ b/hawthornkeel/src/entry/drive/mod.rs
@@ -20,7 +20,7 @@
 use hawthornkeel_core::request::refusal::Refusal;
 use hawthornkeel_core::request::run::Run;
 use hawthornkeel_core::routing::types::Admission;
-use hawthornkeel_core::routing::types::Repeat;
+use hawthornkeel_core::routing::types::AttemptKind;
 use hawthornkeel_core::routing::types::RequestPlan;
 use hawthornkeel_core::state::command::Claim;
 use hawthornkeel_core::state::command::Settle;
@@ -61,7 +61,7 @@
     chosen: Option<HeldPermit>,
     called: Option<TargetName>,
     excluded: Vec<TargetName>,
-    repeat: Repeat,
+    repeat: AttemptKind,
     operation: Option<Operation>,
     /// Time at which a hedge of the operation in progress is due.
     timer: Option<Timer>,
@@ -96,7 +96,7 @@
             chosen: None,
             called: None,
             excluded: Vec::new(),
-            repeat: Repeat::First,
+            repeat: AttemptKind::First,
             operation: None,
             timer: None,
             hedge: None,
@@ -113,7 +113,7 @@
         }
         self.run_admitted().await;
         let now = self.context.clock.now();
-        self.context.router.borrow_mut().leave(now, self.run.profile().id);
+        self.context.router.borrow_mut().finish_request(now, self.run.profile().id);
     }
 
     /// Returns the refusal of a request that can't be claimed or that the router does not admit.
--- a/hawthornkeel/src/entry/drive/routes.rs
+++ b/hawthornkeel/src/entry/drive/routes.rs
@@ -42,11 +42,11 @@
             priority: self.draft.priority,
             deadline: profile.deadline,
             floor: stage.floor(),
-            remaining: later().map(Stage::floor).sum(),
-            later: later().map(|s| s.pool.clone()).collect(),
-            prefix: Some(self.prefix_hash(&stage)),
+            later_floor: later().map(Stage::floor).sum(),
+            later_pools: later().map(|s| s.pool.clone()).collect(),
+            prefix_hash: Some(self.prefix_hash(&stage)),
             excluded: self.excluded.clone(),
-            repeat: self.repeat,
+            kind: self.repeat,
         })
     }
 
--- a/hawthornkeel/src/entry/permit.rs
+++ b/hawthornkeel/src/entry/permit.rs
@@ -42,7 +42,7 @@
     pub fn hear(&self, incarnation: Option<Incarnation>) {
         if let (Some(permit), Some(named)) = (&self.permit, incarnation) {
             let now = self.context.clock.now();
-            self.context.router.borrow_mut().named(now, permit, named);
+            self.context.router.borrow_mut().report_incarnation(now, permit, named);
         }
     }
 
@@ -63,7 +63,7 @@
     fn give_back(&mut self, outcome: CallOutcome) {
         if let Some(permit) = self.permit.take() {
             let now = self.context.clock.now();
-            self.context.router.borrow_mut().finished(now, permit, outcome);
+            self.context.router.borrow_mut().finish_call(now, permit, outcome);
             self.context.pump();
         }
     }
--- a/hawthornkeel/src/trial.rs
+++ b/hawthornkeel/src/trial.rs
@@ -13,7 +13,7 @@
 use hawthornkeel_core::ids::Version;
 use hawthornkeel_core::lease::LeaseSettings;
 use hawthornkeel_core::names::WorkspaceName;
-use hawthornkeel_core::routing::types::Liveness;
+use hawthornkeel_core::routing::types::Lifecycle;
 use hawthornkeel_core::routing::types::TargetInfo;
 use indexmap::IndexMap;
 
@@ -108,7 +108,7 @@
                 address: Arc::from(server.address().to_string()),
                 pool: pool.name.clone(),
                 centre: CENTRE.into(),
-                liveness: Liveness::Live,
+                lifecycle: Lifecycle::Live,
             });
             monoio::spawn(server.serve(builtin::handle));
         }
--- a/hawthornkeel_core/benches/decision.rs
+++ b/hawthornkeel_core/benches/decision.rs
@@ -47,7 +47,7 @@
         group.bench_function(BenchmarkId::from_parameter(size), |b| {
             b.iter(|| {
                 let permit = sent(router.choose(at(1), black_box(&call)));
-                router.finished(at(1), permit, answered());
+                router.finish_call(at(1), permit, answered());
             });
         });
     }
@@ -60,11 +60,11 @@
     for size in SIZES {
         let mut router = router(size);
         let mut call = request(1, "w");
-        (call.prefix, call.excluded) = (Some(7), vec!["t0".into()]);
+        (call.prefix_hash, call.excluded) = (Some(7), vec!["t0".into()]);
         group.bench_function(BenchmarkId::from_parameter(size), |b| {
             b.iter(|| {
                 let permit = sent(router.choose(at(1), black_box(&call)));
-                router.finished(at(1), permit, answered());
+                router.finish_call(at(1), permit, answered());
             });
         });
     }
--- a/hawthornkeel_core/benches/hedges/site.rs
+++ b/hawthornkeel_core/benches/hedges/site.rs
@@ -21,10 +21,10 @@
 use hawthornkeel_core::request::failure::CallFailure;
 use hawthornkeel_core::request::profile::Profile;
 use hawthornkeel_core::request::run::Run;
+use hawthornkeel_core::routing::AttemptKind;
 use hawthornkeel_core::routing::CallOutcome;
 use hawthornkeel_core::routing::Decision;
 use hawthornkeel_core::routing::Permit;
-use hawthornkeel_core::routing::Repeat;
 use hawthornkeel_core::routing::Router;
 use hawthornkeel_core::routing::RouterSettings;
 use hawthornkeel_core::routing::StageRequest;
@@ -181,7 +181,7 @@
             };
             let (grant, lasts) = (GrantId { issuer: out.issuer, number }, GRANT);
             let granted = GrantMessage::Granted { number, grant, target, lasts };
-            self.router.handle_grant(self.now, &granted);
+            self.router.handle_message(self.now, &granted);
         }
     }
 
@@ -221,10 +221,10 @@
         let incarnation = Some(Incarnation(1));
         let outcome = CallOutcome::Answered { latency, tokens: 0, incarnation };
         let (target, grant) = (flight.permit.target.clone(), flight.permit.grant.clone());
-        self.router.finished(self.now, flight.permit, outcome);
+        self.router.finish_call(self.now, flight.permit, outcome);
         if let Some(grant) = grant {
             let warm = GrantMessage::Warm { grant, target, incarnation };
-            self.router.handle_grant(self.now, &warm);
+            self.router.handle_message(self.now, &warm);
         }
         self.feed(call.request, Input::Answered { call, answer: Bytes::new() });
     }
@@ -245,7 +245,7 @@
         match action {
             Action::Route { stage, attempt } => {
                 let call = CallId { request: id, stage, attempt };
-                let decision = self.choose(call, Repeat::First, Vec::new());
+                let decision = self.choose(call, AttemptKind::First, Vec::new());
                 self.decided(id, decision);
             }
             Action::Dispatch { call, .. } => self.dispatch(call),
@@ -261,7 +261,7 @@
         }
     }
 
-    fn choose(&mut self, call: CallId, repeat: Repeat, excluded: Vec<TargetName>) -> Decision {
+    fn choose(&mut self, call: CallId, repeat: AttemptKind, excluded: Vec<TargetName>) -> Decision {
         let asked = StageRequest {
             call,
             workspace: "w".into(),
@@ -269,7 +269,7 @@
             deadline: self.requests[&call.request].arrived + DEADLINE,
             floor: Duration::from_millis(1),
             excluded,
-            repeat,
+            kind: repeat,
             ..StageRequest::default()
         };
         self.router.choose(self.now, &asked)
@@ -279,7 +279,7 @@
         match decision {
             Decision::Send { permit, .. } => {
                 let Some(request) = self.requests.get_mut(&id) else {
-                    return self.router.finished(self.now, permit, CallOutcome::Cancelled);
+                    return self.router.finish_call(self.now, permit, CallOutcome::Cancelled);
                 };
                 request.chosen = Some(permit);
                 self.feed(id, Input::Routed);
@@ -293,7 +293,7 @@
         let request = self.requests.get_mut(&call.request).unwrap();
         let permit = request.chosen.take().unwrap();
         request.called = Some(permit.target.clone());
-        if let Some(after) = self.router.hedge_after(&permit) {
+        if let Some(after) = self.router.hedge_delay(&permit) {
             self.after(after, Event::HedgeDue(call));
         }
         self.fly(call, permit);
@@ -301,7 +301,7 @@
 
     fn hedge(&mut self, call: CallId) {
         let called = self.requests[&call.request].called.clone();
-        let decision = self.choose(call, Repeat::Hedge, called.into_iter().collect());
+        let decision = self.choose(call, AttemptKind::Hedge, called.into_iter().collect());
         let Decision::Send { permit, .. } = decision else {
             let failure = CallFailure::NotSent;
             return self.feed(call.request, Input::Failed { call, failure, received: 0 });
@@ -334,7 +334,7 @@
         let busy = self.now.since(flight.started);
         self.totals.busy += busy;
         self.totals.lost += busy;
-        self.router.finished(self.now, flight.permit, CallOutcome::Cancelled);
+        self.router.finish_call(self.now, flight.permit, CallOutcome::Cancelled);
     }
 
     fn finish(&mut self, id: RequestId) {
--- a/hawthornkeel_core/benches/policy/flow.rs
+++ b/hawthornkeel_core/benches/policy/flow.rs
@@ -7,9 +7,9 @@
 use hawthornkeel_core::ids::RequestId;
 use hawthornkeel_core::ids::StageIndex;
 use hawthornkeel_core::routing::Admission;
+use hawthornkeel_core::routing::AttemptKind;
 use hawthornkeel_core::routing::CallOutcome;
 use hawthornkeel_core::routing::Decision;
-use hawthornkeel_core::routing::Repeat;
 use hawthornkeel_core::routing::RequestPlan;
 use hawthornkeel_core::routing::StageRequest;
 use hawthornkeel_core::time::Instant;
@@ -131,7 +131,7 @@
         let request = self.requests.swap_remove(&id)?;
         if let Policy::Ours(ours) = &mut self.entries[request.entry].policy {
             ours.router.cancel(self.now, call_id(id, &request));
-            ours.router.leave(self.now, id);
+            ours.router.finish_request(self.now, id);
         }
         Some(request)
     }
@@ -153,7 +153,7 @@
         if alive {
             match (&mut entry.policy, call.permit) {
                 (Policy::Ours(ours), Some(permit)) => {
-                    ours.router.finished(self.now, permit, outcome);
+                    ours.router.finish_call(self.now, permit, outcome);
                 }
                 (Policy::Plain(plain), _) => plain.finished(call.stage, call.target),
                 _ => {}
@@ -263,9 +263,9 @@
 /// Returns what the router is asked.
 fn stage_request(call: CallId, of: &Request, targets: &[crate::target::Target]) -> StageRequest {
     let repeat = match (of.attempt, of.ran) {
-        (0, _) => Repeat::First,
-        (_, true) => Repeat::MayHaveRun,
-        (_, false) => Repeat::NotRun,
+        (0, _) => AttemptKind::First,
+        (_, true) => AttemptKind::Retry,
+        (_, false) => AttemptKind::SafeRetry,
     };
     StageRequest {
         call,
@@ -273,10 +273,10 @@
         pool: POOLS[of.stage].name.into(),
         deadline: of.deadline,
         floor: POOLS[of.stage].time / 2,
-        remaining: floor_from(of.stage + 1),
-        later: POOLS.iter().skip(of.stage + 1).map(|p| p.name.into()).collect(),
+        later_floor: floor_from(of.stage + 1),
+        later_pools: POOLS.iter().skip(of.stage + 1).map(|p| p.name.into()).collect(),
         excluded: of.excluded.iter().map(|t| targets[*t].info.name.clone()).collect(),
-        repeat,
+        kind: repeat,
         ..StageRequest::default()
     }
 }
--- a/hawthornkeel_core/benches/policy/links.rs
+++ b/hawthornkeel_core/benches/policy/links.rs
@@ -114,7 +114,7 @@
     pub fn entry_hears(&mut self, to: usize, message: GrantMessage) {
         let entry = &mut self.entries[to];
         if let (true, Policy::Ours(ours)) = (entry.alive, &mut entry.policy) {
-            ours.router.handle_grant(self.now, &message);
+            ours.router.handle_message(self.now, &message);
             self.pump(to);
         }
     }
--- a/hawthornkeel_core/benches/slopes.rs
+++ b/hawthornkeel_core/benches/slopes.rs
@@ -126,7 +126,7 @@
         let time = timed(|| {
             for _ in 0..1_000 {
                 one.admit(Instant::ZERO, &extra);
-                one.leave(Instant::ZERO, extra.request);
+                one.finish_request(Instant::ZERO, extra.request);
             }
         });
         println!("{count:>17} | {:>22.2?}", time / 1_000);
--- a/hawthornkeel_core/src/routing/admit.rs
+++ b/hawthornkeel_core/src/routing/admission.rs
@@ -53,7 +53,7 @@
 }
 
 impl Router {
-    /// Decides whether a request may start; an admitted one ends with `leave`.
+    /// Decides whether a request may start; an admitted one ends with `finish_request`.
     pub fn admit(&mut self, now: Instant, plan: &RequestPlan) -> Admission {
         let excess = match self.excess(&plan.workspace) {
             Some(excess) => excess,
@@ -73,7 +73,7 @@
     }
 
     /// Notes the end of an admitted request, however it ended.
-    pub fn leave(&mut self, _now: Instant, request: RequestId) {
+    pub fn finish_request(&mut self, _now: Instant, request: RequestId) {
         let Some(admitted) = self.requests.swap_remove(&request) else {
             return;
         };
--- a/hawthornkeel_core/src/routing/cold.rs
+++ b/hawthornkeel_core/src/routing/grants.rs
@@ -12,7 +12,7 @@
 use crate::names::CentreName;
 use crate::names::PoolName;
 use crate::names::TargetName;
-use crate::routing::hot::Class;
+use crate::routing::candidate::Class;
 use crate::routing::pool::PoolState;
 use crate::routing::router::GrantOutput;
 use crate::routing::router::KnownIssuer;
@@ -29,7 +29,7 @@
 
 impl Router {
     /// Takes a message of an issuer.
-    pub fn handle_grant(&mut self, now: Instant, message: &GrantMessage) {
+    pub fn handle_message(&mut self, now: Instant, message: &GrantMessage) {
         match message {
             GrantMessage::Announce { centre, issuer, term } => {
                 self.take_issuer(now, centre, issuer, *term);
--- a/hawthornkeel_core/src/routing/times.rs
+++ b/hawthornkeel_core/src/routing/latency.rs
@@ -15,16 +15,16 @@
 
 /// Streaming estimate of call times.
 #[derive(Clone, Debug)]
-pub struct Times {
+pub struct LatencyHistogram {
     counts: Vec<f32>,
     total: f32,
     since_half: u32,
     since_refresh: u32,
     median: Option<Duration>,
-    high: Option<Duration>,
+    p95: Option<Duration>,
 }
 
-impl Default for Times {
+impl Default for LatencyHistogram {
     fn default() -> Self {
         Self {
             counts: vec![0.0; BUCKETS],
@@ -32,12 +32,12 @@
             since_half: 0,
             since_refresh: 0,
             median: None,
-            high: None,
+            p95: None,
         }
     }
 }
 
-impl Times {
+impl LatencyHistogram {
     /// Takes the time of one answered call.
     pub fn record(&mut self, latency: Duration) {
         let micros = latency.as_micros() as f64;
@@ -54,7 +54,7 @@
         if self.median.is_none() || self.since_refresh >= REFRESH {
             self.since_refresh = 0;
             self.median = self.quantile(0.5);
-            self.high = self.quantile(0.95);
+            self.p95 = self.quantile(0.95);
         }
     }
 
@@ -64,8 +64,8 @@
     }
 
     /// Returns the time within which 95 in 100 calls are answered, once any call was measured.
-    pub fn high(&self) -> Option<Duration> {
-        self.high
+    pub fn p95(&self) -> Option<Duration> {
+        self.p95
     }
 
     /// Returns the upper bound of the bucket that holds the quantile `q`.
--- a/hawthornkeel_core/src/routing/limit.rs
+++ b/hawthornkeel_core/src/routing/limit.rs
@@ -13,14 +13,14 @@
 
 /// Concurrency limit: grows on answers while it is in use and falls on refusals and failures.
 #[derive(Clone, Debug)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     value: f64,
     share: f64,
     cap: f64,
     cut_at: Option<Instant>,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     /// Creates a limit that starts at one call and grows quickly up to `share`.
     pub fn new(share: f64, cap: f64) -> Self {
         Self { value: 1.0, share, cap: cap.max(share), cut_at: None }
--- a/hawthornkeel_core/src/routing/finish.rs
+++ b/hawthornkeel_core/src/routing/outcome.rs
@@ -14,7 +14,7 @@
 
 impl Router {
     /// Takes back the permit of a call that has ended.
-    pub fn finished(&mut self, now: Instant, permit: Permit, outcome: CallOutcome) {
+    pub fn finish_call(&mut self, now: Instant, permit: Permit, outcome: CallOutcome) {
         if let CallOutcome::Answered { .. } = outcome {
             self.stage_done(permit.call.request, usize::from(permit.call.stage.0));
         }
@@ -42,11 +42,11 @@
     }
 
     /// Takes the incarnation that the target named on a call, which need not have ended.
-    pub fn named(&mut self, now: Instant, permit: &Permit, incarnation: Incarnation) {
+    pub fn report_incarnation(&mut self, now: Instant, permit: &Permit, incarnation: Incarnation) {
         let Some(mut found) = self.find(&permit.target) else {
             return;
         };
-        let word = found.target().map(|t| t.named.answer(now, permit.given, incarnation));
+        let word = found.target().map(|t| t.named.answer(now, permit.issued, incarnation));
         if word == Some(Word::New) {
             self.suspect_restart(now, &permit.target);
         }
@@ -78,7 +78,7 @@
                 let step = target.measure(latency, usual);
                 target.limit.answered(running);
                 target.answered(now);
-                let word = incarnation.map(|i| target.named.answer(now, permit.given, i));
+                let word = incarnation.map(|i| target.named.answer(now, permit.issued, i));
                 if word != Some(Word::Late) {
                     target.proof = permit.grant.clone();
                 }
@@ -87,7 +87,7 @@
                 }
                 let doubt = doubt(target.warmth, word, step);
                 pool.answered(latency);
-                if let Some(prefix) = permit.prefix {
+                if let Some(prefix) = permit.prefix_hash {
                     pool.remember(prefix, &permit.target, 0);
                 }
                 doubt
@@ -103,7 +103,7 @@
                 Some(Doubt::Restart)
             }
             CallOutcome::TimedOut => {
-                pool.times.record(now.since(permit.given));
+                pool.times.record(now.since(permit.issued));
                 target.limit.failed(now);
                 target.failed(now, false, set);
                 pool.failed(now);
--- a/hawthornkeel_core/src/routing/pick.rs
+++ b/hawthornkeel_core/src/routing/pick.rs
@@ -1,13 +1,13 @@
 //! Comparison of a pool's targets for a call.
 
-use crate::routing::hot::Class;
-use crate::routing::hot::Hot;
+use crate::routing::candidate::Class;
+use crate::routing::candidate::Hot;
 use crate::routing::pool::PoolState;
 use crate::routing::settings::RouterSettings;
+use crate::routing::types::AttemptKind;
 use crate::routing::types::Decision;
 use crate::routing::types::Permit;
 use crate::routing::types::Reason;
-use crate::routing::types::Repeat;
 use crate::routing::types::StageRequest;
 use crate::time::Instant;
 
@@ -34,7 +34,7 @@
     turn: usize,
     /// Whether cold targets may be chosen.
     cold: bool,
-    repeat: Repeat,
+    repeat: AttemptKind,
 }
 
 /// Which targets a pass leaves out, for a call that was tried before.
@@ -112,24 +112,24 @@
     turn: usize,
     set: &RouterSettings,
 ) -> Option<Decision> {
-    let retry = request.repeat == Repeat::MayHaveRun;
-    if retry && (now < pool.retry_at || !pool.retries.allows()) {
+    let retry = request.kind == AttemptKind::Retry;
+    if retry && (now < pool.retry_at || !pool.retries.has_token()) {
         return None;
     }
     let names = request.excluded.iter();
     let tried: Vec<usize> = names.filter_map(|t| pool.targets.get_index_of(t)).collect();
     let cold = may_use_cold(pool, now, request, latest);
-    let view = View { now, tried: &tried, turn, cold, repeat: request.repeat };
+    let view = View { now, tried: &tried, turn, cold, repeat: request.kind };
     let scan = scan(pool, &view);
     let pick = pick(pool, request, &scan, &tried)?;
     let (_, target) = pool.targets.get_index_mut(pick.index)?;
-    let (mut until, mut grant, mut grant_end) = (latest, None, None);
+    let (mut until, mut grant, mut grant_expiry) = (latest, None, None);
     if pick.reason == Reason::ColdGrant {
         let held = target.grants.iter().position(|g| now < g.use_by)?;
         let used = target.grants.swap_remove(held);
         until = until.min(used.until);
         grant = Some(used.id);
-        grant_end = Some(used.until);
+        grant_expiry = Some(used.until);
     }
     let reason = if target.is_down() { Reason::Probe } else { pick.reason };
     let incarnation = target.named.present.filter(|_| grant.is_none());
@@ -139,15 +139,15 @@
         target: name.clone(),
         pool: request.pool.clone(),
         call: request.call,
-        given: now,
-        until,
+        issued: now,
+        deadline: until,
         grant,
-        grant_end,
+        grant_expiry,
         incarnation,
-        prefix: request.prefix,
+        prefix_hash: request.prefix_hash,
     };
     if retry {
-        pool.retries.spend();
+        pool.retries.withdraw();
     }
     pool.refresh(now, pick.index, set);
     Some(Decision::Send { target: name, address, permit, reason, candidates: scan.candidates })
@@ -160,10 +160,10 @@
     request: &StageRequest,
     latest: Instant,
 ) -> bool {
-    if request.repeat == Repeat::Hedge {
+    if request.kind == AttemptKind::Hedge {
         return false;
     }
-    let needed = match pool.times.high() {
+    let needed = match pool.times.p95() {
         Some(high) if pool.warm > 0 => high * COLD_SLACK,
         _ => pool.median(),
     };
@@ -173,7 +173,7 @@
 /// Finds the best open targets of the first tier that has any which take work.
 fn scan(pool: &PoolState, view: &View<'_>) -> Scan {
     let quick = quick_scan(pool, view);
-    if view.tried.is_empty() && matches!(view.repeat, Repeat::First | Repeat::NotRun) {
+    if view.tried.is_empty() && matches!(view.repeat, AttemptKind::First | AttemptKind::SafeRetry) {
         return quick;
     }
     let bests = [quick.near.0, quick.far.0, quick.cold.0];
@@ -182,9 +182,9 @@
         return quick;
     }
     let tiers: &[Tier] = match view.repeat {
-        Repeat::MayHaveRun => &[Tier::OtherCentre, Tier::OtherTarget, Tier::Any],
-        Repeat::First | Repeat::NotRun => &[Tier::OtherTarget, Tier::Any],
-        Repeat::Hedge => &[Tier::OtherTarget],
+        AttemptKind::Retry => &[Tier::OtherCentre, Tier::OtherTarget, Tier::Any],
+        AttemptKind::First | AttemptKind::SafeRetry => &[Tier::OtherTarget, Tier::Any],
+        AttemptKind::Hedge => &[Tier::OtherTarget],
     };
     let mut last = Scan::default();
     for tier in tiers {
@@ -199,8 +199,8 @@
 /// Tells whether no tier leaves a target out and nothing bars it.
 fn is_fresh(pool: &PoolState, view: &View<'_>, index: usize, hot: &Hot) -> bool {
     let centre = |i: &usize| pool.hot.get(*i).map(|h| h.centre);
-    let retry = view.repeat == Repeat::MayHaveRun;
-    let hedge = view.repeat == Repeat::Hedge;
+    let retry = view.repeat == AttemptKind::Retry;
+    let hedge = view.repeat == AttemptKind::Hedge;
     let same = |i: &usize| *i == index || (retry && centre(i) == Some(hot.centre));
     let barred = (retry || hedge) && hot.failing;
     !barred && !view.tried.iter().any(same)
@@ -233,8 +233,8 @@
         Tier::OtherTarget => !view.tried.contains(&index),
         Tier::Any => true,
     };
-    let retry = view.repeat == Repeat::MayHaveRun;
-    let hedge = view.repeat == Repeat::Hedge;
+    let retry = view.repeat == AttemptKind::Retry;
+    let hedge = view.repeat == AttemptKind::Hedge;
     let bar = |index: usize, hot: &Hot| {
         (hot.class == Class::Cold && !view.cold)
             || (hedge && hot.failing)
@@ -269,8 +269,8 @@
     } else {
         (far, far_score, Reason::NearGone)
     };
-    let place = request.prefix.and_then(|p| pool.place(p)).filter(|i| !tried.contains(i));
-    let hedge = request.repeat == Repeat::Hedge;
+    let place = request.prefix_hash.and_then(|p| pool.place(p)).filter(|i| !tried.contains(i));
+    let hedge = request.kind == AttemptKind::Hedge;
     let held = place.and_then(|i| pool.hot.get(i).map(|h| (i, h)));
     let held = held.filter(|(_, h)| !(hedge && h.failing));
     match held {
--- a/hawthornkeel_core/src/routing/pool.rs
+++ b/hawthornkeel_core/src/routing/pool.rs
@@ -8,18 +8,18 @@
 use crate::document::Pool;
 use crate::names::CentreName;
 use crate::names::TargetName;
-use crate::routing::budget::Budget;
-use crate::routing::fair::FairQueue;
-use crate::routing::hot::Hot;
+use crate::routing::candidate::Hot;
+use crate::routing::fair_queue::FairQueue;
+use crate::routing::latency::LatencyHistogram;
 use crate::routing::router::EntryInfo;
 use crate::routing::scores::Scores;
 use crate::routing::settings::RouterSettings;
 use crate::routing::shares;
 use crate::routing::shares::CentreCount;
-use crate::routing::shares::Rounding;
+use crate::routing::shares::ShareRounding;
 use crate::routing::subset;
 use crate::routing::target::Target;
-use crate::routing::times::Times;
+use crate::routing::token_bucket::TokenBucket;
 use crate::time::Instant;
 
 /// Prompt prefixes whose place is remembered, at most.
@@ -61,11 +61,11 @@
     pub queue: FairQueue,
     /// Calls that wait and may have run before.
     pub repeats: FairQueue,
-    pub times: Times,
+    pub times: LatencyHistogram,
     /// Average of the last calls of all targets, in microseconds.
     pub recent: f64,
-    pub retries: Budget,
-    pub hedges: Budget,
+    pub retries: TokenBucket,
+    pub hedges: TokenBucket,
     /// Admitted requests that still need this pool.
     pub committed: u64,
     /// Whether the document no longer names the pool: it ends with the last request that needs it.
@@ -98,10 +98,10 @@
             capacity: 0,
             queue: FairQueue::default(),
             repeats: FairQueue::default(),
-            times: Times::default(),
+            times: LatencyHistogram::default(),
             recent: 0.0,
-            retries: Budget::new(set.retry_share, set.retry_burst),
-            hedges: Budget::new(set.hedge_share, set.hedge_burst),
+            retries: TokenBucket::new(set.retry_share, set.retry_burst),
+            hedges: TokenBucket::new(set.hedge_share, set.hedge_burst),
             committed: 0,
             removed: false,
             reopen: None,
@@ -126,8 +126,8 @@
 
     /// Counts a first call, from which the budgets of repeated calls grow.
     pub fn earn(&mut self) {
-        self.retries.earn();
-        self.hedges.earn();
+        self.retries.deposit();
+        self.hedges.deposit();
     }
 
     /// Takes an answer of any target.
@@ -193,8 +193,9 @@
             let Some(part) = parts.get_mut(centre) else {
                 continue;
             };
-            let part = *part.get_or_insert_with(|| shares::share(&list, centre, entry, places));
-            target.share = if target.known { rounding.whole(part * most) } else { 0.0 };
+            let part =
+                *part.get_or_insert_with(|| shares::target_share(&list, centre, entry, places));
+            target.share = if target.known { rounding.round(part * most) } else { 0.0 };
             target.bound(most);
         }
     }
@@ -311,9 +312,9 @@
 }
 
 /// Returns the rounding of an entry's shares, by its place among those of its data centre.
-fn rounding(own: &EntryInfo, entries: &[EntryInfo]) -> Rounding {
+fn rounding(own: &EntryInfo, entries: &[EntryInfo]) -> ShareRounding {
     let near = entries.iter().filter(|e| e.centre == own.centre);
     let count = near.clone().count();
     let index = near.filter(|e| e.id.name < own.id.name).count();
-    Rounding::new(index, count)
+    ShareRounding::new(index, count)
 }
--- a/hawthornkeel_core/src/routing/router.rs
+++ b/hawthornkeel_core/src/routing/router.rs
@@ -13,12 +13,12 @@
 use crate::names::PoolName;
 use crate::names::TargetName;
 use crate::names::WorkspaceName;
-use crate::routing::admit::Admitted;
-use crate::routing::admit::WorkspaceState;
+use crate::routing::admission::Admitted;
+use crate::routing::admission::WorkspaceState;
 use crate::routing::pool::PoolState;
 use crate::routing::settings::RouterSettings;
 use crate::routing::subset;
-use crate::routing::subset::Ranked;
+use crate::routing::subset::RankedEntry;
 use crate::routing::target::Target;
 use crate::routing::target::Warmth;
 use crate::routing::types::LoadReport;
@@ -81,7 +81,7 @@
     /// Calls of this entry allowed at once while the target is warm.
     pub limit: u32,
     /// Whether the target may get new work.
-    pub takes_work: bool,
+    pub accepts_work: bool,
     /// Whether the target fails and gets nothing but probes.
     pub down: bool,
     /// Incarnation that the target named last, if it named any.
@@ -224,25 +224,25 @@
             warmth: state.warmth,
             running: state.running,
             limit: state.limit.calls(),
-            takes_work: state.takes_work(),
+            accepts_work: state.accepts_work(),
             down: state.is_down(),
             incarnation: state.named.present,
         })
     }
 
     /// Tells whether any data centre's issuer of grants is known.
-    pub fn knows_issuer(&self) -> bool {
+    pub fn has_issuer(&self) -> bool {
         !self.issuers.is_empty()
     }
 
     /// Tells whether this entry sends to a target.
-    pub fn knows(&self, target: &TargetName) -> bool {
+    pub fn in_subset(&self, target: &TargetName) -> bool {
         let pool = self.homes.get(target).and_then(|p| self.pools.get(p));
         pool.and_then(|p| p.targets.get(target)).is_some_and(|t| t.known)
     }
 
     /// Returns the number of targets of a pool that this entry sends to.
-    pub fn known_targets(&self, pool: &PoolName) -> usize {
+    pub fn subset_size(&self, pool: &PoolName) -> usize {
         self.pools.get(pool).map_or(0, |p| p.targets.values().filter(|t| t.known).count())
     }
 
@@ -305,7 +305,7 @@
     /// Chooses which targets this entry sends to.
     fn choose_subset(&mut self) {
         let own_hash = subset::name_hash(self.own.id.name.as_str());
-        let mut centres: IndexMap<CentreName, Vec<Ranked>> = IndexMap::new();
+        let mut centres: IndexMap<CentreName, Vec<RankedEntry>> = IndexMap::new();
         for pool in self.pools.values_mut() {
             for target in pool.targets.values_mut() {
                 let centre = &target.info.centre;
@@ -313,9 +313,9 @@
                     centres.insert(centre.clone(), ranked(&self.entries, centre));
                 }
                 let entries = centres.get(centre).map_or(&[][..], |e| e.as_slice());
-                let own = Ranked { hash: own_hash, near: target.near };
+                let own = RankedEntry { hash: own_hash, near: target.near };
                 let hash = subset::name_hash(target.info.name.as_str());
-                target.known = subset::knows(own, hash, entries, self.settings.target_entries);
+                target.known = subset::contains(own, hash, entries, self.settings.target_entries);
             }
             pool.top_up(own_hash, self.settings.pool_targets);
         }
@@ -331,8 +331,8 @@
 }
 
 /// Returns the entries as the ranking for targets of `centre` sees them.
-fn ranked(entries: &[EntryInfo], centre: &CentreName) -> Vec<Ranked> {
-    let one = |e: &EntryInfo| Ranked {
+fn ranked(entries: &[EntryInfo], centre: &CentreName) -> Vec<RankedEntry> {
+    let one = |e: &EntryInfo| RankedEntry {
         hash: subset::name_hash(e.id.name.as_str()),
         near: e.centre == *centre,
     };
--- a/hawthornkeel_core/src/routing/scores.rs
+++ b/hawthornkeel_core/src/routing/scores.rs
@@ -1,7 +1,7 @@
 //! Expected call times of a pool's open targets by class, laid out for a quick search of the lowest.
 
-use crate::routing::hot::Class;
-use crate::routing::hot::Hot;
+use crate::routing::candidate::Class;
+use crate::routing::candidate::Hot;
 
 /// Values that are compared at once.
 const LANES: usize = 16;
--- a/hawthornkeel_core/src/routing/choose.rs
+++ b/hawthornkeel_core/src/routing/selection.rs
@@ -3,19 +3,19 @@
 use std::time::Duration;
 
 use crate::ids::CallId;
-use crate::routing::fair::FairQueue;
-use crate::routing::fair::Passed;
-use crate::routing::fair::Waiting;
+use crate::routing::fair_queue::FairQueue;
+use crate::routing::fair_queue::Passed;
+use crate::routing::fair_queue::Waiting;
 use crate::routing::pick::may_use_cold;
 use crate::routing::pick::send;
 use crate::routing::pool::PoolState;
 use crate::routing::router::Router;
 use crate::routing::settings::RouterSettings;
+use crate::routing::types::AttemptKind;
 use crate::routing::types::Decision;
 use crate::routing::types::Permit;
-use crate::routing::types::Ready;
+use crate::routing::types::QueuedDecision;
 use crate::routing::types::Reason;
-use crate::routing::types::Repeat;
 use crate::routing::types::StageRequest;
 use crate::time::Instant;
 
@@ -39,17 +39,16 @@
         pool.reopen(now, set);
         pool.wanted = Some(now);
         let latest = before(request.deadline, later);
-        match request.repeat {
-            Repeat::First => pool.earn(),
-            Repeat::NotRun | Repeat::MayHaveRun => {}
-            Repeat::Hedge => return hedge(pool, now, request, latest, turn, set),
+        match request.kind {
+            AttemptKind::First => pool.earn(),
+            AttemptKind::SafeRetry | AttemptKind::Retry => {}
+            AttemptKind::Hedge => return hedge(pool, now, request, latest, turn, set),
         }
         let work = pool.median().max(request.floor);
         if now + request.floor > latest || (now + work > latest && !pool.may_try(now)) {
             return refuse(Reason::Deadline, work, 0);
         }
-        let waiting =
-            if request.repeat == Repeat::MayHaveRun { &pool.repeats } else { &pool.queue };
+        let waiting = if request.kind == AttemptKind::Retry { &pool.repeats } else { &pool.queue };
         if waiting.len() == 0
             && let Some(sent) = send(pool, now, request, latest, turn, set)
         {
@@ -65,7 +64,7 @@
     }
 
     /// Returns the waiting calls that can be sent, or are refused, by now.
-    pub fn take_ready(&mut self, now: Instant) -> Vec<Ready> {
+    pub fn take_ready(&mut self, now: Instant) -> Vec<QueuedDecision> {
         let mut ready = Vec::new();
         for index in 0..self.pools.len() {
             self.drain(now, index, &mut ready);
@@ -84,13 +83,13 @@
     ///
     /// A call to a cold target has none: cancelled, it would neither warm the target nor free its
     /// grant.
-    pub fn hedge_after(&self, permit: &Permit) -> Option<Duration> {
+    pub fn hedge_delay(&self, permit: &Permit) -> Option<Duration> {
         let pool = self.pools.get(&permit.pool).filter(|_| permit.grant.is_none())?;
-        pool.times.high().map(|t| t * HEDGE_FACTOR)
+        pool.times.p95().map(|t| t * HEDGE_FACTOR)
     }
 
     /// Sends and refuses waiting calls of one pool; repeated calls first, since they are older.
-    fn drain(&mut self, now: Instant, index: usize, ready: &mut Vec<Ready>) {
+    fn drain(&mut self, now: Instant, index: usize, ready: &mut Vec<QueuedDecision>) {
         let Some((_, pool)) = self.pools.get_index_mut(index) else {
             return;
         };
@@ -108,18 +107,18 @@
 
     /// Returns the time that the later stages take, by measure.
     fn later_time(&self, request: &StageRequest) -> Duration {
-        let pools = request.later.iter().filter_map(|p| self.pools.get(p));
-        pools.map(|p| p.median()).sum::<Duration>().max(request.remaining)
+        let pools = request.later_pools.iter().filter_map(|p| self.pools.get(p));
+        pools.map(|p| p.median()).sum::<Duration>().max(request.later_floor)
     }
 }
 
 /// Refuses the calls whose wait has ended.
-fn expire(pool: &PoolState, now: Instant, queue: &mut FairQueue, ready: &mut Vec<Ready>) {
+fn expire(pool: &PoolState, now: Instant, queue: &mut FairQueue, ready: &mut Vec<QueuedDecision>) {
     for waiting in queue.expire(now) {
-        let unpaid = waiting.request.repeat == Repeat::MayHaveRun && !pool.retries.allows();
+        let unpaid = waiting.request.kind == AttemptKind::Retry && !pool.retries.has_token();
         let reason = if unpaid { Reason::RetryBudget } else { Reason::Deadline };
         let decision = refuse(reason, pool.median(), 0);
-        ready.push(Ready { call: waiting.request.call, decision });
+        ready.push(QueuedDecision { call: waiting.request.call, decision });
     }
 }
 
@@ -128,7 +127,7 @@
     pool: &mut PoolState,
     now: Instant,
     queue: &mut FairQueue,
-    ready: &mut Vec<Ready>,
+    ready: &mut Vec<QueuedDecision>,
     set: &RouterSettings,
 ) {
     while let Some((place, waiting)) = queue.latest() {
@@ -143,7 +142,7 @@
             return;
         };
         queue.serve(place);
-        ready.push(Ready { call, decision });
+        ready.push(QueuedDecision { call, decision });
     }
 }
 
@@ -152,7 +151,7 @@
     pool: &mut PoolState,
     now: Instant,
     queue: &mut FairQueue,
-    ready: &mut Vec<Ready>,
+    ready: &mut Vec<QueuedDecision>,
     turn: &mut u64,
     set: &RouterSettings,
 ) {
@@ -169,7 +168,7 @@
             continue;
         };
         queue.serve(place);
-        ready.push(Ready { call, decision });
+        ready.push(QueuedDecision { call, decision });
     }
 }
 
@@ -188,10 +187,10 @@
     let busy = pool.queue.len() + pool.repeats.len() > 0 || now < pool.retry_at;
     if timely
         && !busy
-        && pool.hedges.allows()
+        && pool.hedges.has_token()
         && let Some(sent) = send(pool, now, request, latest, turn, set)
     {
-        pool.hedges.spend();
+        pool.hedges.withdraw();
         return sent;
     }
     refuse(Reason::HedgeBudget, RETRY_AFTER_MIN, 0)
@@ -220,7 +219,7 @@
     if first_stage && now + wait > until {
         return refuse(Reason::Deadline, wait, candidates);
     }
-    let repeated = request.repeat == Repeat::MayHaveRun;
+    let repeated = request.kind == AttemptKind::Retry;
     let queue = if repeated { &mut pool.repeats } else { &mut pool.queue };
     queue.push(Waiting { request: request.clone(), latest, until }, weight);
     Decision::Wait { until, reason: Reason::FairQueue, candidates }
--- a/hawthornkeel_core/src/routing/shares.rs
+++ b/hawthornkeel_core/src/routing/shares.rs
@@ -21,13 +21,13 @@
 ///
 /// `target` and `entry` are positions of their data centres in `counts`; `places` is the number of
 /// entries that know a target.
-pub fn share(counts: &[CentreCount], target: usize, entry: usize, places: usize) -> f64 {
+pub fn target_share(counts: &[CentreCount], target: usize, entry: usize, places: usize) -> f64 {
     let (Some(from), Some(to)) = (counts.get(target), counts.get(entry)) else {
         return 0.0;
     };
     let all: usize = counts.iter().map(|c| c.entries).sum();
     let far_entries = all - from.entries;
-    let (near_places, far_places) = subset::split(places, from.entries, far_entries);
+    let (near_places, far_places) = subset::split_by_centre(places, from.entries, far_entries);
     let knowing = if target == entry {
         near_places as f64
     } else {
@@ -49,18 +49,18 @@
 /// Entries of a data centre start at offsets spread evenly over one call, so that the sums of their
 /// shares of each target hold as well.
 #[derive(Clone, Copy, Debug)]
-pub struct Rounding {
+pub struct ShareRounding {
     sum: f64,
 }
 
-impl Rounding {
+impl ShareRounding {
     /// Creates the rounding of the entry with number `index` of `count` in its data centre.
     pub fn new(index: usize, count: usize) -> Self {
         Self { sum: (index as f64 + 0.5) / count.max(1) as f64 }
     }
 
     /// Returns the next share, up or down to a whole call.
-    pub fn whole(&mut self, share: f64) -> f64 {
+    pub fn round(&mut self, share: f64) -> f64 {
         let before = self.sum.floor();
         self.sum += share;
         self.sum.floor() - before
--- a/hawthornkeel_core/src/routing/subset.rs
+++ b/hawthornkeel_core/src/routing/subset.rs
@@ -11,7 +11,7 @@
 
 /// Entry as the ranking sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Ranked {
+pub struct RankedEntry {
     /// Hash of the entry's name.
     pub hash: u64,
     /// Whether the entry is in the target's data centre.
@@ -32,16 +32,16 @@
 }
 
 /// Splits `places` between near and far entries of a target, given how many of each there are.
-pub fn split(places: usize, near: usize, far: usize) -> (usize, usize) {
+pub fn split_by_centre(places: usize, near: usize, far: usize) -> (usize, usize) {
     let wanted = (places as f64 * NEAR_SHARE).round() as usize;
     let for_near = wanted.max(places.saturating_sub(far)).min(near);
     (for_near, places.saturating_sub(for_near).min(far))
 }
 
 /// Tells whether the entry `own` is among the `places` entries that know `target`.
-pub fn knows(own: Ranked, target: u64, entries: &[Ranked], places: usize) -> bool {
+pub fn contains(own: RankedEntry, target: u64, entries: &[RankedEntry], places: usize) -> bool {
     let near = entries.iter().filter(|e| e.near).count();
-    let (near_places, far_places) = split(places, near, entries.len() - near);
+    let (near_places, far_places) = split_by_centre(places, near, entries.len() - near);
     let places = if own.near { near_places } else { far_places };
     let own_rank = rank(own.hash, target);
     let rivals = entries.iter().filter(|e| e.near == own.near);
--- a/hawthornkeel_core/src/routing/target/grants.rs
+++ b/hawthornkeel_core/src/routing/target/grants.rs
@@ -31,7 +31,7 @@
     /// Tells whether a grant would be of use now.
     pub fn wants_grant(&self, now: Instant) -> bool {
         let proved = self.warmth == Warmth::Warm;
-        self.takes_work() && !proved && now >= self.down_until && self.grants.is_empty()
+        self.accepts_work() && !proved && now >= self.down_until && self.grants.is_empty()
     }
 
     /// Returns the number of a grant request that is due now: a new one, or one sent again.
--- a/hawthornkeel_core/src/routing/target/mod.rs
+++ b/hawthornkeel_core/src/routing/target/mod.rs
@@ -7,14 +7,14 @@
 
 use crate::document::Pool;
 use crate::lease::message::GrantId;
-use crate::routing::hot::Class;
-use crate::routing::hot::Hot;
+use crate::routing::candidate::Class;
+use crate::routing::candidate::Hot;
 use crate::routing::incarnation::Named;
 use crate::routing::incarnation::Word;
-use crate::routing::limit::Limit;
+use crate::routing::limit::ConcurrencyLimit;
 use crate::routing::refusals::Refusals;
 use crate::routing::settings::RouterSettings;
-use crate::routing::types::Liveness;
+use crate::routing::types::Lifecycle;
 use crate::routing::types::LoadReport;
 use crate::routing::types::TargetInfo;
 use crate::time::Instant;
@@ -73,7 +73,7 @@
     /// Times that the target was suspected.
     pub losses: u32,
     pub running: u32,
-    pub limit: Limit,
+    pub limit: ConcurrencyLimit,
     /// Own share of the target's limit.
     pub share: f64,
     pub short: f64,
@@ -110,7 +110,7 @@
             proof: None,
             losses: 0,
             running: 0,
-            limit: Limit::new(1.0, 1.0),
+            limit: ConcurrencyLimit::new(1.0, 1.0),
             share: 1.0,
             short: 0.0,
             long: 0.0,
@@ -152,7 +152,7 @@
         let new = word == Some(Word::New);
         let lower = report.sequence.is_some() && report.sequence < self.sequence;
         self.sequence = report.sequence;
-        self.leaving = report.leaving || (self.leaving && !new);
+        self.leaving = report.draining || (self.leaving && !new);
         let all = f64::from(report.running) + f64::from(report.waiting);
         self.others = (all - f64::from(self.running)).max(0.0);
         if self.is_silent(now, age) {
@@ -180,20 +180,20 @@
     }
 
     /// Tells whether the target may get new work at all.
-    pub fn takes_work(&self) -> bool {
-        let leaving = self.leaving || self.info.liveness == Liveness::Leaving;
+    pub fn accepts_work(&self) -> bool {
+        let leaving = self.leaving || self.info.lifecycle == Lifecycle::Draining;
         self.known && !leaving && !self.taken_out
     }
 
     /// Tells whether the target takes work and answers, whichever entry it is known to.
     pub fn serves(&self) -> bool {
-        let leaving = self.leaving || self.info.liveness == Liveness::Leaving;
+        let leaving = self.leaving || self.info.lifecycle == Lifecycle::Draining;
         !leaving && !self.taken_out && !self.is_down()
     }
 
     /// Tells whether a call can be sent now.
     pub fn is_open(&self, now: Instant) -> bool {
-        if !self.takes_work() || now < self.down_until {
+        if !self.accepts_work() || now < self.down_until {
             return false;
         }
         match self.warmth {
@@ -216,8 +216,8 @@
             centre: self.centre,
             class: self.class(now),
             near: self.near,
-            warm: self.takes_work() && self.warmth == Warmth::Warm,
-            usable: self.takes_work() && !self.is_down(),
+            warm: self.accepts_work() && self.warmth == Warmth::Warm,
+            usable: self.accepts_work() && !self.is_down(),
             failing: self.failures > 0,
         }
     }
@@ -235,7 +235,7 @@
     /// Returns the calls that the target is expected to bear for this entry, also when down.
     fn capacity(&self) -> u32 {
         let proved = self.warmth == Warmth::Warm && !self.is_down();
-        match (self.takes_work(), proved) {
+        match (self.accepts_work(), proved) {
             (false, _) => 0,
             (true, true) => self.limit.calls().max(self.limit.share() as u32),
             (true, false) => self.limit.share() as u32,
--- a/hawthornkeel_core/src/routing/types.rs
+++ b/hawthornkeel_core/src/routing/types.rs
@@ -20,12 +20,13 @@
 /// Whether a target takes new work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Liveness {
+pub enum Lifecycle {
     /// The target takes work.
     #[default]
     Live,
     /// The target finishes its work and takes no new work.
-    Leaving,
+    #[serde(rename = "leaving")]
+    Draining,
 }
 
 /// Target as the platform's list shows it.
@@ -40,7 +41,8 @@
     /// Data centre that the target runs in.
     pub centre: CentreName,
     /// Whether the target takes new work.
-    pub liveness: Liveness,
+    #[serde(rename = "liveness")]
+    pub lifecycle: Lifecycle,
 }
 
 /// Load that a target reports about itself, some time after the fact.
@@ -55,20 +57,21 @@
     pub running: u32,
     /// Calls that wait at the target.
     pub waiting: u32,
-    /// Whether the target says that it is leaving.
-    pub leaving: bool,
+    /// Whether the target reports that it is draining.
+    #[serde(rename = "leaving")]
+    pub draining: bool,
 }
 
 /// Whether and how a call repeats an earlier one for the same stage.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Repeat {
+pub enum AttemptKind {
     /// First call for the stage.
     #[default]
     First,
     /// Earlier calls are known not to have run: costs no retry budget.
-    NotRun,
+    SafeRetry,
     /// An earlier call may have run: costs retry budget.
-    MayHaveRun,
+    Retry,
     /// An earlier call still runs: costs hedge budget.
     Hedge,
 }
@@ -91,7 +94,7 @@
 /// Decision about a request's admission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// The request may run; `Router::leave` ends it.
+    /// The request may run; `Router::finish_request` ends it.
     Admitted,
     /// The request is refused at once and nothing of it has run.
     Refused {
@@ -118,15 +121,15 @@
     /// Shortest time that this stage takes.
     pub floor: Duration,
     /// Shortest time that the stages after this one take together.
-    pub remaining: Duration,
+    pub later_floor: Duration,
     /// Pools of the stages after this one.
-    pub later: Vec<PoolName>,
+    pub later_pools: Vec<PoolName>,
     /// Hash of the prompt's prefix, where the stage has one.
-    pub prefix: Option<u64>,
+    pub prefix_hash: Option<u64>,
     /// Targets not to be chosen, such as those tried before.
     pub excluded: Vec<TargetName>,
     /// Whether the call repeats an earlier one.
-    pub repeat: Repeat,
+    pub kind: AttemptKind,
 }
 
 /// Why a decision was taken: part of its log line.
@@ -193,7 +196,7 @@
     }
 }
 
-/// Right to make one call; given back by `Router::finished`, exactly once.
+/// Right to make one call; given back by `Router::finish_call`, exactly once.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Permit {
     /// Target to call.
@@ -203,17 +206,17 @@
     /// Call that the permit is for.
     pub call: CallId,
     /// Time at which the permit was given.
-    pub given: Instant,
+    pub issued: Instant,
     /// Time at which the call must have ended; the caller of the router cancels it then.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Grant that the call is made under, where the target is cold.
     pub grant: Option<GrantId>,
-    /// Time at which that grant ends, which may be after `until`.
-    pub grant_end: Option<Instant>,
+    /// Time at which that grant ends, which may be after `deadline`.
+    pub grant_expiry: Option<Instant>,
     /// Incarnation that was proved warm, which alone may get the call; any where absent.
     pub incarnation: Option<Incarnation>,
     /// Hash of the prompt's prefix, where the stage has one.
-    pub(crate) prefix: Option<u64>,
+    pub(crate) prefix_hash: Option<u64>,
 }
 
 /// Decision about a call.
@@ -254,7 +257,7 @@
 
 /// Decision about a call that had to wait.
 #[derive(Debug, Eq, PartialEq)]
-pub struct Ready {
+pub struct QueuedDecision {
     /// Call that waited.
     pub call: CallId,
     /// `Send` or `Refuse`.
--- a/hawthornkeel_core/tests/adaptive_limit.rs
+++ b/hawthornkeel_core/tests/adaptive_limit.rs
@@ -56,7 +56,7 @@
         let report = LoadReport { running, ..LoadReport::default() };
         router.report_load(at(round * 100 + 50), &"t".into(), report);
         for permit in permits {
-            router.finished(at(round * 100 + 90), permit, answered());
+            router.finish_call(at(round * 100 + 90), permit, answered());
         }
     }
     most
@@ -80,7 +80,7 @@
     let before = fill(&mut router, 0);
     let count = before.len();
     for (number, permit) in before.into_iter().enumerate() {
-        router.finished(at(100 * number as u64), permit, CallOutcome::Refused);
+        router.finish_call(at(100 * number as u64), permit, CallOutcome::Refused);
     }
     let status = router.status(&"t".into()).unwrap();
     assert!((status.limit as usize) < count / 2, "{status:?} after {count}");
@@ -101,7 +101,7 @@
             panic!("not an answer");
         };
         let outcome = CallOutcome::Answered { latency, tokens, incarnation };
-        router.finished(at(round), permit, outcome);
+        router.finish_call(at(round), permit, outcome);
         if slow && router.status(&"t".into()).unwrap().warmth == Warmth::Suspect {
             return;
         }
--- a/hawthornkeel_core/tests/centre_return.rs
+++ b/hawthornkeel_core/tests/centre_recovery.rs
@@ -43,7 +43,7 @@
             report(router, millis);
         }
         if let Some(permit) = probe(router, millis) {
-            router.finished(at(millis), permit, CallOutcome::TimedOut);
+            router.finish_call(at(millis), permit, CallOutcome::TimedOut);
             last = millis;
         }
     }
@@ -70,7 +70,7 @@
     assert!(probe(&mut router, last + 10).is_none(), "left alone after a failed probe");
     report(&mut router, last + 20);
     let permit = probe(&mut router, last + 20).expect("tried once it is heard");
-    router.finished(at(last + 120), permit, answered());
+    router.finish_call(at(last + 120), permit, answered());
     assert!(!router.status(&"t".into()).expect("known").down);
 }
 
@@ -80,7 +80,7 @@
     let last = lose(&mut router, 10_000, false);
     report(&mut router, last + 20);
     let permit = probe(&mut router, last + 20).expect("tried once it is heard");
-    router.finished(at(last + 20), permit, CallOutcome::TimedOut);
+    router.finish_call(at(last + 20), permit, CallOutcome::TimedOut);
     report(&mut router, last + 30);
     assert!(probe(&mut router, last + 30).is_none(), "one report after a silence, one try");
 }
@@ -118,7 +118,7 @@
         for permit in permits {
             let own = permit.target == "own".into();
             let outcome = if own { answered() } else { CallOutcome::TimedOut };
-            router.finished(at(millis), permit, outcome);
+            router.finish_call(at(millis), permit, outcome);
         }
     }
     assert!(router.status(&"t".into()).expect("known").down);
--- a/hawthornkeel_core/tests/cold_ramp.rs
+++ b/hawthornkeel_core/tests/cold_ramp.rs
@@ -1,14 +1,14 @@
 //! Over all entries, a cold target never gets more calls than it bears, and soon gets its full load.
 
-mod cold_site;
+mod cold_simulation;
 
 use rstest::rstest;
 
-use cold_site::COLD_LIMIT;
-use cold_site::ENTRIES;
-use cold_site::Faults;
-use cold_site::Links;
-use cold_site::Site;
+use cold_simulation::COLD_LIMIT;
+use cold_simulation::ENTRIES;
+use cold_simulation::Faults;
+use cold_simulation::Links;
+use cold_simulation::Simulation;
 
 /// Time until leases are won and grants of earlier holders have run out.
 const SETTLED: u64 = 4_500;
@@ -17,25 +17,25 @@
 
 #[rstest]
 fn quiet_site_warms_its_target(#[values(true, false)] named: bool) {
-    let mut site = Site::new(1, Faults { named, ..Faults::default() });
-    site.play(SETTLED + 6_000);
-    assert!(!site.is_cold());
-    assert_eq!(site.warm_entries(), ENTRIES);
-    assert_eq!(site.most_cold, COLD_LIMIT, "what the target bears is used");
+    let mut simulation = Simulation::new(1, Faults { named, ..Faults::default() });
+    simulation.play(SETTLED + 6_000);
+    assert!(!simulation.is_cold());
+    assert_eq!(simulation.warm_entries(), ENTRIES);
+    assert_eq!(simulation.most_cold, COLD_LIMIT, "what the target bears is used");
 }
 
 #[test]
 fn cold_target_reaches_full_load_soon() {
-    let mut site = Site::new(2, Faults { named: true, ..Faults::default() });
-    site.play(SETTLED + 6_000);
-    site.restart_target();
-    let from = site.now;
-    while site.is_cold() {
-        site.play(site.now + 10);
-        assert!(site.now - from < 5_000, "still cold after {} answers", site.answers);
+    let mut simulation = Simulation::new(2, Faults { named: true, ..Faults::default() });
+    simulation.play(SETTLED + 6_000);
+    simulation.restart_target();
+    let from = simulation.now;
+    while simulation.is_cold() {
+        simulation.play(simulation.now + 10);
+        assert!(simulation.now - from < 5_000, "still cold after {} answers", simulation.answers);
     }
     // 12 answers of 160 ms, two at a time, take 960 ms.
-    assert!(site.now - from < 2_000, "{} ms", site.now - from);
+    assert!(simulation.now - from < 2_000, "{} ms", simulation.now - from);
 }
 
 /// All faults but cancelled calls.
@@ -64,10 +64,10 @@
 ) {
     let (mut calls, mut restarts) = (0, 0);
     for seed in 0..10 {
-        let mut site = Site::new(seed, Faults { named, ..faults });
-        site.play(40_000);
-        calls += site.total;
-        restarts += site.restarts;
+        let mut simulation = Simulation::new(seed, Faults { named, ..faults });
+        simulation.play(40_000);
+        calls += simulation.total;
+        restarts += simulation.restarts;
     }
     // A cancelled call keeps its slot until its grant expires, so there are fewer of them.
     let least = if faults.cancel > 0 { 100 } else { 200 };
@@ -76,14 +76,14 @@
 
 #[test]
 fn grant_of_a_dead_entry_counts_until_it_expires() {
-    let mut site = Site::new(3, Faults { named: true, ..Faults::default() });
-    site.length = 700..900;
-    site.play(SETTLED);
+    let mut simulation = Simulation::new(3, Faults { named: true, ..Faults::default() });
+    simulation.length = 700..900;
+    simulation.play(SETTLED);
     for _ in 0..40 {
-        site.restart_target();
-        site.play(site.now + 600);
-        site.kill(ENTRIES - 1, 20);
-        site.play(site.now + 600);
+        simulation.restart_target();
+        simulation.play(simulation.now + 600);
+        simulation.kill(ENTRIES - 1, 20);
+        simulation.play(simulation.now + 600);
     }
-    assert_eq!(site.most_cold, COLD_LIMIT);
+    assert_eq!(simulation.most_cold, COLD_LIMIT);
 }
--- a/hawthornkeel_core/tests/cold_site/mod.rs
+++ b/hawthornkeel_core/tests/cold_simulation/mod.rs
@@ -69,8 +69,8 @@
     message: Message,
 }
 
-/// Site at one point in time, in milliseconds.
-pub struct Site {
+/// Simulation at one point in time, in milliseconds.
+pub struct Simulation {
     pub now: u64,
     pub faults: Faults,
     rng: ChaCha8Rng,
@@ -88,7 +88,7 @@
     next: u64,
 }
 
-impl Site {
+impl Simulation {
     /// Creates a site whose entries have just started and whose target is cold.
     pub fn new(seed: u64, faults: Faults) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -253,7 +253,7 @@
                 }
             }
             Message::Grant(from, message) => {
-                entry.router.handle_grant(now, &message);
+                entry.router.handle_message(now, &message);
                 let out = entry.issuer.handle(now, &entry.holder, &from, &message);
                 self.send_grants(to, out.into_iter().map(|o| (o.to, o.message)).collect());
             }
@@ -263,7 +263,7 @@
             }
             Message::End(call, outcome) => {
                 if let Some(permit) = entry.permits.swap_remove(&call) {
-                    entry.router.finished(now, permit, outcome);
+                    entry.router.finish_call(now, permit, outcome);
                 }
             }
         }
--- a/hawthornkeel_core/tests/common/mod.rs
+++ b/hawthornkeel_core/tests/common/mod.rs
@@ -104,7 +104,7 @@
         };
         let (grant, lasts) = (GrantId { issuer: out.issuer, number }, Duration::from_secs(9));
         let granted = grant.clone();
-        router.handle_grant(now, &GrantMessage::Granted { number, grant, target, lasts });
+        router.handle_message(now, &GrantMessage::Granted { number, grant, target, lasts });
         return granted;
     }
     panic!("no grant was asked for");
@@ -122,7 +122,7 @@
     router.update_targets(Instant::ZERO, targets);
     for target in targets {
         let (centre, issuer) = (target.centre.clone(), member(target.centre.as_str()));
-        router.handle_grant(Instant::ZERO, &GrantMessage::Announce { centre, issuer, term: 1 });
+        router.handle_message(Instant::ZERO, &GrantMessage::Announce { centre, issuer, term: 1 });
     }
     for step in 0..100 {
         warm_up(&mut router, Instant::from_millis(step * 100));
@@ -142,7 +142,7 @@
             continue;
         };
         let (grant, lasts) = (GrantId { issuer: out.issuer, number }, Duration::from_secs(9));
-        router.handle_grant(now, &GrantMessage::Granted { number, grant, target, lasts });
+        router.handle_message(now, &GrantMessage::Granted { number, grant, target, lasts });
     }
     let mut permits = Vec::new();
     loop {
@@ -160,10 +160,10 @@
     }
     for permit in permits {
         let (grant, target) = (permit.grant.clone(), permit.target.clone());
-        router.finished(now, permit, answered());
+        router.finish_call(now, permit, answered());
         if let Some(grant) = grant {
             let incarnation = Some(Incarnation(1));
-            router.handle_grant(now, &GrantMessage::Warm { grant, target, incarnation });
+            router.handle_message(now, &GrantMessage::Warm { grant, target, incarnation });
         }
     }
 }
@@ -183,7 +183,7 @@
             }
         }
         for permit in permits {
-            router.finished(at(0), permit, answered());
+            router.finish_call(at(0), permit, answered());
         }
     }
 }
--- a/hawthornkeel_core/tests/leaving_targets.rs
+++ b/hawthornkeel_core/tests/draining_targets.rs
@@ -7,7 +7,7 @@
 use hawthornkeel_core::ids::Incarnation;
 use hawthornkeel_core::routing::CallOutcome;
 use hawthornkeel_core::routing::Decision;
-use hawthornkeel_core::routing::Liveness;
+use hawthornkeel_core::routing::Lifecycle;
 use hawthornkeel_core::routing::LoadReport;
 use hawthornkeel_core::routing::Reason;
 use hawthornkeel_core::routing::Router;
@@ -39,7 +39,7 @@
     call.deadline = at(millis + 8_000);
     match router.choose(at(millis), &call) {
         Decision::Send { target, permit, reason, .. } => {
-            router.finished(at(millis), permit, answered());
+            router.finish_call(at(millis), permit, answered());
             (target.as_str().to_owned(), reason)
         }
         other => panic!("{other:?}"),
@@ -57,17 +57,17 @@
     let mut router = router();
     let permit = sent(router.choose(at(1), &request(1, "w")));
     let mut list = targets();
-    list[0].liveness = Liveness::Leaving;
+    list[0].lifecycle = Lifecycle::Draining;
     router.update_targets(at(2), &list);
     assert_eq!(goes_to(&mut router, 3, 2), ("far".to_owned(), Reason::NearGone));
-    router.finished(at(4), permit, answered());
+    router.finish_call(at(4), permit, answered());
     assert_eq!(goes_to(&mut router, 5, 3).0, "far", "an answer doesn't bring it back");
 }
 
 #[test]
 fn own_mark_wins_over_a_late_list() {
     let mut router = router();
-    let report = LoadReport { leaving: true, ..LoadReport::default() };
+    let report = LoadReport { draining: true, ..LoadReport::default() };
     router.report_load(at(1), &"near".into(), report);
     router.update_targets(at(2), &targets());
     assert_eq!(goes_to(&mut router, 3, 1).0, "far");
@@ -76,7 +76,7 @@
     let new = LoadReport { incarnation: Some(Incarnation(2)), ..LoadReport::default() };
     router.report_load(at(6), &"near".into(), new);
     let status = router.status(&"near".into()).unwrap();
-    assert!(status.takes_work, "a new process may take work");
+    assert!(status.accepts_work, "a new process may take work");
     assert_eq!(status.warmth, Warmth::Suspect);
 }
 
@@ -103,7 +103,7 @@
     let permit = sent(router.choose(at(1), &request(1, "w")));
     router.update_targets(at(31_000), &targets()[1..]);
     assert!(router.status(&"near".into()).is_some());
-    router.finished(at(31_001), permit, answered());
+    router.finish_call(at(31_001), permit, answered());
     assert_eq!(router.status(&"near".into()).unwrap().running, 0);
 }
 
@@ -111,7 +111,7 @@
 fn refused_connection_counts_at_once() {
     let mut router = router();
     let permit = sent(router.choose(at(1), &request(1, "w")));
-    router.finished(at(2), permit, CallOutcome::ConnectFailed);
+    router.finish_call(at(2), permit, CallOutcome::ConnectFailed);
     assert_eq!(goes_to(&mut router, 3, 2).0, "far");
 }
 
@@ -123,7 +123,7 @@
     let mut list = targets().to_vec();
     list.push(target("new", "a"));
     router.update_targets(at(3), &list);
-    assert!(!router.status(&"new".into()).unwrap().takes_work, "nor do its new targets");
+    assert!(!router.status(&"new".into()).unwrap().accepts_work, "nor do its new targets");
     router.set_taken_out(at(4), &[]);
     assert_eq!(goes_to(&mut router, 5, 2).0, "near");
 }
--- a/hawthornkeel_core/tests/fair_share.rs
+++ b/hawthornkeel_core/tests/fair_share.rs
@@ -28,7 +28,7 @@
     let (mut now, mut small) = (at(0), 0);
     for _ in 0..count {
         now = now + Duration::from_millis(1);
-        router.finished(now, running.remove(0), answered());
+        router.finish_call(now, running.remove(0), answered());
         for ready in router.take_ready(now) {
             let Decision::Send { permit, .. } = ready.decision else {
                 panic!("refused: {ready:?}");
--- a/hawthornkeel_core/tests/grant_pace.rs
+++ b/hawthornkeel_core/tests/grant_pace.rs
@@ -51,7 +51,7 @@
     };
     router.update_targets(at(0), &[target]);
     let announce = GrantMessage::Announce { centre: "dc-0".into(), issuer: issuer(), term: 1 };
-    router.handle_grant(at(0), &announce);
+    router.handle_message(at(0), &announce);
     router
 }
 
@@ -78,7 +78,7 @@
     let grant = GrantId { issuer: issuer(), number };
     let lasts = LeaseSettings::default().grant;
     let granted = GrantMessage::Granted { number, grant, target: "readers-0".into(), lasts };
-    router.handle_grant(now, &granted);
+    router.handle_message(now, &granted);
     let ready = router.take_ready(now).into_iter().next().expect("the call that waits");
     match ready.decision {
         Decision::Send { permit, .. } => permit,
@@ -96,7 +96,7 @@
     let first = asked(&mut router, at(1)).expect("a first request");
     let permit = grant(&mut router, at(2), first);
     let latency = Duration::from_millis(20);
-    router.finished(
+    router.finish_call(
         at(22),
         permit,
         CallOutcome::Answered { latency, tokens: 0, incarnation: None },
--- a/hawthornkeel_core/tests/hedged_calls.rs
+++ b/hawthornkeel_core/tests/hedged_calls.rs
@@ -19,11 +19,11 @@
 use hawthornkeel_core::request::refusal::Ran;
 use hawthornkeel_core::request::refusal::RefusalCode;
 use hawthornkeel_core::request::run::Run;
+use hawthornkeel_core::routing::AttemptKind;
 use hawthornkeel_core::routing::CallOutcome;
 use hawthornkeel_core::routing::Decision;
 use hawthornkeel_core::routing::Permit;
 use hawthornkeel_core::routing::Reason;
-use hawthornkeel_core::routing::Repeat;
 use hawthornkeel_core::routing::Router;
 use hawthornkeel_core::routing::RouterSettings;
 use hawthornkeel_core::routing::Warmth;
@@ -180,7 +180,7 @@
 fn hedge(router: &mut Router, millis: u64, permit: &Permit) -> Decision {
     let mut asked = request(permit.call.request.0, "w");
     asked.call.attempt.0 = 1;
-    (asked.repeat, asked.excluded) = (Repeat::Hedge, vec![permit.target.clone()]);
+    (asked.kind, asked.excluded) = (AttemptKind::Hedge, vec![permit.target.clone()]);
     router.choose(at(millis), &asked)
 }
 
@@ -193,7 +193,7 @@
 fn hedge_is_due_after_twice_the_usual_high_time() {
     let mut router = router(16);
     let permit = first(&mut router, 1);
-    let after = router.hedge_after(&permit).unwrap();
+    let after = router.hedge_delay(&permit).unwrap();
     assert!(after >= LATENCY * 2 && after <= LATENCY * 3, "{after:?}");
 }
 
@@ -205,7 +205,7 @@
         assert_refused(&hedge(&mut router, 7_990, &permit));
     }
     let mut nowhere = request(1, "w");
-    (nowhere.repeat, nowhere.excluded) = (Repeat::Hedge, vec!["t0".into(), "t1".into()]);
+    (nowhere.kind, nowhere.excluded) = (AttemptKind::Hedge, vec!["t0".into(), "t1".into()]);
     for _ in 0..10 {
         assert_refused(&router.choose(at(300), &nowhere));
     }
@@ -218,7 +218,7 @@
     let (one, two) = (first(&mut router, 1), first(&mut router, 2));
     let waits = router.choose(at(0), &request(3, "w"));
     assert!(matches!(waits, Decision::Wait { .. }), "{waits:?}");
-    router.finished(at(100), two, answered());
+    router.finish_call(at(100), two, answered());
     assert_refused(&hedge(&mut router, 100, &one));
 }
 
@@ -228,7 +228,7 @@
     let mut calls = vec![first(&mut router, 1), first(&mut router, 2)];
     calls.sort_by_key(|p| p.target.clone());
     let two = calls.remove(1);
-    router.finished(at(10), two, CallOutcome::Failed);
+    router.finish_call(at(10), two, CallOutcome::Failed);
     assert_refused(&hedge(&mut router, 300, &calls[0]));
 }
 
@@ -242,7 +242,7 @@
     assert_refused(&hedge(&mut router, 300, &permit));
     let cold = sent(router.choose(at(300), &request(2, "w")));
     assert_eq!(cold.grant, Some(grant));
-    assert_eq!(router.hedge_after(&cold), None);
+    assert_eq!(router.hedge_delay(&cold), None);
 }
 
 #[test]
@@ -252,7 +252,7 @@
     let before = router.status(&name).unwrap();
     for number in 1..50 {
         let permit = first(&mut router, number);
-        router.finished(at(300), permit, CallOutcome::Cancelled);
+        router.finish_call(at(300), permit, CallOutcome::Cancelled);
     }
     let after = router.status(&name).unwrap();
     assert_eq!((after.warmth, after.down, after.limit), (Warmth::Warm, false, before.limit));
@@ -269,9 +269,9 @@
         // Every call takes ten times as long, so that a hedge of each is due.
         if let Decision::Send { permit, .. } = hedge(&mut router, 300, &permit) {
             hedges += 1;
-            router.finished(at(1_000), permit, CallOutcome::Cancelled);
+            router.finish_call(at(1_000), permit, CallOutcome::Cancelled);
         }
-        router.finished(at(1_000), permit, answered());
+        router.finish_call(at(1_000), permit, answered());
     }
     let budget = calls as f64 * set.hedge_share + set.hedge_burst;
     assert!(hedges as f64 <= budget + 1.0, "{hedges} hedges of {calls} calls");
--- a/hawthornkeel_core/tests/late_issuer.rs
+++ b/hawthornkeel_core/tests/late_issuer.rs
@@ -47,7 +47,7 @@
     }
     let issuer = MemberId { name: "entry-1".into(), boot: 1 };
     let announce = GrantMessage::Announce { centre: "dc-0".into(), issuer, term: 1 };
-    router.handle_grant(Instant::from_millis(5_000), &announce);
+    router.handle_message(Instant::from_millis(5_000), &announce);
     let messages = router.take_messages(Instant::from_millis(5_010));
     let asked = messages.iter().any(|m| matches!(m.message, GrantMessage::Request { .. }));
     assert!(asked, "the waiting call asks for a grant: {messages:?}");
--- a/hawthornkeel_core/tests/removed_pools.rs
+++ b/hawthornkeel_core/tests/removed_pools.rs
@@ -47,7 +47,7 @@
     let waits = router.choose(at(0), &request(2, "w"));
     assert!(matches!(waits, Decision::Wait { .. }), "{waits:?}");
     router.apply_document(&Document::default());
-    router.finished(at(100), permit, answered());
+    router.finish_call(at(100), permit, answered());
     let ready = router.take_ready(at(100));
     assert!(ready.iter().any(|r| r.call == request(2, "w").call), "never decided: {ready:?}");
 }
@@ -60,11 +60,11 @@
     router.apply_document(&Document::default());
     router.update_targets(at(0), &[target("t0", "a")]);
     let permit = sent(router.choose(at(0), &request(1, "w")));
-    router.finished(at(100), permit, answered());
-    router.leave(at(100), RequestId(1));
-    assert_eq!(router.known_targets(&"p".into()), 1, "the second request still needs the pool");
-    router.leave(at(200), RequestId(2));
-    assert_eq!(router.known_targets(&"p".into()), 0);
+    router.finish_call(at(100), permit, answered());
+    router.finish_request(at(100), RequestId(1));
+    assert_eq!(router.subset_size(&"p".into()), 1, "the second request still needs the pool");
+    router.finish_request(at(200), RequestId(2));
+    assert_eq!(router.subset_size(&"p".into()), 0);
     let late = router.choose(at(200), &request(3, "w"));
     assert!(matches!(late, Decision::Refuse { reason: Reason::UnknownPool, .. }), "{late:?}");
 }
@@ -75,6 +75,6 @@
     admit(&mut router, 1);
     router.apply_document(&Document::default());
     router.apply_document(&document(1, &[("w", 1)]));
-    router.leave(at(100), RequestId(1));
+    router.finish_request(at(100), RequestId(1));
     sent(router.choose(at(100), &request(2, "w")));
 }
--- a/hawthornkeel_core/tests/named_restarts.rs
+++ b/hawthornkeel_core/tests/restart_detection.rs
@@ -57,7 +57,7 @@
         target: "t".into(),
         lasts: LATENCY * 50,
     };
-    router.handle_grant(at(millis + 21), &granted);
+    router.handle_message(at(millis + 21), &granted);
     let mut ready = router.take_ready(at(millis + 21));
     (sent(ready.remove(0).decision), grant)
 }
@@ -65,7 +65,7 @@
 fn called_warm(router: &mut Router, millis: u64, grant: GrantId, incarnation: Option<u64>) {
     let incarnation = incarnation.map(Incarnation);
     let warm = GrantMessage::Warm { grant, target: "t".into(), incarnation };
-    router.handle_grant(at(millis), &warm);
+    router.handle_message(at(millis), &warm);
 }
 
 #[test]
@@ -75,8 +75,8 @@
     router.report_load(at(2), &"t".into(), report(2));
     assert_eq!(warmth(&router), Warmth::Suspect);
     let (permit, grant) = granted(&mut router, 3);
-    router.finished(at(200), permit, answered_by(Some(2)));
-    router.finished(at(201), early, answered());
+    router.finish_call(at(200), permit, answered_by(Some(2)));
+    router.finish_call(at(201), early, answered());
     called_warm(&mut router, 202, grant, Some(2));
     assert_eq!(warmth(&router), Warmth::Warm, "the answer of incarnation 1 was late");
     router.report_load(at(203), &"t".into(), report(1));
@@ -90,13 +90,13 @@
     let mut router = router();
     for millis in 1..20 {
         let permit = sent(router.choose(at(millis), &request(u128::from(millis), "w")));
-        router.finished(at(millis), permit, answered_by(None));
+        router.finish_call(at(millis), permit, answered_by(None));
     }
     assert_eq!(warmth(&router), Warmth::Warm, "an answer without a name raises no doubt");
     router.report_load(at(20), &"t".into(), report(2));
     assert_eq!(warmth(&router), Warmth::Suspect);
     let (permit, grant) = granted(&mut router, 21);
-    router.finished(at(200), permit, answered_by(None));
+    router.finish_call(at(200), permit, answered_by(None));
     called_warm(&mut router, 201, grant, None);
     assert_eq!(warmth(&router), Warmth::Warm, "it is warmed up by answers without a name");
 }
@@ -106,9 +106,9 @@
     let mut router = router();
     let permit = sent(router.choose(at(1), &request(1, "w")));
     assert_eq!(permit.incarnation, Some(Incarnation(1)));
-    router.named(at(2), &permit, Incarnation(2));
+    router.report_incarnation(at(2), &permit, Incarnation(2));
     assert_eq!(warmth(&router), Warmth::Suspect, "told before the call has ended");
-    router.finished(at(3), permit, answered_by(Some(2)));
+    router.finish_call(at(3), permit, answered_by(Some(2)));
     let (permit, _) = granted(&mut router, 4);
     assert_eq!(permit.incarnation, None, "a call under a grant may meet any");
 }
--- a/hawthornkeel_core/tests/retry_budget.rs
+++ b/hawthornkeel_core/tests/retry_budget.rs
@@ -4,10 +4,10 @@
 
 use std::time::Duration;
 
+use hawthornkeel_core::routing::AttemptKind;
 use hawthornkeel_core::routing::CallOutcome;
 use hawthornkeel_core::routing::Decision;
 use hawthornkeel_core::routing::Reason;
-use hawthornkeel_core::routing::Repeat;
 use hawthornkeel_core::routing::Router;
 use hawthornkeel_core::routing::RouterSettings;
 use hawthornkeel_core::time::Instant;
@@ -35,19 +35,19 @@
             continue;
         };
         // A good call after each failed one keeps the pool from counting as down.
-        router.finished(now, permit, CallOutcome::Truncated);
+        router.finish_call(now, permit, CallOutcome::Truncated);
         if let Decision::Send { permit, .. } = router.choose(now, &request(1 << 32 | number, "w")) {
-            router.finished(now, permit, answered());
+            router.finish_call(now, permit, answered());
         }
         let mut again = request(number, "w");
-        again.repeat = Repeat::MayHaveRun;
+        again.kind = AttemptKind::Retry;
         again.call.attempt.0 = 1;
         let mut decisions = vec![router.choose(now, &again)];
         decisions.extend(router.take_ready(now).into_iter().map(|r| r.decision));
         for decision in decisions {
             if let Decision::Send { permit, .. } = decision {
                 repeated += usize::from(permit.call.attempt.0 == 1);
-                router.finished(now, permit, answered());
+                router.finish_call(now, permit, answered());
             }
         }
     }
@@ -68,9 +68,9 @@
     let mut router = router(RouterSettings::default());
     let permit = sent(router.choose(at(1), &request(1, "w")));
     let first = permit.target.clone();
-    router.finished(at(1), permit, CallOutcome::Truncated);
+    router.finish_call(at(1), permit, CallOutcome::Truncated);
     let mut again = request(1, "w");
-    (again.repeat, again.excluded) = (Repeat::MayHaveRun, vec![first.clone()]);
+    (again.kind, again.excluded) = (AttemptKind::Retry, vec![first.clone()]);
     let permit = sent(router.choose(at(1), &again));
     assert_ne!(permit.target, first);
 }
@@ -80,10 +80,10 @@
     let mut router = router(RouterSettings::default());
     for number in 0..4 {
         let permit = sent(router.choose(at(1), &request(number, "w")));
-        router.finished(at(1), permit, CallOutcome::Failed);
+        router.finish_call(at(1), permit, CallOutcome::Failed);
     }
     let mut again = request(0, "w");
-    again.repeat = Repeat::MayHaveRun;
+    again.kind = AttemptKind::Retry;
     let decision = router.choose(at(2), &again);
     assert!(matches!(decision, Decision::Wait { .. }), "{decision:?}");
     let mut now: Instant = at(2);
@@ -95,11 +95,11 @@
                 assert!(answered_once, "sent before the pool answered");
                 return;
             }
-            router.finished(now, sent(ready.decision), answered());
+            router.finish_call(now, sent(ready.decision), answered());
             answered_once = true;
         }
         if let Decision::Send { permit, .. } = router.choose(now, &request(number, "w")) {
-            router.finished(now, permit, answered());
+            router.finish_call(now, permit, answered());
             answered_once = true;
         }
     }
@@ -112,15 +112,15 @@
     for number in 0..2 {
         let permit = sent(router.choose(at(1), &request(number, "w")));
         assert_eq!(permit.target.as_str(), "t0");
-        router.finished(at(1), permit, CallOutcome::Failed);
+        router.finish_call(at(1), permit, CallOutcome::Failed);
     }
     let mut again = request(0, "w");
-    (again.repeat, again.excluded) = (Repeat::MayHaveRun, vec!["t0".into()]);
+    (again.kind, again.excluded) = (AttemptKind::Retry, vec!["t0".into()]);
     let decision = router.choose(at(2), &again);
     assert!(matches!(decision, Decision::Wait { .. }), "{decision:?}");
     let permit = sent(router.choose(at(3), &request(5, "w")));
     assert_eq!(permit.target.as_str(), "t1", "a first call tries the pool");
-    router.finished(at(103), permit, answered());
+    router.finish_call(at(103), permit, answered());
     let ready = router.take_ready(at(104));
     assert!(ready.iter().any(|r| r.call == again.call), "{ready:?}");
 }
@@ -133,17 +133,17 @@
     for number in 0..1_000 {
         let permit = sent(router.choose(at(1), &request(number, "w")));
         let mut hedge = request(number, "w");
-        (hedge.repeat, hedge.excluded) = (Repeat::Hedge, vec![permit.target.clone()]);
+        (hedge.kind, hedge.excluded) = (AttemptKind::Hedge, vec![permit.target.clone()]);
         match router.choose(at(1), &hedge) {
             Decision::Send { permit: second, .. } => {
                 assert_ne!(second.target, permit.target);
                 hedged += 1;
-                router.finished(at(1), second, CallOutcome::Cancelled);
+                router.finish_call(at(1), second, CallOutcome::Cancelled);
             }
             Decision::Refuse { reason, .. } => assert_eq!(reason, Reason::HedgeBudget),
             Decision::Wait { .. } => panic!("a hedge never waits"),
         }
-        router.finished(at(1), permit, answered());
+        router.finish_call(at(1), permit, answered());
     }
     assert!((15..=25).contains(&hedged), "{hedged}");
 }
@@ -153,9 +153,9 @@
     let set = RouterSettings { retry_share: 0.0, retry_burst: 0.0, ..RouterSettings::default() };
     let mut router = router(set);
     let mut again = request(1, "w");
-    again.repeat = Repeat::NotRun;
+    again.kind = AttemptKind::SafeRetry;
     sent(router.choose(at(1), &again));
-    again.repeat = Repeat::MayHaveRun;
+    again.kind = AttemptKind::Retry;
     assert!(matches!(router.choose(at(1), &again), Decision::Wait { .. }));
     let ready = router.take_ready(at(8_000));
     let refused = |d: &Decision| matches!(d, Decision::Refuse { reason: Reason::RetryBudget, .. });
--- a/hawthornkeel_core/tests/stage_admission.rs
+++ b/hawthornkeel_core/tests/stage_admission.rs
@@ -66,7 +66,7 @@
 fn end_of_requests_makes_room() {
     let mut router = router();
     let admitted = flood(&mut router, "large");
-    (0..admitted / 2).for_each(|n| router.leave(at(1), RequestId(n)));
+    (0..admitted / 2).for_each(|n| router.finish_request(at(1), RequestId(n)));
     assert_eq!(router.admit(at(1), &plan(1 << 40, "large")), Admission::Admitted);
 }
 
--- a/hawthornkeel_core/tests/subset_spread.rs
+++ b/hawthornkeel_core/tests/subset_spread.rs
@@ -12,7 +12,7 @@
 use hawthornkeel_core::routing::shares;
 use hawthornkeel_core::routing::shares::CentreCount;
 use hawthornkeel_core::routing::subset;
-use hawthornkeel_core::routing::subset::Ranked;
+use hawthornkeel_core::routing::subset::RankedEntry;
 use rstest::rstest;
 
 use common::at;
@@ -32,9 +32,9 @@
 /// Returns the positions of the entries that know a target.
 fn knowing(entries: &[(u64, usize)], target: usize) -> Vec<u64> {
     let hash = subset::name_hash(&format!("target{target}"));
-    let ranked = |e: &(u64, usize)| Ranked { hash: e.0, near: e.1 == target % CENTRES };
-    let all: Vec<Ranked> = entries.iter().map(ranked).collect();
-    all.iter().filter(|own| subset::knows(**own, hash, &all, PLACES)).map(|r| r.hash).collect()
+    let ranked = |e: &(u64, usize)| RankedEntry { hash: e.0, near: e.1 == target % CENTRES };
+    let all: Vec<RankedEntry> = entries.iter().map(ranked).collect();
+    all.iter().filter(|own| subset::contains(**own, hash, &all, PLACES)).map(|r| r.hash).collect()
 }
 
 #[test]
@@ -83,7 +83,7 @@
     router.apply_document(&document);
     router.set_entries(at(0), &all);
     router.update_targets(at(0), &list);
-    let known: Vec<usize> = document.pools.iter().map(|p| router.known_targets(&p.name)).collect();
+    let known: Vec<usize> = document.pools.iter().map(|p| router.subset_size(&p.name)).collect();
     assert!(known.iter().all(|k| *k >= 8), "{known:?}");
     let sum: usize = known.iter().sum();
     assert!(sum < 400, "{sum} targets of {TARGETS}");
@@ -102,7 +102,7 @@
     let targets: usize = counts.iter().map(|c| c.targets).sum();
     for (t, from) in counts.iter().enumerate().filter(|(_, c)| c.targets > 0) {
         let of = |(e, to): (usize, &CentreCount)| {
-            shares::share(&counts, t, e, entries) * to.entries as f64
+            shares::target_share(&counts, t, e, entries) * to.entries as f64
         };
         let sum: f64 = counts.iter().enumerate().map(of).sum();
         assert!((sum - 1.0).abs() < 1e-9, "{sum} of a target of {from:?}");
@@ -110,7 +110,7 @@
     let fair = targets as f64 / entries as f64;
     for (e, _) in counts.iter().enumerate().filter(|(_, c)| c.entries > 0) {
         let of = |(t, from): (usize, &CentreCount)| {
-            shares::share(&counts, t, e, entries) * from.targets as f64
+            shares::target_share(&counts, t, e, entries) * from.targets as f64
         };
         let sum: f64 = counts.iter().enumerate().map(of).sum();
         assert!((sum - fair).abs() < 1e-9, "{sum} for an entry, {fair} is fair");
