--- a/hawthornkeel/src/forward/survey.rs
+++ b/hawthornkeel/src/forward/discovery_server.rs
@@ -49,7 +49,7 @@
 
 /// Control side of what entries follow; clones share it.
 #[derive(Clone)]
-pub struct Surveyor {
+pub struct DiscoveryServer {
     inner: Rc<Inner>,
 }
 
@@ -74,8 +74,8 @@
     centre: CentreName,
 }
 
-/// Parts of a control instance that a surveyor needs.
-pub struct Sources {
+/// Handles of the control instance that a discovery server uses.
+pub struct ControlHandles {
     /// Control role.
     pub control: Control,
     /// Published state in force.
@@ -84,20 +84,20 @@
     pub directory: Directory,
 }
 
-impl Surveyor {
+impl DiscoveryServer {
     /// Starts to serve surveys and to read the platform's list at `list`.
     pub fn start(
         settings: &Settings,
         endpoint: &Endpoint,
-        sources: Sources,
+        handles: ControlHandles,
         list: SocketAddr,
     ) -> Self {
-        let surveyor = Self {
+        let server = Self {
             inner: Rc::new(Inner {
                 endpoint: endpoint.clone(),
-                control: sources.control,
-                watch: sources.watch,
-                directory: sources.directory,
+                control: handles.control,
+                watch: handles.watch,
+                directory: handles.directory,
                 exchanges: Exchanges::default(),
                 list,
                 poll: Duration::from_millis(settings.platform.poll_ms),
@@ -108,30 +108,30 @@
                 started: Instant::now(),
             }),
         };
-        surveyor.serve();
-        monoio::spawn(surveyor.clone().follow_list());
-        monoio::spawn(surveyor.clone().forget_gone());
-        surveyor
+        server.serve();
+        monoio::spawn(server.clone().follow_list());
+        monoio::spawn(server.clone().forget_gone());
+        server
     }
 
     fn serve(&self) {
         let endpoint = &self.inner.endpoint;
-        let surveyor = self.clone();
+        let server = self.clone();
         endpoint.on_call(FrameKind::Survey, move |_, frame| {
-            let surveyor = surveyor.clone();
+            let server = server.clone();
             async move {
                 match frame {
                     Frame::Survey(survey) => {
-                        Frame::Surveyed(Box::new(surveyor.answer(&survey).await))
+                        Frame::Surveyed(Box::new(server.answer(&survey).await))
                     }
                     other => other,
                 }
             }
         });
-        let surveyor = self.clone();
+        let server = self.clone();
         endpoint.on_frame(FrameKind::Present, move |from, frame| {
             if let Frame::Present(presence) = frame {
-                surveyor.hear(from, presence);
+                server.hear(from, presence);
             }
         });
     }
--- a/hawthornkeel/src/forward/mod.rs
+++ b/hawthornkeel/src/forward/mod.rs
@@ -6,16 +6,16 @@
 pub mod calls;
 pub mod context;
 pub mod desks;
+pub mod discovery_client;
+pub mod discovery_server;
 pub mod exchange;
-pub mod follow;
 pub mod gate;
 pub mod handler;
 pub mod operators;
 pub mod prepare;
 pub mod relay;
 pub mod request;
-pub mod start;
-pub mod survey;
+pub mod server;
 pub mod verdict;
 
 mod booking;
--- a/hawthornkeel/src/forward/operators.rs
+++ b/hawthornkeel/src/forward/operators.rs
@@ -44,7 +44,7 @@
 const MAX_DOCUMENT: usize = 4 << 20;
 
 /// Answers operators' requests.
-pub struct Operators {
+pub struct OperatorHandler {
     /// Endpoint of this instance.
     pub endpoint: Endpoint,
     /// State in force at this instance.
@@ -55,7 +55,7 @@
     pub directory: Directory,
 }
 
-impl Handler for Operators {
+impl Handler for OperatorHandler {
     async fn handle(&self, request: Request) -> Response {
         let Head { method, path, .. } = &request.head;
         let response = match operators::order(method.as_str(), path) {
@@ -74,7 +74,7 @@
     }
 }
 
-impl Operators {
+impl OperatorHandler {
     async fn replace(&self, body: &Bytes) -> Response {
         let table = match document::decode(body) {
             Ok(table) => table,
--- a/hawthornkeel/src/forward/start.rs
+++ b/hawthornkeel/src/forward/server.rs
@@ -12,7 +12,7 @@
 use crate::entry::start::StopReport;
 use crate::forward::context::Context;
 use crate::forward::desks::Desks;
-use crate::forward::follow;
+use crate::forward::discovery_client;
 use crate::forward::handler::Callers;
 use crate::http::message::Request;
 use crate::http::message::Response;
@@ -37,13 +37,13 @@
 const HELD_PART: u64 = 4;
 
 /// Entry that forwards routes.
-pub struct Forwarding {
+pub struct ForwardServer {
     context: Rc<Context>,
     desks: Desks,
     server: Server,
 }
 
-impl Forwarding {
+impl ForwardServer {
     /// Listens for callers on `address` and for readiness checks.
     ///
     /// # Errors
@@ -57,8 +57,8 @@
         let directory = Directory::new(settings);
         let context = Rc::new(Context::new(settings.clone(), endpoint.clone(), directory));
         let desks = Desks::start(&context);
-        monoio::spawn(follow::follow(Rc::clone(&context), desks.clone()));
-        monoio::spawn(follow::tell_presence(Rc::clone(&context)));
+        monoio::spawn(discovery_client::follow(Rc::clone(&context), desks.clone()));
+        monoio::spawn(discovery_client::tell_presence(Rc::clone(&context)));
         if let Some(ready) = settings.forward.ready {
             let readiness = Rc::clone(&context);
             let checks = Server::bind(ready, Limits::default())?;
@@ -106,7 +106,7 @@
     let grace = Duration::from_secs_f64(context.settings.forward.grace_s.max(0.1));
     tracing::info!(event = "stop-begun", open = context.open.get());
     context.stopping.set(true);
-    follow::send_presence(context, true);
+    discovery_client::send_presence(context, true);
     control.drain.set();
     let started = std::time::Instant::now();
     monoio::time::sleep(grace.mul_f64(DRAIN_PART)).await;
--- a/hawthornkeel/src/instance.rs
+++ b/hawthornkeel/src/instance.rs
@@ -28,10 +28,10 @@
 use crate::entry::outlet::Outlet;
 use crate::entry::start::Started;
 use crate::entry::start::StopReport;
-use crate::forward::operators::Operators;
-use crate::forward::start::Forwarding;
-use crate::forward::survey::Sources;
-use crate::forward::survey::Surveyor;
+use crate::forward::discovery_server::ControlHandles;
+use crate::forward::discovery_server::DiscoveryServer;
+use crate::forward::operators::OperatorHandler;
+use crate::forward::server::ForwardServer;
 use crate::http::server::Limits;
 use crate::http::server::ListenError;
 use crate::http::server::Server;
@@ -102,8 +102,8 @@
 ) -> Result<StopReport, RunError> {
     let endpoint = Endpoint::open(&settings)?;
     if let Some(address) = settings.forward.listen {
-        // Such an entry follows control by surveys and has no part in the log.
-        let report = Forwarding::listen(&settings, &endpoint, address)?.serve(stop).await;
+        // A forwarding entry polls the control instances and does not replicate the log.
+        let report = ForwardServer::listen(&settings, &endpoint, address)?.serve(stop).await;
         endpoint.close();
         return Ok(report);
     }
@@ -172,14 +172,14 @@
         return Ok(());
     };
     if let Some(list) = settings.platform.address {
-        let sources = Sources {
+        let handles = ControlHandles {
             control: control.clone(),
             watch: parts.watch.clone(),
             directory: parts.directory.clone(),
         };
-        Surveyor::start(settings, endpoint, sources, list);
+        DiscoveryServer::start(settings, endpoint, handles, list);
     }
-    let operators = Operators {
+    let operators = OperatorHandler {
         endpoint: endpoint.clone(),
         follower: parts.admin.follower.clone(),
         client: parts.client.clone(),
