--- a/hawthornkeel/benches/disk_costs.rs
+++ b/hawthornkeel/benches/disk_costs.rs
@@ -15,12 +15,12 @@
 use hawthornkeel_core::ids::LogIndex;
 use hawthornkeel_core::ids::Term;
 use hawthornkeel_core::replica::Entry;
-use hawthornkeel_core::replica::Keep;
+use hawthornkeel_core::replica::LogRetention;
 use hawthornkeel_core::replica::Members;
 use hawthornkeel_core::replica::Payload;
 use hawthornkeel_core::replica::Save;
+use hawthornkeel_core::replica::SaveSeq;
 use hawthornkeel_core::replica::Snapshot;
-use hawthornkeel_core::replica::Ticket;
 use tempfile::TempDir;
 
 /// Size of a command, in bytes: about that of a claim.
@@ -57,13 +57,13 @@
         while sent < count && sent < synced + waiting {
             sent += 1;
             times.push(Instant::now());
-            writer.save(Ticket(sent), save(sent));
+            writer.save(SaveSeq(sent), save(sent));
         }
-        let Report::Synced(ticket) = reports.recv().unwrap() else { panic!("a write failed") };
+        let Report::Synced(seq) = reports.recv().unwrap() else { panic!("a write failed") };
         syncs += 1;
         let now = Instant::now();
-        latencies.extend((synced..ticket.0).map(|i| now - times[i as usize]));
-        synced = ticket.0;
+        latencies.extend((synced..seq.0).map(|i| now - times[i as usize]));
+        synced = seq.0;
     }
     let rate = count as f64 / start.elapsed().as_secs_f64();
     latencies.sort();
@@ -103,7 +103,7 @@
             members: Members::default(),
             data: data.clone(),
         },
-        keep: Keep::From(LogIndex(index)),
+        retention: LogRetention::From(LogIndex(index)),
     };
     let start = Instant::now();
     disk.write(&[snapshot(1)]).unwrap();
--- a/hawthornkeel/benches/token_path.rs
+++ b/hawthornkeel/benches/token_path.rs
@@ -394,9 +394,9 @@
     thread::block_on(async move {
         let claims = ClaimStore::Local(Rc::new(LocalState::default()));
         let lease = LeaseSettings {
-            period: Duration::from_millis(300),
-            renew: Duration::from_millis(100),
-            grant: Duration::from_secs(1),
+            lease_duration: Duration::from_millis(300),
+            renew_interval: Duration::from_millis(100),
+            grant_duration: Duration::from_secs(1),
             ..LeaseSettings::default()
         };
         let wiring = Wiring { claims, outlet: Outlet::Alone, lease };
--- a/hawthornkeel/src/control/carry.rs
+++ b/hawthornkeel/src/control/carry.rs
@@ -4,18 +4,18 @@
 
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::replica::Action;
-use hawthornkeel_core::replica::Applied;
+use hawthornkeel_core::replica::CommittedEntry;
 use hawthornkeel_core::replica::Input;
 use hawthornkeel_core::replica::Message;
 use hawthornkeel_core::replica::Payload;
 use hawthornkeel_core::replica::ProposalId;
 use hawthornkeel_core::replica::ReadId;
-use hawthornkeel_core::replica::Refusal;
+use hawthornkeel_core::replica::RejectReason;
 use hawthornkeel_core::replica::Role;
 use hawthornkeel_core::replica::Save;
+use hawthornkeel_core::replica::SaveSeq;
 use hawthornkeel_core::replica::Snapshot;
 use hawthornkeel_core::replica::Status;
-use hawthornkeel_core::replica::Ticket;
 
 use crate::control::batch;
 use crate::control::error::CodecError;
@@ -32,23 +32,23 @@
         inputs: &mut VecDeque<Input>,
     ) -> Result<(), ControlFailure> {
         match action {
-            Action::Save { ticket, save } => self.save(ticket, save),
+            Action::Save { seq, save } => self.save(seq, save),
             Action::Send { to, message } => self.send(&to, message),
             Action::Apply(entries) => self.apply(entries)?,
             Action::Restore(snapshot) => self.restore(&snapshot)?,
             Action::TakeSnapshot => inputs.push_back(self.take_snapshot()?),
-            Action::Refused { id, reason } => self.refused(id, reason),
-            Action::Lost { id } => self.ended(id, &Proposed::Unknown),
+            Action::ProposalRejected { id, reason } => self.refused(id, reason),
+            Action::OutcomeUnknown { id } => self.ended(id, &Proposed::Unknown),
             Action::ReadReady { id } => self.answer_read(id, true),
-            Action::ReadRefused { id, .. } => self.answer_read(id, false),
-            Action::Changed(status) => self.changed(&status),
+            Action::ReadRejected { id, .. } => self.answer_read(id, false),
+            Action::StatusChanged(status) => self.changed(&status),
         }
         Ok(())
     }
 
-    fn save(&self, ticket: Ticket, save: Save) {
+    fn save(&self, seq: SaveSeq, save: Save) {
         if let Some(saver) = &*self.inner.saver.borrow() {
-            saver.save(ticket, save);
+            saver.save(seq, save);
         }
     }
 
@@ -58,9 +58,9 @@
         }
     }
 
-    fn apply(&self, entries: Vec<Applied>) -> Result<(), ControlFailure> {
+    fn apply(&self, entries: Vec<CommittedEntry>) -> Result<(), ControlFailure> {
         let before = self.inner.state.borrow().published().index;
-        for Applied { entry, proposal } in entries {
+        for CommittedEntry { entry, proposal } in entries {
             self.inner.applied.set(entry.index);
             let Payload::Command(data) = &entry.payload else { continue };
             let failure = |e| ControlFailure::Entry(entry.index, e);
@@ -97,10 +97,10 @@
         Ok(Input::Snapshot { index, data })
     }
 
-    fn refused(&self, id: ProposalId, reason: Refusal) {
+    fn refused(&self, id: ProposalId, reason: RejectReason) {
         let leader = match reason {
-            Refusal::NotLeader(leader) => leader.map(|n| n.name),
-            Refusal::Busy | Refusal::NoLease | Refusal::Unchangeable => None,
+            RejectReason::NotLeader(leader) => leader.map(|n| n.name),
+            RejectReason::Busy | RejectReason::NoLease | RejectReason::ChangeNotAllowed => None,
         };
         self.ended(id, &Proposed::NotProposed { leader });
     }
--- a/hawthornkeel/src/control/node.rs
+++ b/hawthornkeel/src/control/node.rs
@@ -12,15 +12,15 @@
 use hawthornkeel_core::replica::Input;
 use hawthornkeel_core::replica::Message;
 use hawthornkeel_core::replica::Node;
+use hawthornkeel_core::replica::PersistedState;
 use hawthornkeel_core::replica::Proposal;
 use hawthornkeel_core::replica::ProposalId;
 use hawthornkeel_core::replica::ReadId;
 use hawthornkeel_core::replica::Replica;
+use hawthornkeel_core::replica::ReplicaSettings;
 use hawthornkeel_core::replica::Role;
-use hawthornkeel_core::replica::Settings;
+use hawthornkeel_core::replica::SaveSeq;
 use hawthornkeel_core::replica::Status;
-use hawthornkeel_core::replica::Stored;
-use hawthornkeel_core::replica::Ticket;
 use hawthornkeel_core::state::State;
 use hawthornkeel_core::state::command::Command;
 use hawthornkeel_core::state::published::Published;
@@ -49,13 +49,13 @@
     /// Identity of the data folder and name of the instance.
     pub node: Node,
     /// Settings of the log.
-    pub settings: Settings,
+    pub settings: ReplicaSettings,
     /// Bounds of batches.
     pub batch: BatchLimits,
     /// Randomness of elections.
     pub rng: ChaCha8Rng,
     /// What the disk holds.
-    pub stored: Stored,
+    pub stored: PersistedState,
 }
 
 /// Control instance; clones share it.
@@ -214,8 +214,8 @@
     }
 
     /// Notes that a save and all before it are on disk.
-    pub fn synced(&self, ticket: Ticket) {
-        self.input(Input::Synced { ticket });
+    pub fn synced(&self, seq: SaveSeq) {
+        self.input(Input::Synced { seq });
     }
 
     /// Ends the control role: nothing more is acknowledged or sent.
@@ -236,7 +236,7 @@
 
     /// Hands the lead over to another voter, as before a planned stop; nothing happens elsewhere.
     pub fn hand_over(&self) {
-        self.input(Input::HandOver);
+        self.input(Input::TransferLeadership);
     }
 
     /// Ends the control role of a planned stop: what was handed to the disk is written first.
@@ -329,7 +329,7 @@
                 }
             }
         }
-        let deadline = self.inner.replica.borrow().deadline();
+        let deadline = self.inner.replica.borrow().next_tick();
         if deadline < self.inner.armed.get() {
             self.inner.rearmed.notify();
         }
@@ -342,7 +342,7 @@
                 return;
             }
             let seen = self.inner.rearmed.count();
-            let deadline = self.inner.replica.borrow().deadline();
+            let deadline = self.inner.replica.borrow().next_tick();
             let wait = deadline.since(boot_now());
             if wait.is_zero() {
                 self.input(Input::Tick);
--- a/hawthornkeel/src/control/open.rs
+++ b/hawthornkeel/src/control/open.rs
@@ -8,7 +8,7 @@
 use hawthornkeel_config::settings::Settings;
 use hawthornkeel_core::replica::Node;
 use hawthornkeel_core::replica::Save;
-use hawthornkeel_core::replica::Ticket;
+use hawthornkeel_core::replica::SaveSeq;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 
@@ -81,8 +81,8 @@
 }
 
 impl Saver for FolderSaver {
-    fn save(&self, ticket: Ticket, save: Save) {
-        self.writer.save(ticket, save);
+    fn save(&self, seq: SaveSeq, save: Save) {
+        self.writer.save(seq, save);
     }
 }
 
@@ -127,7 +127,7 @@
 async fn take_reports(control: Control, mut receiver: mpsc::UnboundedReceiver<Report>) {
     while let Ok(report) = receiver.recv().await {
         match report {
-            Report::Synced(ticket) => control.synced(ticket),
+            Report::Synced(seq) => control.synced(seq),
             Report::Failed(error) => control.fail(ControlFailure::Disk(error.to_string())),
         }
     }
--- a/hawthornkeel/src/control/start.rs
+++ b/hawthornkeel/src/control/start.rs
@@ -4,8 +4,8 @@
 
 use hawthornkeel_config::settings::Settings;
 use hawthornkeel_config::settings::Trust;
-use hawthornkeel_core::replica::Admission;
-use hawthornkeel_core::replica::Settings as LogSettings;
+use hawthornkeel_core::replica::ReplicaSettings;
+use hawthornkeel_core::replica::VoterPolicy;
 
 use crate::control::admin::Admin;
 use crate::control::client::ControlClient;
@@ -54,29 +54,30 @@
 }
 
 /// Returns which learners become voters by themselves.
-fn admission(settings: &Settings) -> Admission {
+fn voter_policy(settings: &Settings) -> VoterPolicy {
     match settings.peers.trust {
-        Trust::Certificates => Admission::Founders,
+        Trust::Certificates => VoterPolicy::Founders,
         // A quorum of that many voters outlives the disks that may be lost.
-        Trust::Addresses => {
-            Admission::Open { voters: 2 * settings.control.lost_disks + 1, replace: REPLACE_AFTER }
-        }
+        Trust::Addresses => VoterPolicy::Open {
+            max_voters: 2 * settings.control.lost_disks + 1,
+            replace_after: REPLACE_AFTER,
+        },
     }
 }
 
 /// Returns the settings of the replicated log that `settings` call for.
-pub fn log_settings(settings: &Settings) -> LogSettings {
+pub fn log_settings(settings: &Settings) -> ReplicaSettings {
     let control = &settings.control;
-    let election = Duration::from_millis(control.election_ms);
-    LogSettings {
+    let election_timeout = Duration::from_millis(control.election_ms);
+    ReplicaSettings {
         founders: settings.founders(),
-        forms: control.found,
-        admission: admission(settings),
-        election,
-        heartbeat: Duration::from_millis(control.heartbeat_ms),
-        drift: election / DRIFT_DIVISOR,
+        can_bootstrap: control.found,
+        voter_policy: voter_policy(settings),
+        election_timeout,
+        heartbeat_interval: Duration::from_millis(control.heartbeat_ms),
+        clock_drift: election_timeout / DRIFT_DIVISOR,
         snapshot_entries: control.snapshot_entries,
         retain_entries: control.snapshot_entries / RETAIN_DIVISOR,
-        ..LogSettings::default()
+        ..ReplicaSettings::default()
     }
 }
--- a/hawthornkeel/src/disk/mod.rs
+++ b/hawthornkeel/src/disk/mod.rs
@@ -30,10 +30,10 @@
 use hawthornkeel_core::ids::LogIndex;
 use hawthornkeel_core::ids::ReplicaId;
 use hawthornkeel_core::replica::HardState;
-use hawthornkeel_core::replica::Keep;
+use hawthornkeel_core::replica::LogRetention;
+use hawthornkeel_core::replica::PersistedState;
 use hawthornkeel_core::replica::Save;
 use hawthornkeel_core::replica::Snapshot;
-use hawthornkeel_core::replica::Stored;
 
 pub use crate::disk::error::DiskError;
 pub use crate::disk::files::Files;
@@ -65,7 +65,7 @@
     /// Identity of the folder.
     pub id: ReplicaId,
     /// State of the replica.
-    pub stored: Stored,
+    pub stored: PersistedState,
     /// Size of the torn end of the log that was cut off, in bytes.
     pub cut: u64,
 }
@@ -150,9 +150,9 @@
                 Save::Log { hard, truncate, entries } => {
                     records.push(Record { hard: *hard, truncate: *truncate, entries });
                 }
-                Save::Snapshot { snapshot, keep } => {
+                Save::Snapshot { snapshot, retention } => {
                     self.write_records(&mut records)?;
-                    self.write_snapshot(snapshot, *keep)?;
+                    self.write_snapshot(snapshot, *retention)?;
                 }
             }
         }
@@ -214,22 +214,26 @@
     }
 
     /// Writes a snapshot, and removes what it replaces.
-    fn write_snapshot(&mut self, snapshot: &Snapshot, keep: Keep) -> Result<(), DiskError> {
-        if keep == Keep::Nothing {
+    fn write_snapshot(
+        &mut self,
+        snapshot: &Snapshot,
+        retention: LogRetention,
+    ) -> Result<(), DiskError> {
+        if retention == LogRetention::Nothing {
             self.begin_segment()?;
             self.last = snapshot.index;
         }
-        let first = self.first_kept(keep);
+        let first = self.first_kept(retention);
         snapshot::write_aside(&self.path, snapshot, first, &mut self.files)?;
         self.adopt_snapshot(snapshot.index, first)
     }
 
     /// Returns the number of the first segment that a snapshot leaves.
-    fn first_kept(&self, keep: Keep) -> u64 {
+    fn first_kept(&self, retention: LogRetention) -> u64 {
         let current = self.segments.last().map_or(1, |s| s.number);
-        match keep {
-            Keep::Nothing => current,
-            Keep::From(index) => {
+        match retention {
+            LogRetention::Nothing => current,
+            LogRetention::From(index) => {
                 let kept = self.segments.iter().find(|s| s.last >= index);
                 kept.map_or(current, |s| s.number)
             }
--- a/hawthornkeel/src/disk/recover.rs
+++ b/hawthornkeel/src/disk/recover.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 
 use hawthornkeel_core::ids::LogIndex;
-use hawthornkeel_core::replica::Stored;
+use hawthornkeel_core::replica::PersistedState;
 
 use crate::disk::error::DiskError;
 use crate::disk::folder;
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(super) struct Found {
     /// State of the replica.
-    pub(super) stored: Stored,
+    pub(super) stored: PersistedState,
     /// Segments in order.
     pub(super) segments: Vec<Segment>,
     /// Last segment, open at its end.
@@ -38,7 +38,8 @@
 pub(super) fn recover(path: &Path) -> Result<Found, DiskError> {
     let found = snapshot::read(path)?;
     let first = found.as_ref().map_or(1, |f| f.first);
-    let mut stored = Stored { snapshot: found.map(|f| f.snapshot), ..Stored::default() };
+    let mut stored =
+        PersistedState { snapshot: found.map(|f| f.snapshot), ..PersistedState::default() };
     let mut segments = Vec::new();
     let mut cut = 0;
     let numbers = present(path, first)?;
@@ -80,7 +81,7 @@
     path: &Path,
     number: u64,
     is_last: bool,
-    stored: &mut Stored,
+    stored: &mut PersistedState,
 ) -> Result<(Segment, u64), DiskError> {
     let name = segment::path(path, number);
     let data = fs::read(&name).map_err(|e| DiskError::io(&name, e))?;
@@ -111,7 +112,7 @@
     name: &Path,
     offset: u64,
     records: Vec<OwnedRecord>,
-    stored: &mut Stored,
+    stored: &mut PersistedState,
     last: &mut LogIndex,
 ) -> Result<(), DiskError> {
     for record in records {
--- a/hawthornkeel/src/disk/writer.rs
+++ b/hawthornkeel/src/disk/writer.rs
@@ -13,10 +13,10 @@
 use std::time::Instant;
 
 use hawthornkeel_core::ids::LogIndex;
-use hawthornkeel_core::replica::Keep;
+use hawthornkeel_core::replica::LogRetention;
 use hawthornkeel_core::replica::Save;
+use hawthornkeel_core::replica::SaveSeq;
 use hawthornkeel_core::replica::Snapshot;
-use hawthornkeel_core::replica::Ticket;
 
 use crate::disk::Disk;
 use crate::disk::error::DiskError;
@@ -32,10 +32,10 @@
 /// What the writer reports.
 #[derive(Debug)]
 pub enum Report {
-    /// The save with this ticket and all before it are on disk.
+    /// The save with this sequence number and all before it are on disk.
     ///
-    /// Snapshots of the replica's own state ([`Keep::From`]) may still be on their way.
-    Synced(Ticket),
+    /// Snapshots of the replica's own state ([`LogRetention::From`]) may still be on their way.
+    Synced(SaveSeq),
     /// A write or sync failed. Nothing more is written and the process must stop.
     Failed(DiskError),
 }
@@ -43,9 +43,9 @@
 /// Order to the thread.
 enum Order {
     /// Write a save.
-    Save(Ticket, Save),
+    Save(SaveSeq, Save),
     /// Write a snapshot while the log goes on, and say so by the sender.
-    Snapshot(Ticket, Snapshot, Keep, Sender<Order>),
+    Snapshot(SaveSeq, Snapshot, LogRetention, Sender<Order>),
     /// The snapshot that was being written is written.
     Written,
 }
@@ -93,13 +93,13 @@
     /// Hands over a save; saves are written in the order of this call.
     ///
     /// After a failure it is dropped, and never reported as synced.
-    pub fn save(&self, ticket: Ticket, save: Save) {
+    pub fn save(&self, seq: SaveSeq, save: Save) {
         let Some(sender) = &self.sender else { return };
         let order = match save {
-            Save::Snapshot { snapshot, keep: keep @ Keep::From(_) } => {
-                Order::Snapshot(ticket, snapshot, keep, sender.clone())
+            Save::Snapshot { snapshot, retention: retention @ LogRetention::From(_) } => {
+                Order::Snapshot(seq, snapshot, retention, sender.clone())
             }
-            save => Order::Save(ticket, save),
+            save => Order::Save(seq, save),
         };
         // The thread ends only after it has reported a failure.
         let _ = sender.send(order);
@@ -133,15 +133,15 @@
     ) -> Result<(), DiskError> {
         let mut saves = Vec::new();
         while let Ok(order) = receiver.recv() {
-            let mut ticket = self.take(order, &mut saves)?;
+            let mut seq = self.take(order, &mut saves)?;
             while saves.len() < self.disk.settings.group_saves {
                 let Ok(order) = receiver.try_recv() else { break };
-                ticket = self.take(order, &mut saves)?.or(ticket);
+                seq = self.take(order, &mut saves)?.or(seq);
             }
             self.write(&saves)?;
             saves.clear();
-            if let Some(ticket) = ticket {
-                report(Report::Synced(ticket));
+            if let Some(seq) = seq {
+                report(Report::Synced(seq));
             }
         }
         Ok(())
@@ -184,24 +184,24 @@
         self.ending.load(Ordering::Relaxed) || since.elapsed() > FULL_TIME
     }
 
-    /// Takes in an order, and returns the ticket that is on disk once `saves` are.
-    fn take(&mut self, order: Order, saves: &mut Vec<Save>) -> Result<Option<Ticket>, DiskError> {
+    /// Takes in an order, and returns the sequence number that is on disk once `saves` are.
+    fn take(&mut self, order: Order, saves: &mut Vec<Save>) -> Result<Option<SaveSeq>, DiskError> {
         match order {
-            Order::Save(ticket, save) => {
+            Order::Save(seq, save) => {
                 // A snapshot that replaces the log must not be followed by an older one.
                 if matches!(save, Save::Snapshot { .. }) {
                     self.finish_job()?;
                 }
                 saves.push(save);
-                Ok(Some(ticket))
+                Ok(Some(seq))
             }
-            Order::Snapshot(ticket, snapshot, keep, done) => {
+            Order::Snapshot(seq, snapshot, retention, done) => {
                 // What it may drop must be known to the folder.
                 self.write(saves)?;
                 saves.clear();
                 self.finish_job()?;
-                self.start_job(snapshot, keep, done)?;
-                Ok(Some(ticket))
+                self.start_job(snapshot, retention, done)?;
+                Ok(Some(seq))
             }
             Order::Written => {
                 self.finish_job()?;
@@ -214,10 +214,10 @@
     fn start_job(
         &mut self,
         snapshot: Snapshot,
-        keep: Keep,
+        retention: LogRetention,
         done: Sender<Order>,
     ) -> Result<(), DiskError> {
-        let (index, first) = (snapshot.index, self.disk.first_kept(keep));
+        let (index, first) = (snapshot.index, self.disk.first_kept(retention));
         let (path, mut files) = (self.disk.path.clone(), self.disk.files.clone());
         let thread = thread::Builder::new().name("snapshot".to_owned());
         let thread = thread.spawn(move || {
--- a/hawthornkeel/src/instance.rs
+++ b/hawthornkeel/src/instance.rs
@@ -227,7 +227,7 @@
 
 fn lease_settings(settings: &Settings) -> LeaseSettings {
     let grant = Duration::from_millis(settings.entry.grant_ms);
-    LeaseSettings { grant, ..LeaseSettings::default() }
+    LeaseSettings { grant_duration: grant, ..LeaseSettings::default() }
 }
 
 fn receive_entry_frames(context: &Rc<Context>, endpoint: &Endpoint) {
--- a/hawthornkeel/src/trial.rs
+++ b/hawthornkeel/src/trial.rs
@@ -66,9 +66,9 @@
 
 fn wiring() -> Wiring {
     let lease = LeaseSettings {
-        period: LEASE_PERIOD,
-        renew: LEASE_RENEW,
-        grant: GRANT,
+        lease_duration: LEASE_PERIOD,
+        renew_interval: LEASE_RENEW,
+        grant_duration: GRANT,
         ..LeaseSettings::default()
     };
     let claims = ClaimStore::Local(Rc::new(LocalState::default()));
--- a/hawthornkeel/tests/disk_faults.rs
+++ b/hawthornkeel/tests/disk_faults.rs
@@ -24,9 +24,9 @@
 use hawthornkeel::disk::Recovered;
 use hawthornkeel::disk::Report;
 use hawthornkeel_core::ids::LogIndex;
-use hawthornkeel_core::replica::Keep;
+use hawthornkeel_core::replica::LogRetention;
 use hawthornkeel_core::replica::Save;
-use hawthornkeel_core::replica::Ticket;
+use hawthornkeel_core::replica::SaveSeq;
 use rstest::rstest;
 use tempfile::TempDir;
 
@@ -152,12 +152,12 @@
     let (sender, reports) = mpsc::channel();
     let writer = DiskWriter::start(disk, move |r| sender.send(r).unwrap()).unwrap();
     let wait = Duration::from_secs(20);
-    writer.save(Ticket(1), entries(1, 1));
-    assert!(matches!(reports.recv_timeout(wait), Ok(Report::Synced(Ticket(1)))));
+    writer.save(SaveSeq(1), entries(1, 1));
+    assert!(matches!(reports.recv_timeout(wait), Ok(Report::Synced(SaveSeq(1)))));
     files.left.store(1, Ordering::SeqCst);
-    writer.save(Ticket(2), entries(2, 2));
+    writer.save(SaveSeq(2), entries(2, 2));
     assert!(matches!(reports.recv_timeout(wait), Ok(Report::Failed(DiskError::Io { .. }))));
-    writer.save(Ticket(3), entries(2, 2));
+    writer.save(SaveSeq(3), entries(2, 2));
     drop(writer);
     assert!(reports.recv().is_err(), "reported more after a failure");
 }
@@ -208,14 +208,14 @@
     let folder = TempDir::new().unwrap();
     let (writer, reports, files) = start_filling(folder.path());
     let wait = Duration::from_secs(20);
-    writer.save(Ticket(1), entries(1, 3));
-    assert!(matches!(reports.recv_timeout(wait), Ok(Report::Synced(Ticket(1)))));
+    writer.save(SaveSeq(1), entries(1, 3));
+    assert!(matches!(reports.recv_timeout(wait), Ok(Report::Synced(SaveSeq(1)))));
     files.full.store(true, Ordering::SeqCst);
-    writer.save(Ticket(2), entries(4, 6));
+    writer.save(SaveSeq(2), entries(4, 6));
     files.await_refusals(3);
     assert!(reports.try_recv().is_err(), "reported while the disk was full");
     files.full.store(false, Ordering::SeqCst);
-    assert!(matches!(reports.recv_timeout(wait), Ok(Report::Synced(Ticket(2)))));
+    assert!(matches!(reports.recv_timeout(wait), Ok(Report::Synced(SaveSeq(2)))));
     drop(writer);
     assert_eq!(open(folder.path()).unwrap().1.stored.entries.len(), 6);
 }
@@ -224,13 +224,16 @@
 fn full_disk_leaves_snapshots_out() {
     let folder = TempDir::new().unwrap();
     let (writer, reports, files) = start_filling(folder.path());
-    writer.save(Ticket(1), entries(1, 9));
-    assert!(matches!(reports.recv(), Ok(Report::Synced(Ticket(1)))));
+    writer.save(SaveSeq(1), entries(1, 9));
+    assert!(matches!(reports.recv(), Ok(Report::Synced(SaveSeq(1)))));
     files.full.store(true, Ordering::SeqCst);
-    writer.save(Ticket(2), Save::Snapshot { snapshot: snapshot(8), keep: Keep::From(LogIndex(6)) });
+    writer.save(
+        SaveSeq(2),
+        Save::Snapshot { snapshot: snapshot(8), retention: LogRetention::From(LogIndex(6)) },
+    );
     files.await_refusals(1);
     files.full.store(false, Ordering::SeqCst);
-    writer.save(Ticket(3), entries(10, 10));
+    writer.save(SaveSeq(3), entries(10, 10));
     drop(writer);
     let failed = reports.iter().find(|r| matches!(r, Report::Failed(_)));
     assert!(failed.is_none(), "{failed:?}");
@@ -243,7 +246,7 @@
     let folder = TempDir::new().unwrap();
     let (writer, reports, files) = start_filling(folder.path());
     files.full.store(true, Ordering::SeqCst);
-    writer.save(Ticket(1), entries(1, 3));
+    writer.save(SaveSeq(1), entries(1, 3));
     drop(writer);
     assert!(matches!(reports.recv(), Ok(Report::Failed(DiskError::Full(_)))));
 }
@@ -254,14 +257,14 @@
     let (disk, _) = open(folder.path()).unwrap();
     let (sender, reports) = mpsc::channel();
     let writer = DiskWriter::start(disk, move |r| sender.send(r).unwrap()).unwrap();
-    (1..=500).for_each(|i| writer.save(Ticket(i), entries(i, i)));
+    (1..=500).for_each(|i| writer.save(SaveSeq(i), entries(i, i)));
     drop(writer);
-    let tickets = reports.iter().map(|r| match r {
-        Report::Synced(ticket) => ticket.0,
+    let seqs = reports.iter().map(|r| match r {
+        Report::Synced(seq) => seq.0,
         Report::Failed(error) => panic!("{error}"),
     });
-    let tickets: Vec<_> = tickets.collect();
-    assert!(tickets.is_sorted() && tickets.last() == Some(&500) && tickets.len() < 500);
+    let seqs: Vec<_> = seqs.collect();
+    assert!(seqs.is_sorted() && seqs.last() == Some(&500) && seqs.len() < 500);
     assert_eq!(open(folder.path()).unwrap().1.stored.entries.len(), 500);
 }
 
@@ -272,14 +275,14 @@
     let opened = Disk::open_with(folder.path(), DiskSettings::default(), files.clone());
     let (sender, reports) = mpsc::channel();
     let writer = DiskWriter::start(opened.unwrap().0, move |r| sender.send(r).unwrap()).unwrap();
-    writer.save(Ticket(1), entries(1, 9));
-    let keep = Keep::From(LogIndex(6));
-    writer.save(Ticket(2), Save::Snapshot { snapshot: snapshot(8), keep });
-    writer.save(Ticket(3), entries(10, 10));
-    let mut synced = Ticket(0);
-    while synced < Ticket(3) {
+    writer.save(SaveSeq(1), entries(1, 9));
+    let retention = LogRetention::From(LogIndex(6));
+    writer.save(SaveSeq(2), Save::Snapshot { snapshot: snapshot(8), retention });
+    writer.save(SaveSeq(3), entries(10, 10));
+    let mut synced = SaveSeq(0);
+    while synced < SaveSeq(3) {
         match reports.recv_timeout(Duration::from_secs(20)) {
-            Ok(Report::Synced(ticket)) => synced = ticket,
+            Ok(Report::Synced(seq)) => synced = seq,
             other => {
                 files.release();
                 panic!("after {synced:?}: {other:?}");
@@ -288,8 +291,11 @@
     }
     files.release();
     // A snapshot that replaces the log comes after the one on its way.
-    writer.save(Ticket(4), Save::Snapshot { snapshot: snapshot(20), keep: Keep::Nothing });
-    writer.save(Ticket(5), entries(21, 22));
+    writer.save(
+        SaveSeq(4),
+        Save::Snapshot { snapshot: snapshot(20), retention: LogRetention::Nothing },
+    );
+    writer.save(SaveSeq(5), entries(21, 22));
     drop(writer);
     let (_, found) = open(folder.path()).unwrap();
     assert_eq!(found.stored.snapshot, Some(snapshot(20)));
@@ -304,8 +310,8 @@
     let (sender, reports) = mpsc::channel();
     let writer = DiskWriter::start(opened.unwrap().0, move |r| sender.send(r).unwrap()).unwrap();
     files.left.store(1, Ordering::SeqCst);
-    let keep = Keep::From(LogIndex(1));
-    writer.save(Ticket(1), Save::Snapshot { snapshot: snapshot(8), keep });
+    let retention = LogRetention::From(LogIndex(1));
+    writer.save(SaveSeq(1), Save::Snapshot { snapshot: snapshot(8), retention });
     drop(writer);
     let last = reports.iter().last();
     assert!(matches!(last, Some(Report::Failed(DiskError::Io { .. }))), "{last:?}");
--- a/hawthornkeel/tests/disk_model.rs
+++ b/hawthornkeel/tests/disk_model.rs
@@ -5,9 +5,9 @@
 use hawthornkeel::disk::Disk;
 use hawthornkeel::disk::DiskSettings;
 use hawthornkeel_core::ids::LogIndex;
-use hawthornkeel_core::replica::Keep;
+use hawthornkeel_core::replica::LogRetention;
+use hawthornkeel_core::replica::PersistedState;
 use hawthornkeel_core::replica::Save;
-use hawthornkeel_core::replica::Stored;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -21,7 +21,7 @@
 /// What the folder must hold, and the first entry that it may have dropped up to.
 #[derive(Default)]
 struct Model {
-    stored: Stored,
+    stored: PersistedState,
     kept: u64,
 }
 
@@ -40,12 +40,13 @@
             1 if last > base => cut(rng.random_range(base + 1..=last)),
             2 if last > base => {
                 let index = rng.random_range(base + 1..=last);
-                let keep = Keep::From(LogIndex(index.saturating_sub(5).max(self.kept) + 1));
-                Save::Snapshot { snapshot: snapshot(index), keep }
+                let retention =
+                    LogRetention::From(LogIndex(index.saturating_sub(5).max(self.kept) + 1));
+                Save::Snapshot { snapshot: snapshot(index), retention }
             }
             3 if rng.random_bool(0.2) => {
                 let snapshot = snapshot(last + rng.random_range(1..50));
-                Save::Snapshot { snapshot, keep: Keep::Nothing }
+                Save::Snapshot { snapshot, retention: LogRetention::Nothing }
             }
             _ => entries(last + 1, last + rng.random_range(1..6)),
         }
@@ -60,11 +61,11 @@
                 }
                 self.stored.entries.extend(entries.iter().cloned());
             }
-            Save::Snapshot { snapshot, keep } => {
+            Save::Snapshot { snapshot, retention } => {
                 self.stored.snapshot = Some(snapshot.clone());
-                match keep {
-                    Keep::From(index) => self.kept = index.0 - 1,
-                    Keep::Nothing => {
+                match retention {
+                    LogRetention::From(index) => self.kept = index.0 - 1,
+                    LogRetention::Nothing => {
                         self.stored.entries.clear();
                         self.kept = snapshot.index.0;
                     }
@@ -74,7 +75,7 @@
     }
 
     /// Checks what was found; entries that may be dropped may be there or not.
-    fn check(&self, found: &Stored, seed: u64) {
+    fn check(&self, found: &PersistedState, seed: u64) {
         assert_eq!((found.hard, &found.snapshot), (self.stored.hard, &self.stored.snapshot));
         let wanted = self.stored.entries.iter().filter(|e| e.index.0 > self.kept);
         let kept = found.entries.iter().filter(|e| e.index.0 > self.kept);
--- a/hawthornkeel/tests/disk_recovery.rs
+++ b/hawthornkeel/tests/disk_recovery.rs
@@ -12,7 +12,7 @@
 use hawthornkeel::disk::Recovered;
 use hawthornkeel_core::ids::LogIndex;
 use hawthornkeel_core::ids::Term;
-use hawthornkeel_core::replica::Keep;
+use hawthornkeel_core::replica::LogRetention;
 use hawthornkeel_core::replica::Save;
 use tempfile::TempDir;
 
@@ -75,8 +75,8 @@
         disk.write(&[entries(index, index)]).unwrap();
     }
     let before = files(folder.path(), "log-").len();
-    let keep = Keep::From(LogIndex(71));
-    disk.write(&[Save::Snapshot { snapshot: snapshot(80), keep }]).unwrap();
+    let retention = LogRetention::From(LogIndex(71));
+    disk.write(&[Save::Snapshot { snapshot: snapshot(80), retention }]).unwrap();
     disk.write(&[entries(101, 101)]).unwrap();
     drop(disk);
     assert!(files(folder.path(), "log-").len() < before);
@@ -93,7 +93,7 @@
     let folder = TempDir::new().unwrap();
     let (mut disk, _) = open(folder.path()).unwrap();
     disk.write(&[hard(2), entries(1, 10)]).unwrap();
-    let save = Save::Snapshot { snapshot: snapshot(50), keep: Keep::Nothing };
+    let save = Save::Snapshot { snapshot: snapshot(50), retention: LogRetention::Nothing };
     disk.write(&[save, entries(51, 52)]).unwrap();
     drop(disk);
     let (_, found) = open(folder.path()).unwrap();
--- a/hawthornkeel/tests/support/operator.rs
+++ b/hawthornkeel/tests/support/operator.rs
@@ -11,7 +11,7 @@
 use hawthornkeel_core::ids::OperationNumber;
 use hawthornkeel_core::ids::Version;
 use hawthornkeel_core::names::InstanceName;
-use hawthornkeel_core::replica::Standing;
+use hawthornkeel_core::replica::MemberKind;
 
 use crate::support::cluster::Cluster;
 
@@ -84,7 +84,7 @@
 /// Returns the identities of the voters as the instance `at` knows them.
 pub async fn voters(parts: &Parts, at: &str) -> Vec<(String, u64)> {
     let Some(control) = status(parts, at).await.and_then(|s| s.control) else { return Vec::new() };
-    let voters = control.members.0.into_iter().filter(|m| m.standing == Standing::Voter);
+    let voters = control.members.0.into_iter().filter(|m| m.kind == MemberKind::Voter);
     voters.map(|m| (m.node.name.as_str().to_owned(), m.node.id.0)).collect()
 }
 
--- a/hawthornkeel_core/benches/log_costs.rs
+++ b/hawthornkeel_core/benches/log_costs.rs
@@ -14,8 +14,8 @@
 use hawthornkeel_core::replica::Proposal;
 use hawthornkeel_core::replica::ProposalId;
 use hawthornkeel_core::replica::Replica;
+use hawthornkeel_core::replica::ReplicaSettings;
 use hawthornkeel_core::replica::Role;
-use hawthornkeel_core::replica::Settings;
 use hawthornkeel_core::time::Instant;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -38,7 +38,8 @@
         let names: Vec<_> = (0..size).map(|i| InstanceName::new(&format!("i{i}"))).collect();
         let replica = |i: usize| {
             let node = Node { id: ReplicaId(i as u64 + 1), name: names[i].clone() };
-            let settings = Settings { founders: names.clone(), ..Settings::default() };
+            let settings =
+                ReplicaSettings { founders: names.clone(), ..ReplicaSettings::default() };
             Replica::new(node, settings, ChaCha8Rng::seed_from_u64(i as u64), Instant::ZERO)
         };
         let replicas = (0..size).map(replica).collect();
@@ -50,8 +51,8 @@
         while let Some((i, input)) = self.queue.pop_front() {
             for action in self.replicas[i].handle(Instant::from_micros(self.now), input) {
                 match action {
-                    Action::Save { ticket, .. } => {
-                        self.queue.push_back((i, Input::Synced { ticket }));
+                    Action::Save { seq, .. } => {
+                        self.queue.push_back((i, Input::Synced { seq }));
                     }
                     Action::Send { to, message } => {
                         self.messages += 1;
@@ -73,7 +74,7 @@
 
     /// Lets time pass to the next deadline.
     fn step(&mut self) {
-        let due = self.replicas.iter().map(|r| r.deadline().as_micros()).min().unwrap();
+        let due = self.replicas.iter().map(|r| r.next_tick().as_micros()).min().unwrap();
         self.now = self.now.max(due);
         (0..self.replicas.len()).for_each(|i| self.queue.push_back((i, Input::Tick)));
         self.drain();
--- a/hawthornkeel_core/src/lease/holder.rs
+++ b/hawthornkeel_core/src/lease/holder.rs
@@ -78,7 +78,7 @@
     }
 
     /// Returns the time at which `tick` has something to do.
-    pub fn next_wake(&self) -> Instant {
+    pub fn next_tick(&self) -> Instant {
         self.next_ask
     }
 
@@ -95,7 +95,7 @@
         self.sent = now;
         self.votes.clear();
         self.refusals.clear();
-        self.next_ask = now + self.settings.renew;
+        self.next_ask = now + self.settings.renew_interval;
         Some(VoteMessage::Ask { holder: self.id.clone(), round: self.round })
     }
 
@@ -134,13 +134,13 @@
 
     /// Extends the lease from the time at which the round was sent.
     fn renew(&mut self, now: Instant) -> bool {
-        let until = self.sent + self.settings.period;
+        let until = self.sent + self.settings.lease_duration;
         if now >= until {
             return false;
         }
         if !self.holds(now) {
             self.term += 1;
-            self.clear = now + self.settings.stretched(self.settings.grant);
+            self.clear = now + self.settings.with_drift(self.settings.grant_duration);
         }
         self.until = until;
         true
@@ -155,7 +155,7 @@
         self.round += 1;
         self.refusals.clear();
         self.votes.clear();
-        self.next_ask = now + self.settings.renew + self.pause();
+        self.next_ask = now + self.settings.renew_interval + self.pause();
         VoteMessage::Resign { holder: self.id.clone(), round: lost }
     }
 
@@ -163,7 +163,7 @@
     fn pause(&self) -> Duration {
         let turn = u32::from(self.round as u8) * u8::BITS;
         let share = self.id.boot.rotate_right(turn) as u8;
-        self.settings.renew * u32::from(share) / 256
+        self.settings.renew_interval * u32::from(share) / 256
     }
 
     /// Gives up the lease; the message goes to all voters once no grant is handed out any more.
--- a/hawthornkeel_core/src/lease/issuer.rs
+++ b/hawthornkeel_core/src/lease/issuer.rs
@@ -9,7 +9,7 @@
 use crate::lease::message::GrantMessage;
 use crate::lease::message::GrantOutcome;
 use crate::lease::message::MemberId;
-use crate::lease::record::Record;
+use crate::lease::target_grants::TargetGrants;
 use crate::names::CentreName;
 use crate::names::PoolName;
 use crate::names::TargetName;
@@ -29,7 +29,7 @@
 pub struct Issuer {
     centre: CentreName,
     pools: IndexMap<PoolName, Pool>,
-    records: IndexMap<TargetName, Record>,
+    records: IndexMap<TargetName, TargetGrants>,
     /// Win of the lease that the records belong to.
     term: u64,
     next_number: u64,
@@ -134,7 +134,7 @@
             granted.push(new);
         }
         for one in granted {
-            let message = one.message(holder.id(), target, holder.settings().grant);
+            let message = one.message(holder.id(), target, holder.settings().grant_duration);
             out.push(IssuerOutput { to: one.entry, message });
         }
         out
--- a/hawthornkeel_core/src/lease/message.rs
+++ b/hawthornkeel_core/src/lease/message.rs
@@ -86,7 +86,7 @@
 
 /// Why a target is suspected to have turned cold.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub enum Doubt {
+pub enum SuspectReason {
     /// A connection broke: an answer of the same incarnation clears the doubt.
     Restart,
     /// The target turned slow or failed: it has to prove itself again.
@@ -154,7 +154,7 @@
         /// Incarnation that was known before.
         incarnation: Option<Incarnation>,
         /// Why it is suspected.
-        doubt: Doubt,
+        doubt: SuspectReason,
     },
     /// Tells a new issuer that an incarnation of a target is warm.
     Vouch {
--- a/hawthornkeel_core/src/lease/mod.rs
+++ b/hawthornkeel_core/src/lease/mod.rs
@@ -8,17 +8,17 @@
 pub mod holder;
 pub mod issuer;
 pub mod message;
-pub(crate) mod record;
 pub mod settings;
+pub(crate) mod target_grants;
 pub mod voter;
 pub mod voters;
 
 pub use holder::Holder;
 pub use issuer::Issuer;
 pub use issuer::IssuerOutput;
-pub use message::Doubt;
 pub use message::GrantMessage;
 pub use message::MemberId;
+pub use message::SuspectReason;
 pub use message::VoteMessage;
 pub use settings::LeaseSettings;
 pub use voter::Voter;
--- a/hawthornkeel_core/src/lease/settings.rs
+++ b/hawthornkeel_core/src/lease/settings.rs
@@ -10,35 +10,41 @@
 #[serde(default)]
 pub struct LeaseSettings {
     /// Time for which a vote is given.
-    pub period: Duration,
+    #[serde(rename = "period")]
+    pub lease_duration: Duration,
     /// Time between renewals of the lease.
-    pub renew: Duration,
+    #[serde(rename = "renew")]
+    pub renew_interval: Duration,
     /// Longest time from a grant's request to the end of its call.
-    pub grant: Duration,
+    #[serde(rename = "grant")]
+    pub grant_duration: Duration,
     /// Time after which an unanswered grant request is sent again.
-    pub resend: Duration,
+    #[serde(rename = "resend")]
+    pub resend_timeout: Duration,
     /// Time after which an unused grant is given back.
-    pub unused: Duration,
+    #[serde(rename = "unused")]
+    pub unused_timeout: Duration,
     /// Share by which the clocks of two instances may run apart, in parts per thousand.
-    pub drift: u32,
+    #[serde(rename = "drift")]
+    pub drift_permille: u32,
 }
 
 impl Default for LeaseSettings {
     fn default() -> Self {
         Self {
-            period: Duration::from_secs(3),
-            renew: Duration::from_secs(1),
-            grant: Duration::from_secs(9),
-            resend: Duration::from_millis(200),
-            unused: Duration::from_millis(500),
-            drift: 20,
+            lease_duration: Duration::from_secs(3),
+            renew_interval: Duration::from_secs(1),
+            grant_duration: Duration::from_secs(9),
+            resend_timeout: Duration::from_millis(200),
+            unused_timeout: Duration::from_millis(500),
+            drift_permille: 20,
         }
     }
 }
 
 impl LeaseSettings {
     /// Returns how long a giver must regard `span` as running, given the drift of clocks.
-    pub fn stretched(&self, span: Duration) -> Duration {
-        span + span * self.drift / 1000
+    pub fn with_drift(&self, span: Duration) -> Duration {
+        span + span * self.drift_permille / 1000
     }
 }
--- a/hawthornkeel_core/src/lease/record.rs
+++ b/hawthornkeel_core/src/lease/target_grants.rs
@@ -8,11 +8,11 @@
 use crate::document::Pool;
 use crate::ids::Incarnation;
 use crate::lease::holder::Holder;
-use crate::lease::message::Doubt;
 use crate::lease::message::GrantId;
 use crate::lease::message::GrantMessage;
 use crate::lease::message::GrantOutcome;
 use crate::lease::message::MemberId;
+use crate::lease::message::SuspectReason;
 use crate::names::PoolName;
 use crate::names::TargetName;
 use crate::time::Instant;
@@ -75,7 +75,7 @@
 
 /// What an issuer knows of one target.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Record {
+pub(crate) struct TargetGrants {
     pool: PoolName,
     incarnation: Option<Incarnation>,
     answers: u32,
@@ -92,7 +92,7 @@
     members: IndexSet<MemberId>,
 }
 
-impl Record {
+impl TargetGrants {
     /// Returns the pool of the target.
     pub fn pool(&self) -> &PoolName {
         &self.pool
@@ -140,7 +140,7 @@
         }
         let (entry, waiter) = self.waiters.shift_remove_index(0)?;
         let settings = holder.settings();
-        let until = now + settings.stretched(settings.grant);
+        let until = now + settings.with_drift(settings.grant_duration);
         let request = waiter.request;
         let epoch = self.epoch;
         let in_use = InUse { entry: entry.clone(), request, until, epoch, repeat: false };
@@ -211,13 +211,13 @@
     }
 
     /// Takes the suspicion of an entry.
-    pub fn suspect(&mut self, incarnation: Option<Incarnation>, doubt: Doubt) {
+    pub fn suspect(&mut self, incarnation: Option<Incarnation>, doubt: SuspectReason) {
         let other = incarnation.is_some() && incarnation != self.incarnation;
         match doubt {
             _ if other => {}
             // An answer that names its incarnation tells by itself whether there was a restart.
-            Doubt::Restart => self.seen.clear(),
-            Doubt::Overload => self.forget(),
+            SuspectReason::Restart => self.seen.clear(),
+            SuspectReason::Overload => self.forget(),
         }
     }
 
--- a/hawthornkeel_core/src/lease/voter.rs
+++ b/hawthornkeel_core/src/lease/voter.rs
@@ -28,7 +28,7 @@
 impl Voter {
     /// Creates a voter that has just started: it gives no vote for one lease period.
     pub fn new(now: Instant, name: InstanceName, settings: LeaseSettings) -> Self {
-        let silent_until = now + settings.stretched(settings.period);
+        let silent_until = now + settings.with_drift(settings.lease_duration);
         Self { name, settings, silent_until, vote: None }
     }
 
@@ -55,7 +55,7 @@
         if taken || now < self.silent_until {
             return false;
         }
-        let until = now + self.settings.stretched(self.settings.period);
+        let until = now + self.settings.with_drift(self.settings.lease_duration);
         let own = self.vote.as_ref().filter(|v| v.holder == *holder);
         let round = own.map_or(round, |v| v.round.max(round));
         self.vote = Some(Vote { holder: holder.clone(), round, until });
--- a/hawthornkeel_core/src/replica/action.rs
+++ b/hawthornkeel_core/src/replica/action.rs
@@ -12,14 +12,14 @@
 use crate::replica::entry::Node;
 use crate::replica::entry::ProposalId;
 use crate::replica::entry::ReadId;
+use crate::replica::entry::SaveSeq;
 use crate::replica::entry::Snapshot;
-use crate::replica::entry::Ticket;
 use crate::replica::message::Message;
 
 /// Input of a replica.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time passed: due at [`Replica::deadline`](crate::replica::Replica::deadline) at the latest.
+    /// Time passed: due at [`Replica::next_tick`](crate::replica::Replica::next_tick) at the latest.
     Tick,
     /// A message came in.
     ///
@@ -29,19 +29,19 @@
     /// A save and all those before it are on disk.
     Synced {
         /// Number of the save.
-        ticket: Ticket,
+        seq: SaveSeq,
     },
     /// Commands to replicate, in order.
     Propose(Vec<Proposal>),
     /// A linearizable read.
     Read(ReadId),
     /// A change of the members.
-    Change(ProposalId, Change),
+    ChangeMembers(ProposalId, MembershipChange),
     /// This replica is to stop: a leader hands over to a voter that has its whole log.
     ///
     /// It refuses proposals and reads from here on, and leads on after an election time in which
     /// no voter was ready.
-    HandOver,
+    TransferLeadership,
     /// The replicated state as of an applied entry, asked for by [`Action::TakeSnapshot`].
     Snapshot {
         /// Last entry that the state includes.
@@ -62,7 +62,7 @@
 
 /// Change of the members, one at a time.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Change {
+pub enum MembershipChange {
     /// Adds a learner.
     Add(Node),
     /// Makes a learner a voter, which it can become only once it has caught up.
@@ -83,7 +83,7 @@
     /// reported as synced and none follows it: the process stops.
     Save {
         /// Number of the save.
-        ticket: Ticket,
+        seq: SaveSeq,
         /// What to write.
         save: Save,
     },
@@ -95,20 +95,20 @@
         message: Message,
     },
     /// Apply committed entries to the replicated state.
-    Apply(Vec<Applied>),
+    Apply(Vec<CommittedEntry>),
     /// Replace the replicated state by a snapshot's.
     Restore(Snapshot),
     /// Hand in the replicated state by [`Input::Snapshot`], now or later.
     TakeSnapshot,
     /// Tell the proposer that its command will never be applied.
-    Refused {
+    ProposalRejected {
         /// Proposal.
         id: ProposalId,
         /// Why.
-        reason: Refusal,
+        reason: RejectReason,
     },
     /// Tell the proposer that the outcome of its command is not known.
-    Lost {
+    OutcomeUnknown {
         /// Proposal.
         id: ProposalId,
     },
@@ -118,14 +118,14 @@
         id: ReadId,
     },
     /// Tell the reader that this replica can't answer.
-    ReadRefused {
+    ReadRejected {
         /// Read.
         id: ReadId,
         /// Why.
-        reason: Refusal,
+        reason: RejectReason,
     },
     /// Role, term, leader or members changed: for the log and for redirects.
-    Changed(Status),
+    StatusChanged(Status),
 }
 
 /// What a save writes.
@@ -145,13 +145,13 @@
         /// Snapshot.
         snapshot: Snapshot,
         /// Entries of the log that stay.
-        keep: Keep,
+        retention: LogRetention,
     },
 }
 
 /// Entries of the log that stay after a snapshot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Keep {
+pub enum LogRetention {
     /// Entries from this position on stay; those before it may be dropped.
     ///
     /// Nothing waits for such a snapshot: it may reach the disk after later saves, as long as the
@@ -163,7 +163,7 @@
 
 /// Committed entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Applied {
+pub struct CommittedEntry {
     /// Entry.
     pub entry: Entry,
     /// Proposal that it came from, where it was made at this replica.
@@ -172,7 +172,7 @@
 
 /// Why a proposal or a read is refused.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Refusal {
+pub enum RejectReason {
     /// Another replica leads, if one is known.
     NotLeader(Option<Node>),
     /// Too much is pending.
@@ -180,7 +180,7 @@
     /// The lease did not stand in time.
     NoLease,
     /// The members can't be changed like this now.
-    Unchangeable,
+    ChangeNotAllowed,
 }
 
 /// Part that a replica plays at the moment.
@@ -211,7 +211,7 @@
     /// Last committed entry known, which has been handed out for application.
     pub commit: LogIndex,
     /// Last entry of the log.
-    pub last: LogIndex,
+    pub last_index: LogIndex,
     /// Members.
     pub members: Members,
 }
--- a/hawthornkeel_core/src/replica/formation.rs
+++ b/hawthornkeel_core/src/replica/bootstrap.rs
@@ -8,21 +8,21 @@
 use crate::ids::ReplicaId;
 use crate::ids::Term;
 use crate::names::InstanceName;
-use crate::replica::Part;
 use crate::replica::Replica;
+use crate::replica::RoleState;
 use crate::replica::entry::GroupId;
 use crate::replica::entry::HardState;
 use crate::replica::entry::Member;
+use crate::replica::entry::MemberKind;
 use crate::replica::entry::Members;
 use crate::replica::entry::Node;
 use crate::replica::entry::Payload;
-use crate::replica::entry::Standing;
 use crate::replica::log;
 use crate::replica::message::Body;
-use crate::replica::message::Founding;
+use crate::replica::message::BootstrapConfig;
 use crate::replica::message::HelloReply;
-use crate::replica::message::Place;
-use crate::replica::saves::Gate;
+use crate::replica::message::Membership;
+use crate::replica::persistence::Gate;
 use crate::time::Instant;
 
 /// Term of the founding entry.
@@ -51,8 +51,8 @@
 impl Replica {
     /// Announces this replica, which belongs to no group.
     pub(super) fn say_hello(&mut self) {
-        let Part::Empty(formation) = &mut self.part else { return };
-        formation.hello_at = self.now + self.settings.hello;
+        let RoleState::Empty(formation) = &mut self.part else { return };
+        formation.hello_at = self.now + self.settings.hello_interval;
         let mut names = self.settings.founders.clone();
         names.extend(formation.leader.as_ref().map(|l| l.name.clone()));
         names.retain(|n| *n != self.node.name);
@@ -77,8 +77,8 @@
     /// Answers a replica that belongs to no group.
     pub(super) fn receive_hello(&mut self, from: Node) {
         let forms = self.former() == Some(&from.name);
-        if let Part::Empty(formation) = &mut self.part {
-            if !self.settings.forms {
+        if let RoleState::Empty(formation) = &mut self.part {
+            if !self.settings.can_bootstrap {
                 return;
             }
             if forms {
@@ -87,24 +87,24 @@
             self.send(&from, Gate::Free, Body::HelloReply(HelloReply::Empty));
             return;
         }
-        let place = self.place_of(from.id);
-        let reply = HelloReply::Member { place, leader: self.leader.clone() };
+        let membership = self.place_of(from.id);
+        let reply = HelloReply::Member { membership, leader: self.leader.clone() };
         self.send(&from, Gate::All, Body::HelloReply(reply));
         self.note_hello(from);
     }
 
     /// Takes in an answer to a hello.
     pub(super) fn receive_hello_reply(&mut self, from: Node, reply: HelloReply) {
-        let Part::Empty(formation) = &mut self.part else { return };
+        let RoleState::Empty(formation) = &mut self.part else { return };
         match reply {
             HelloReply::Empty => {
                 formation.empty.insert(from.name, from.id);
                 self.form();
             }
-            HelloReply::Member { place, leader } => {
+            HelloReply::Member { membership, leader } => {
                 formation.empty.shift_remove(&from.name);
                 formation.leader = leader.or(formation.leader.take());
-                self.take_place(&from, place);
+                self.take_place(&from, membership);
             }
         }
     }
@@ -116,8 +116,8 @@
 
     /// Forms the group, once every founder has said that its disk is empty.
     fn form(&mut self) {
-        let Part::Empty(formation) = &self.part else { return };
-        if self.former() != Some(&self.node.name) || !self.settings.forms {
+        let RoleState::Empty(formation) = &self.part else { return };
+        if self.former() != Some(&self.node.name) || !self.settings.can_bootstrap {
             return;
         }
         let mut members = Vec::new();
@@ -126,57 +126,57 @@
             let id = if own { Some(self.node.id) } else { formation.empty.get(name).copied() };
             let Some(id) = id else { return };
             let node = Node { id, name: name.clone() };
-            members.push(Member { node, standing: Standing::Voter });
+            members.push(Member { node, kind: MemberKind::Voter });
         }
         let group = GroupId(self.rng.random());
-        let founding = Founding { group, members: Members(members) };
+        let founding = BootstrapConfig { group, members: Members(members) };
         self.found(founding.clone());
         self.announce(&founding);
     }
 
     /// Takes up a place in a group that names this replica.
-    fn take_place(&mut self, from: &Node, place: Place) {
-        let Part::Empty(formation) = &self.part else { return };
+    fn take_place(&mut self, from: &Node, membership: Membership) {
+        let RoleState::Empty(formation) = &self.part else { return };
         // The former that this disk was last called empty to decides: an older one lost its disk.
         // Where another founder took the older one's group up, a newer one can form none any more.
         let current =
             formation.told.is_none_or(|id| id == from.id) || self.former() != Some(&from.name);
-        match place {
-            Place::Member(group) if current => self.join(group),
-            Place::Founder(founding) if current => self.found(founding),
-            Place::Stranger | Place::Member(_) | Place::Founder(_) => {}
+        match membership {
+            Membership::Member(group) if current => self.join(group),
+            Membership::Founder(founding) if current => self.found(founding),
+            Membership::NonMember | Membership::Member(_) | Membership::Founder(_) => {}
         }
     }
 
     /// Starts the log with the founding entry.
-    fn found(&mut self, founding: Founding) {
+    fn found(&mut self, founding: BootstrapConfig) {
         self.join(founding.group);
         self.set_hard(HardState { term: FOUNDING_TERM, ..self.hard });
         self.add_entry(Payload::Members(founding.members));
     }
 
     /// Tells the other founders of the group that was formed.
-    fn announce(&mut self, founding: &Founding) {
+    fn announce(&mut self, founding: &BootstrapConfig) {
         let own = self.node.id;
         for node in founding.members.voters().filter(|n| n.id != own) {
-            let place = Place::Founder(founding.clone());
-            let reply = HelloReply::Member { place, leader: None };
+            let membership = Membership::Founder(founding.clone());
+            let reply = HelloReply::Member { membership, leader: None };
             self.send(node, Gate::All, Body::HelloReply(reply));
         }
     }
 
     /// Returns what a replica without a group is to this replica's group.
-    fn place_of(&self, id: ReplicaId) -> Place {
-        let Some(group) = self.hard.group else { return Place::Stranger };
+    fn place_of(&self, id: ReplicaId) -> Membership {
+        let Some(group) = self.hard.group else { return Membership::NonMember };
         let first = self.log.get(log::next(LogIndex(0)));
         if let Some(Payload::Members(members)) = first.map(|e| &e.payload)
             && members.get(id).is_some()
         {
-            return Place::Founder(Founding { group, members: members.clone() });
+            return Membership::Founder(BootstrapConfig { group, members: members.clone() });
         }
         match self.log.members().get(id) {
-            Some(_) => Place::Member(group),
-            None => Place::Stranger,
+            Some(_) => Membership::Member(group),
+            None => Membership::NonMember,
         }
     }
 }
--- a/hawthornkeel_core/src/replica/election.rs
+++ b/hawthornkeel_core/src/replica/election.rs
@@ -5,14 +5,14 @@
 
 use crate::ids::LogIndex;
 use crate::ids::ReplicaId;
-use crate::replica::Part;
 use crate::replica::Replica;
+use crate::replica::RoleState;
 use crate::replica::entry::HardState;
 use crate::replica::entry::Node;
 use crate::replica::message::Body;
-use crate::replica::message::Candidacy;
 use crate::replica::message::VoteReply;
-use crate::replica::saves::Gate;
+use crate::replica::message::VoteRequest;
+use crate::replica::persistence::Gate;
 
 /// Election times that a learner waits where a voter waits one.
 const LEARNER_WAIT: u32 = 2;
@@ -26,7 +26,7 @@
 impl Replica {
     /// Draws the time of the next election.
     pub(super) fn arm_election(&mut self) {
-        let mut election = self.settings.election;
+        let mut election = self.settings.election_timeout;
         if !self.log.members().is_voter(self.node.id) {
             election *= LEARNER_WAIT;
         }
@@ -36,8 +36,8 @@
 
     /// Tells whether a leader may still hold a lease that this replica took part in.
     pub(super) fn in_lease(&self) -> bool {
-        matches!(self.part, Part::Leader(_))
-            || self.heard.is_some_and(|h| self.now.since(h) < self.settings.election)
+        matches!(self.part, RoleState::Leader(_))
+            || self.heard.is_some_and(|h| self.now.since(h) < self.settings.election_timeout)
     }
 
     /// Stands for election if this replica is a member: asks for pre-votes first.
@@ -50,27 +50,27 @@
         self.leader = None;
         let members = self.log.members();
         // A voter that nobody votes with may have been removed while it was away.
-        let alone = matches!(self.part, Part::PreCandidate(_));
+        let alone = matches!(self.part, RoleState::PreCandidate(_));
         if alone || !members.is_voter(self.node.id) {
             self.ask_to_be_added();
         }
         if members.get(self.node.id).is_none() {
-            self.part = Part::Follower;
+            self.part = RoleState::Follower;
             return;
         }
-        self.part = Part::PreCandidate(Votes::default());
+        self.part = RoleState::PreCandidate(Votes::default());
         let candidacy = self.candidacy();
         self.ask(Gate::Free, Body::PreVote(candidacy));
         self.count_vote(self.node.id);
     }
 
     /// Returns this replica's candidacy for the term after its own.
-    fn candidacy(&self) -> Candidacy {
-        Candidacy {
+    fn candidacy(&self) -> VoteRequest {
+        VoteRequest {
             term: crate::ids::Term(self.hard.term.0 + 1),
             last_index: self.log.last(),
             last_term: self.log.last_term(),
-            handed: false,
+            transfer: false,
         }
     }
 
@@ -84,11 +84,11 @@
     }
 
     /// Raises the term and asks for votes.
-    pub(super) fn ask_votes(&mut self, handed: bool) {
-        let candidacy = Candidacy { handed, ..self.candidacy() };
+    pub(super) fn ask_votes(&mut self, transfer: bool) {
+        let candidacy = VoteRequest { transfer, ..self.candidacy() };
         let vote = Some(self.node.id);
         self.set_hard(HardState { term: candidacy.term, vote, ..self.hard });
-        self.part = Part::Candidate(Votes::default());
+        self.part = RoleState::Candidate(Votes::default());
         self.arm_election();
         // The vote for itself and the log it stands for must outlast a stop.
         self.ask(Gate::All, Body::Vote(candidacy));
@@ -106,13 +106,15 @@
     /// Counts a vote or pre-vote, and goes on if a quorum of the voters gave theirs.
     fn count_vote(&mut self, from: ReplicaId) {
         let members = self.log.members();
-        let (Part::PreCandidate(votes) | Part::Candidate(votes)) = &mut self.part else { return };
+        let (RoleState::PreCandidate(votes) | RoleState::Candidate(votes)) = &mut self.part else {
+            return;
+        };
         votes.granted.insert(from);
         let count = members.voters().filter(|n| votes.granted.contains(&n.id)).count();
         if count < members.quorum() {
             return;
         }
-        if matches!(self.part, Part::PreCandidate(_)) {
+        if matches!(self.part, RoleState::PreCandidate(_)) {
             self.ask_votes(false);
         } else {
             self.lead();
@@ -120,13 +122,13 @@
     }
 
     /// Tells whether a candidate's log holds all that this replica's log holds.
-    fn is_current(&self, candidacy: Candidacy) -> bool {
+    fn is_current(&self, candidacy: VoteRequest) -> bool {
         let own: (_, LogIndex) = (self.log.last_term(), self.log.last());
         (candidacy.last_term, candidacy.last_index) >= own
     }
 
     /// Answers a request for a pre-vote.
-    pub(super) fn receive_pre_vote(&mut self, from: &Node, candidacy: Candidacy) {
+    pub(super) fn receive_pre_vote(&mut self, from: &Node, candidacy: VoteRequest) {
         let granted =
             !self.in_lease() && candidacy.term > self.hard.term && self.is_current(candidacy);
         let reply = VoteReply { term: candidacy.term, granted };
@@ -134,7 +136,7 @@
     }
 
     /// Answers a request for a vote in this term.
-    pub(super) fn receive_vote(&mut self, from: &Node, candidacy: Candidacy) {
+    pub(super) fn receive_vote(&mut self, from: &Node, candidacy: VoteRequest) {
         let free = self.hard.vote.is_none_or(|v| v == from.id);
         let granted = free
             && candidacy.term == self.hard.term
@@ -151,7 +153,7 @@
     /// Takes in an answer to a request for a pre-vote.
     pub(super) fn receive_pre_vote_reply(&mut self, from: &Node, reply: VoteReply) {
         let wanted = reply.term.0 == self.hard.term.0 + 1;
-        if reply.granted && wanted && matches!(self.part, Part::PreCandidate(_)) {
+        if reply.granted && wanted && matches!(self.part, RoleState::PreCandidate(_)) {
             self.count_vote(from.id);
         }
     }
@@ -159,7 +161,7 @@
     /// Takes in an answer to a request for a vote.
     pub(super) fn receive_vote_reply(&mut self, from: &Node, reply: VoteReply) {
         let wanted = reply.term == self.hard.term;
-        if reply.granted && wanted && matches!(self.part, Part::Candidate(_)) {
+        if reply.granted && wanted && matches!(self.part, RoleState::Candidate(_)) {
             self.count_vote(from.id);
         }
     }
--- a/hawthornkeel_core/src/replica/entry.rs
+++ b/hawthornkeel_core/src/replica/entry.rs
@@ -26,7 +26,7 @@
 
 /// Number of a save, rising by one with each.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Ticket(pub u64);
+pub struct SaveSeq(pub u64);
 
 /// One replica: the identity of its data folder and the name of its instance.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
 
 /// Part that a member plays in agreement.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberKind {
     /// Receives the log, and neither votes nor counts.
     Learner,
     /// Votes and counts towards a quorum.
@@ -52,7 +52,8 @@
     /// Replica.
     pub node: Node,
     /// Part that it plays.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub kind: MemberKind,
 }
 
 /// Members of the group.
@@ -68,12 +69,12 @@
 
     /// Returns the voters.
     pub fn voters(&self) -> impl Iterator<Item = &Node> {
-        self.0.iter().filter(|m| m.standing == Standing::Voter).map(|m| &m.node)
+        self.0.iter().filter(|m| m.kind == MemberKind::Voter).map(|m| &m.node)
     }
 
     /// Tells whether `id` is a voter.
     pub fn is_voter(&self, id: ReplicaId) -> bool {
-        self.get(id).is_some_and(|m| m.standing == Standing::Voter)
+        self.get(id).is_some_and(|m| m.kind == MemberKind::Voter)
     }
 
     /// Returns the number of voters that make a quorum.
@@ -144,7 +145,7 @@
 
 /// What a replica finds on its disk when it starts.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Stored {
+pub struct PersistedState {
     /// Hard state: the default one for an empty disk.
     pub hard: HardState,
     /// Latest snapshot, if any.
--- a/hawthornkeel_core/src/replica/follow.rs
+++ b/hawthornkeel_core/src/replica/follower.rs
@@ -4,10 +4,10 @@
 
 use crate::ids::LogIndex;
 use crate::ids::Term;
-use crate::replica::Part;
 use crate::replica::Replica;
+use crate::replica::RoleState;
 use crate::replica::action::Action;
-use crate::replica::action::Keep;
+use crate::replica::action::LogRetention;
 use crate::replica::action::Save;
 use crate::replica::entry::Entry;
 use crate::replica::entry::Node;
@@ -19,8 +19,8 @@
 use crate::replica::message::Body;
 use crate::replica::message::Heartbeat;
 use crate::replica::message::HeartbeatReply;
-use crate::replica::message::PartReply;
-use crate::replica::saves::Gate;
+use crate::replica::message::SnapshotChunkReply;
+use crate::replica::persistence::Gate;
 
 /// Snapshot that is being received.
 #[derive(Debug)]
@@ -37,10 +37,10 @@
     ///
     /// Returns `false` where the sender can't be that leader.
     fn hear(&mut self, from: &Node) -> bool {
-        if matches!(self.part, Part::Leader(_)) {
+        if matches!(self.part, RoleState::Leader(_)) {
             return false;
         }
-        self.part = Part::Follower;
+        self.part = RoleState::Follower;
         self.leader = Some(from.clone());
         self.heard = Some(self.now);
         self.arm_election();
@@ -67,7 +67,7 @@
         let known = prev_index < self.log.base();
         if !known && self.log.term(prev_index) != Some(prev_term) {
             let hint = self.agreement_hint(prev_index);
-            let reply = AppendReply::Differs { prev: prev_index, hint };
+            let reply = AppendReply::Mismatch { prev: prev_index, hint };
             self.send(from, Gate::Hard, Body::AppendReply(reply));
             return;
         }
@@ -112,7 +112,7 @@
     }
 
     /// Takes in a part of a snapshot.
-    pub(super) fn receive_part(&mut self, from: &Node, part: message::Part) {
+    pub(super) fn receive_part(&mut self, from: &Node, part: message::SnapshotChunk) {
         if !self.hear(from) {
             return;
         }
@@ -124,8 +124,8 @@
         }
         let received = self.collect(from, &part);
         if received < part.total {
-            let reply = PartReply { index: part.index, received };
-            self.send(from, Gate::Hard, Body::PartReply(reply));
+            let reply = SnapshotChunkReply { index: part.index, received };
+            self.send(from, Gate::Hard, Body::SnapshotChunkReply(reply));
         } else if let Some(incoming) = self.incoming.take() {
             self.install(Snapshot {
                 index: part.index,
@@ -139,7 +139,7 @@
     }
 
     /// Adds a part to the snapshot that is being received, and returns the bytes received so far.
-    fn collect(&mut self, from: &Node, part: &message::Part) -> u64 {
+    fn collect(&mut self, from: &Node, part: &message::SnapshotChunk) -> u64 {
         let same = self
             .incoming
             .as_ref()
@@ -160,19 +160,19 @@
     fn install(&mut self, snapshot: Snapshot) {
         self.save_log();
         let agrees = self.log.term(snapshot.index) == Some(snapshot.term);
-        let keep = if agrees {
+        let retention = if agrees {
             self.log.compact(snapshot.index);
-            Keep::From(log::next(snapshot.index))
+            LogRetention::From(log::next(snapshot.index))
         } else {
             self.log.reset(&snapshot);
-            Keep::Nothing
+            LogRetention::Nothing
         };
         self.commit = snapshot.index;
         self.grown = 0;
         self.snapshot = Some(snapshot.clone());
-        let ticket = self.saves.issue(self.log.last());
-        let save = Save::Snapshot { snapshot: snapshot.clone(), keep };
-        self.actions.push(Action::Save { ticket, save });
+        let seq = self.saves.issue(self.log.last());
+        let save = Save::Snapshot { snapshot: snapshot.clone(), retention };
+        self.actions.push(Action::Save { seq, save });
         self.actions.push(Action::Restore(snapshot));
     }
 }
--- a/hawthornkeel_core/src/replica/lead.rs
+++ b/hawthornkeel_core/src/replica/leadership.rs
@@ -3,24 +3,24 @@
 use bytes::Bytes;
 
 use crate::ids::LogIndex;
-use crate::replica::Part;
 use crate::replica::Replica;
+use crate::replica::RoleState;
 use crate::replica::action::Action;
-use crate::replica::action::Keep;
+use crate::replica::action::LogRetention;
 use crate::replica::action::Proposal;
-use crate::replica::action::Refusal;
+use crate::replica::action::RejectReason;
 use crate::replica::action::Save;
 use crate::replica::entry::Node;
 use crate::replica::entry::Payload;
 use crate::replica::entry::ReadId;
 use crate::replica::entry::Snapshot;
-use crate::replica::leader::Leader;
-use crate::replica::leader::Reader;
+use crate::replica::leader_state::Leader;
+use crate::replica::leader_state::Reader;
 use crate::replica::log;
 use crate::replica::message::Body;
 use crate::replica::message::Heartbeat;
 use crate::replica::message::HeartbeatReply;
-use crate::replica::saves::Gate;
+use crate::replica::persistence::Gate;
 use crate::time::Instant;
 
 impl Replica {
@@ -29,7 +29,7 @@
         let before = self.log.last();
         let mut leader = Leader::new(log::next(before), self.now);
         leader.set_members(&self.log.members(), self.node.id, before, self.now);
-        self.part = Part::Leader(Box::new(leader));
+        self.part = RoleState::Leader(Box::new(leader));
         self.leader = Some(self.node.clone());
         // Entries of older terms are committed only by one of the own term after them.
         self.add_entry(Payload::Noop);
@@ -38,15 +38,15 @@
 
     /// Ceases to lead or to stand for election.
     pub(super) fn step_down(&mut self) {
-        let part = std::mem::replace(&mut self.part, Part::Follower);
-        let Part::Leader(leader) = part else { return };
+        let part = std::mem::replace(&mut self.part, RoleState::Follower);
+        let RoleState::Leader(leader) = part else { return };
         self.leader = None;
         self.arm_election();
-        self.actions.extend(leader.open_proposals().map(|id| Action::Lost { id }));
-        let refused = leader
-            .readers
-            .iter()
-            .map(|reader| Action::ReadRefused { id: reader.id, reason: Refusal::NotLeader(None) });
+        self.actions.extend(leader.open_proposals().map(|id| Action::OutcomeUnknown { id }));
+        let refused = leader.readers.iter().map(|reader| Action::ReadRejected {
+            id: reader.id,
+            reason: RejectReason::NotLeader(None),
+        });
         self.actions.extend(refused);
     }
 
@@ -56,11 +56,11 @@
             self.step_down();
             return;
         }
-        let Part::Leader(leader) = &mut self.part else { return };
+        let RoleState::Leader(leader) = &mut self.part else { return };
         if leader.beat_at > self.now {
             return;
         }
-        leader.beat_at = self.now + self.settings.heartbeat;
+        leader.beat_at = self.now + self.settings.heartbeat_interval;
         self.beat();
         self.refuse_late_readers();
         self.repair_members();
@@ -70,8 +70,8 @@
 
     /// Sends a round of heartbeats.
     fn beat(&mut self) {
-        let Part::Leader(leader) = &mut self.part else { return };
-        let round = leader.start_round(self.now, self.settings.election);
+        let RoleState::Leader(leader) = &mut self.part else { return };
+        let round = leader.start_round(self.now, self.settings.election_timeout);
         let commit = self.commit;
         let matched: Vec<_> = leader.peers.iter().map(|(id, p)| (*id, p.matched)).collect();
         let members = self.log.members();
@@ -85,7 +85,7 @@
 
     /// Takes in an answer to a heartbeat.
     pub(super) fn receive_heartbeat_reply(&mut self, from: &Node, reply: HeartbeatReply) {
-        let Part::Leader(leader) = &mut self.part else { return };
+        let RoleState::Leader(leader) = &mut self.part else { return };
         let sent = leader.round_sent(reply.round);
         let Some(progress) = leader.peers.get_mut(&from.id) else { return };
         progress.heard = self.now;
@@ -109,31 +109,33 @@
     ///
     /// It is counted from the sending of the heartbeats, which is before the followers' receipt.
     pub(super) fn lease_stands(&self, leader: &Leader, now: Instant) -> bool {
-        let length = self.settings.election.saturating_sub(self.settings.drift);
+        let length = self.settings.election_timeout.saturating_sub(self.settings.clock_drift);
         self.quorum_acked(leader).is_some_and(|acked| now < acked + length)
     }
 
     /// Tells whether a quorum of the voters answered within an election time.
     fn hears_quorum(&self) -> bool {
-        let Part::Leader(leader) = &self.part else { return false };
+        let RoleState::Leader(leader) = &self.part else { return false };
         let since = self.quorum_acked(leader).map_or(leader.since, |a| a.max(leader.since));
-        self.now.since(since) <= self.settings.election
+        self.now.since(since) <= self.settings.election_timeout
     }
 
     /// Takes in commands to replicate.
     pub(super) fn propose(&mut self, proposals: Vec<Proposal>) {
         for proposal in proposals {
             let reason = match &self.part {
-                Part::Leader(leader) if leader.hand_until.is_some() => Refusal::NotLeader(None),
-                Part::Leader(leader) if leader.pending_bytes < self.settings.pending_bytes => {
+                RoleState::Leader(leader) if leader.hand_until.is_some() => {
+                    RejectReason::NotLeader(None)
+                }
+                RoleState::Leader(leader) if leader.pending_bytes < self.settings.pending_bytes => {
                     let index = self.add_entry(Payload::Command(proposal.data));
                     self.note_proposal(index, proposal.id);
                     continue;
                 }
-                Part::Leader(_) => Refusal::Busy,
-                _ => Refusal::NotLeader(self.leader.clone()),
+                RoleState::Leader(_) => RejectReason::Busy,
+                _ => RejectReason::NotLeader(self.leader.clone()),
             };
-            self.actions.push(Action::Refused { id: proposal.id, reason });
+            self.actions.push(Action::ProposalRejected { id: proposal.id, reason });
         }
         self.replicate();
     }
@@ -141,14 +143,14 @@
     /// Notes that the entry at `index` was proposed here.
     pub(super) fn note_proposal(&mut self, index: LogIndex, id: crate::replica::ProposalId) {
         let size = self.log.get(index).map_or(0, |e| e.size());
-        let Part::Leader(leader) = &mut self.part else { return };
+        let RoleState::Leader(leader) = &mut self.part else { return };
         leader.add_proposal(index, id);
         leader.pending_bytes += size;
     }
 
     /// Commits what a quorum of the voters has on disk.
     pub(super) fn advance_commit(&mut self) {
-        let Part::Leader(leader) = &self.part else { return };
+        let RoleState::Leader(leader) = &self.part else { return };
         let own = self.node.id;
         let durable = self.saves.durable();
         let value = |id| match leader.peers.get(&id) {
@@ -166,38 +168,39 @@
 
     /// Takes in a linearizable read.
     pub(super) fn read(&mut self, id: ReadId) {
-        if let Part::Leader(leader) = &mut self.part
+        if let RoleState::Leader(leader) = &mut self.part
             && leader.hand_until.is_none()
         {
             leader.readers.push_back(Reader { id, since: self.now });
             self.serve_readers();
         } else {
-            let reason = Refusal::NotLeader(self.leader.clone());
-            self.actions.push(Action::ReadRefused { id, reason });
+            let reason = RejectReason::NotLeader(self.leader.clone());
+            self.actions.push(Action::ReadRejected { id, reason });
         }
     }
 
     /// Answers the reads if the lease stands and the state holds all that was committed before.
     fn serve_readers(&mut self) {
-        let Part::Leader(leader) = &self.part else { return };
+        let RoleState::Leader(leader) = &self.part else { return };
         if self.commit < leader.first || !self.lease_stands(leader, self.now) {
             return;
         }
-        let Part::Leader(leader) = &mut self.part else { return };
+        let RoleState::Leader(leader) = &mut self.part else { return };
         let ready = leader.readers.drain(..).map(|reader| Action::ReadReady { id: reader.id });
         self.actions.extend(ready);
     }
 
     /// Refuses reads for which the lease did not stand in time.
     fn refuse_late_readers(&mut self) {
-        let Part::Leader(leader) = &mut self.part else { return };
-        let wait = self.settings.read_wait;
+        let RoleState::Leader(leader) = &mut self.part else { return };
+        let wait = self.settings.read_timeout;
         while let Some(reader) = leader.readers.front().copied() {
             if self.now.since(reader.since) < wait {
                 return;
             }
             leader.readers.pop_front();
-            self.actions.push(Action::ReadRefused { id: reader.id, reason: Refusal::NoLease });
+            self.actions
+                .push(Action::ReadRejected { id: reader.id, reason: RejectReason::NoLease });
         }
     }
 
@@ -229,8 +232,8 @@
         self.log.forget_members(index);
         self.snapshot = Some(snapshot.clone());
         self.grown = 0;
-        let ticket = self.saves.issue(self.log.last());
-        let save = Save::Snapshot { snapshot, keep: Keep::From(log::next(drop)) };
-        self.actions.push(Action::Save { ticket, save });
+        let seq = self.saves.issue(self.log.last());
+        let save = Save::Snapshot { snapshot, retention: LogRetention::From(log::next(drop)) };
+        self.actions.push(Action::Save { seq, save });
     }
 }
--- a/hawthornkeel_core/src/replica/handover.rs
+++ b/hawthornkeel_core/src/replica/leadership_transfer.rs
@@ -1,23 +1,23 @@
 //! Planned change of the leader.
 
-use crate::replica::Part;
 use crate::replica::Replica;
+use crate::replica::RoleState;
 use crate::replica::entry::Node;
 use crate::replica::message::Body;
-use crate::replica::saves::Gate;
+use crate::replica::persistence::Gate;
 
 impl Replica {
     /// Begins to hand over, if this replica leads.
     pub(super) fn start_hand_over(&mut self) {
-        let until = self.now + self.settings.election;
-        let Part::Leader(leader) = &mut self.part else { return };
+        let until = self.now + self.settings.election_timeout;
+        let RoleState::Leader(leader) = &mut self.part else { return };
         leader.hand_until = Some(until);
         self.hand_over();
     }
 
     /// Hands over once all is committed and a voter has the whole log.
     pub(super) fn hand_over(&mut self) {
-        let Part::Leader(leader) = &mut self.part else { return };
+        let RoleState::Leader(leader) = &mut self.part else { return };
         let Some(until) = leader.hand_until else { return };
         if until <= self.now {
             leader.hand_until = None;
@@ -27,16 +27,16 @@
             return;
         }
         let Some(node) = self.successor() else { return };
-        self.send(&node, Gate::Free, Body::TakeOver);
+        self.send(&node, Gate::Free, Body::TimeoutNow);
         // The lease ends here: votes may be given against it from now on.
         self.step_down();
     }
 
     /// Returns a voter that answers and has the whole log on disk.
     fn successor(&self) -> Option<Node> {
-        let Part::Leader(leader) = &self.part else { return None };
+        let RoleState::Leader(leader) = &self.part else { return None };
         let ready = leader.peers.iter().filter(|(_, p)| {
-            p.matched == self.log.last() && self.now.since(p.heard) < self.settings.election
+            p.matched == self.log.last() && self.now.since(p.heard) < self.settings.election_timeout
         });
         let members = self.log.members();
         let latest = ready
@@ -48,7 +48,7 @@
     /// Stands for election at once, as the leader asked.
     pub(super) fn take_over(&mut self) {
         let voter = self.log.members().is_voter(self.node.id);
-        if voter && matches!(self.part, Part::Follower) {
+        if voter && matches!(self.part, RoleState::Follower) {
             self.leader = None;
             self.ask_votes(true);
         }
--- a/hawthornkeel_core/src/replica/message.rs
+++ b/hawthornkeel_core/src/replica/message.rs
@@ -35,15 +35,16 @@
     /// Answers a hello.
     HelloReply(HelloReply),
     /// Asks whether a vote would be given, without a change of term.
-    PreVote(Candidacy),
+    PreVote(VoteRequest),
     /// Answers a pre-vote.
     PreVoteReply(VoteReply),
     /// Asks for a vote.
-    Vote(Candidacy),
+    Vote(VoteRequest),
     /// Answers a vote request.
     VoteReply(VoteReply),
     /// Asks a voter to stand for election at once; the leader has given up its lease.
-    TakeOver,
+    #[serde(rename = "TakeOver")]
+    TimeoutNow,
     /// Renews the leader's lease.
     Heartbeat(Heartbeat),
     /// Answers a heartbeat.
@@ -53,9 +54,11 @@
     /// Answers log entries, once they are on disk.
     AppendReply(AppendReply),
     /// Carries a part of a snapshot.
-    Part(Part),
+    #[serde(rename = "Part")]
+    SnapshotChunk(SnapshotChunk),
     /// Answers a part of a snapshot.
-    PartReply(PartReply),
+    #[serde(rename = "PartReply")]
+    SnapshotChunkReply(SnapshotChunkReply),
 }
 
 /// Answer to a hello.
@@ -66,7 +69,8 @@
     /// The sender belongs to a group.
     Member {
         /// What the receiver of this answer is to that group.
-        place: Place,
+        #[serde(rename = "place")]
+        membership: Membership,
         /// Leader of the group, if known.
         leader: Option<Node>,
     },
@@ -74,18 +78,19 @@
 
 /// What a replica without a group is to a group.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub enum Place {
+pub enum Membership {
     /// Not a member.
-    Stranger,
+    #[serde(rename = "Stranger")]
+    NonMember,
     /// A member of this group that has not taken part yet.
     Member(GroupId),
     /// One of the first members, while the log still begins with them.
-    Founder(Founding),
+    Founder(BootstrapConfig),
 }
 
 /// Founding record: the first members of a group.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Founding {
+pub struct BootstrapConfig {
     /// Identity of the group.
     pub group: GroupId,
     /// First members, all voters.
@@ -94,7 +99,7 @@
 
 /// Request for a vote or a pre-vote.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Candidacy {
+pub struct VoteRequest {
     /// Term that the candidate would lead.
     pub term: Term,
     /// Last entry of the candidate's log.
@@ -102,7 +107,8 @@
     /// Term of that entry.
     pub last_term: Term,
     /// Whether the leader of the term before has given up its lease for this candidate.
-    pub handed: bool,
+    #[serde(rename = "handed")]
+    pub transfer: bool,
 }
 
 /// Answer to a request for a vote or a pre-vote.
@@ -149,7 +155,8 @@
     /// The follower has the leader's log up to this position on disk.
     Stored(LogIndex),
     /// The follower's log differs at `prev`; the leader may go on from `hint`.
-    Differs {
+    #[serde(rename = "Differs")]
+    Mismatch {
         /// Position that was asked about.
         prev: LogIndex,
         /// Last position at which the logs may agree.
@@ -159,7 +166,7 @@
 
 /// Part of a snapshot.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Part {
+pub struct SnapshotChunk {
     /// Last entry that the snapshot includes.
     pub index: LogIndex,
     /// Term of that entry.
@@ -176,7 +183,7 @@
 
 /// Answer to a part of a snapshot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct PartReply {
+pub struct SnapshotChunkReply {
     /// Last entry that the snapshot includes.
     pub index: LogIndex,
     /// Bytes received so far without gaps.
--- a/hawthornkeel_core/src/replica/mod.rs
+++ b/hawthornkeel_core/src/replica/mod.rs
@@ -24,18 +24,18 @@
 pub mod message;
 pub mod settings;
 
+mod bootstrap;
 mod election;
-mod follow;
-mod formation;
-mod handover;
-mod lead;
-mod leader;
+mod follower;
+mod leader_state;
+mod leadership;
+mod leadership_transfer;
 mod log;
 mod membership;
+mod persistence;
 mod progress;
 mod receive;
-mod saves;
-mod transfer;
+mod replication;
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -46,23 +46,23 @@
 use crate::ids::ReplicaId;
 use crate::ids::Term;
 use crate::names::InstanceName;
+use crate::replica::bootstrap::Formation;
 use crate::replica::election::Votes;
-use crate::replica::follow::Incoming;
-use crate::replica::formation::Formation;
-use crate::replica::leader::Leader;
+use crate::replica::follower::Incoming;
+use crate::replica::leader_state::Leader;
 use crate::replica::log::Log;
-use crate::replica::saves::Gate;
-use crate::replica::saves::Held;
-use crate::replica::saves::Saves;
+use crate::replica::persistence::Gate;
+use crate::replica::persistence::Held;
+use crate::replica::persistence::Saves;
 use crate::time::Instant;
 
 pub use crate::replica::action::Action;
-pub use crate::replica::action::Applied;
-pub use crate::replica::action::Change;
+pub use crate::replica::action::CommittedEntry;
 pub use crate::replica::action::Input;
-pub use crate::replica::action::Keep;
+pub use crate::replica::action::LogRetention;
+pub use crate::replica::action::MembershipChange;
 pub use crate::replica::action::Proposal;
-pub use crate::replica::action::Refusal;
+pub use crate::replica::action::RejectReason;
 pub use crate::replica::action::Role;
 pub use crate::replica::action::Save;
 pub use crate::replica::action::Status;
@@ -70,23 +70,23 @@
 pub use crate::replica::entry::GroupId;
 pub use crate::replica::entry::HardState;
 pub use crate::replica::entry::Member;
+pub use crate::replica::entry::MemberKind;
 pub use crate::replica::entry::Members;
 pub use crate::replica::entry::Node;
 pub use crate::replica::entry::Payload;
+pub use crate::replica::entry::PersistedState;
 pub use crate::replica::entry::ProposalId;
 pub use crate::replica::entry::ReadId;
+pub use crate::replica::entry::SaveSeq;
 pub use crate::replica::entry::Snapshot;
-pub use crate::replica::entry::Standing;
-pub use crate::replica::entry::Stored;
-pub use crate::replica::entry::Ticket;
 pub use crate::replica::message::Body;
 pub use crate::replica::message::Message;
-pub use crate::replica::settings::Admission;
-pub use crate::replica::settings::Settings;
+pub use crate::replica::settings::ReplicaSettings;
+pub use crate::replica::settings::VoterPolicy;
 
 /// Part that a replica plays, with what it needs for it.
 #[derive(Debug)]
-enum Part {
+enum RoleState {
     Empty(Formation),
     Follower,
     PreCandidate(Votes),
@@ -98,13 +98,13 @@
 #[derive(Debug)]
 pub struct Replica {
     node: Node,
-    settings: Settings,
+    settings: ReplicaSettings,
     rng: ChaCha8Rng,
     now: Instant,
     hard: HardState,
     log: Log,
     saves: Saves,
-    part: Part,
+    part: RoleState,
     /// Leader of the term, if known.
     leader: Option<Node>,
     /// Last contact with a leader, or the start: no vote is given for an election time after it.
@@ -127,7 +127,7 @@
 
 impl Replica {
     /// Creates a replica on an empty data folder: it forms a group or waits to be added to one.
-    pub fn new(node: Node, settings: Settings, rng: ChaCha8Rng, now: Instant) -> Self {
+    pub fn new(node: Node, settings: ReplicaSettings, rng: ChaCha8Rng, now: Instant) -> Self {
         Self {
             node,
             settings,
@@ -136,7 +136,7 @@
             hard: HardState::default(),
             log: Log::default(),
             saves: Saves::default(),
-            part: Part::Empty(Formation::new(now)),
+            part: RoleState::Empty(Formation::new(now)),
             leader: None,
             heard: None,
             stand_at: now,
@@ -161,10 +161,10 @@
     /// Returns an error where the log has a gap.
     pub fn recover(
         node: Node,
-        settings: Settings,
+        settings: ReplicaSettings,
         rng: ChaCha8Rng,
         now: Instant,
-        stored: Stored,
+        stored: PersistedState,
     ) -> Result<Self, RecoverError> {
         let mut replica = Self::new(node, settings, rng, now);
         if stored.hard.group.is_none() {
@@ -173,7 +173,7 @@
         replica.log = Log::recover(stored.snapshot.as_ref(), stored.entries)?;
         replica.saves = Saves::new(replica.log.last());
         replica.hard = stored.hard;
-        replica.part = Part::Follower;
+        replica.part = RoleState::Follower;
         // What it promised to a leader before it stopped is not on disk: it waits that time out.
         replica.heard = Some(now);
         replica.arm_election();
@@ -194,22 +194,24 @@
         match input {
             Input::Tick => {}
             Input::Message(message) => self.receive(message),
-            Input::Synced { ticket } => self.synced(ticket),
+            Input::Synced { seq } => self.synced(seq),
             Input::Propose(proposals) => self.propose(proposals),
             Input::Read(id) => self.read(id),
-            Input::Change(id, change) => self.change(id, change),
-            Input::HandOver => self.start_hand_over(),
+            Input::ChangeMembers(id, change) => self.change(id, change),
+            Input::TransferLeadership => self.start_hand_over(),
             Input::Snapshot { index, data } => self.take_snapshot(index, data),
         }
         self.finish()
     }
 
     /// Returns the point at which [`Input::Tick`] is due.
-    pub fn deadline(&self) -> Instant {
+    pub fn next_tick(&self) -> Instant {
         match &self.part {
-            Part::Empty(formation) => formation.hello_at,
-            Part::Leader(leader) => leader.beat_at,
-            Part::Follower | Part::PreCandidate(_) | Part::Candidate(_) => self.stand_at,
+            RoleState::Empty(formation) => formation.hello_at,
+            RoleState::Leader(leader) => leader.beat_at,
+            RoleState::Follower | RoleState::PreCandidate(_) | RoleState::Candidate(_) => {
+                self.stand_at
+            }
         }
     }
 
@@ -221,7 +223,7 @@
     /// Tells whether this replica leads and its lease stands at `now`.
     pub fn has_lease(&self, now: Instant) -> bool {
         match &self.part {
-            Part::Leader(leader) => self.lease_stands(leader, now),
+            RoleState::Leader(leader) => self.lease_stands(leader, now),
             _ => false,
         }
     }
@@ -229,9 +231,9 @@
     /// Does what has become due.
     fn advance(&mut self) {
         match &self.part {
-            Part::Empty(formation) if formation.hello_at <= self.now => self.say_hello(),
-            Part::Leader(_) => self.advance_leader(),
-            Part::Follower | Part::PreCandidate(_) | Part::Candidate(_)
+            RoleState::Empty(formation) if formation.hello_at <= self.now => self.say_hello(),
+            RoleState::Leader(_) => self.advance_leader(),
+            RoleState::Follower | RoleState::PreCandidate(_) | RoleState::Candidate(_)
                 if self.stand_at <= self.now =>
             {
                 self.stand();
@@ -241,11 +243,11 @@
     }
 
     /// Notes that a save is on disk, and what follows from it.
-    fn synced(&mut self, ticket: Ticket) {
-        self.saves.synced(ticket);
+    fn synced(&mut self, seq: SaveSeq) {
+        self.saves.synced(seq);
         match &self.part {
-            Part::Candidate(_) => self.count_own_vote(),
-            Part::Leader(_) => self.advance_commit(),
+            RoleState::Candidate(_) => self.count_own_vote(),
+            RoleState::Leader(_) => self.advance_commit(),
             _ => {}
         }
     }
@@ -253,11 +255,11 @@
     /// Returns the role for the status.
     fn role(&self) -> Role {
         match &self.part {
-            Part::Empty(_) => Role::Empty,
-            Part::Follower => Role::Follower,
-            Part::PreCandidate(_) => Role::PreCandidate,
-            Part::Candidate(_) => Role::Candidate,
-            Part::Leader(_) => Role::Leader,
+            RoleState::Empty(_) => Role::Empty,
+            RoleState::Follower => Role::Follower,
+            RoleState::PreCandidate(_) => Role::PreCandidate,
+            RoleState::Candidate(_) => Role::Candidate,
+            RoleState::Leader(_) => Role::Leader,
         }
     }
 
@@ -294,15 +296,15 @@
             term: self.hard.term,
             body,
         };
-        let ticket = self.saves.gate(gate);
-        self.outgoing.push(Held { ticket, to: to.clone(), message });
+        let seq = self.saves.gate(gate);
+        self.outgoing.push(Held { seq, to: to.clone(), message });
     }
 
     /// Turns what changed into a save.
     fn save_log(&mut self) {
         let last = self.log.last();
-        if let Some((ticket, save)) = self.saves.take(last) {
-            self.actions.push(Action::Save { ticket, save });
+        if let Some((seq, save)) = self.saves.take(last) {
+            self.actions.push(Action::Save { seq, save });
         }
     }
 
@@ -317,10 +319,10 @@
         self.commit = commit;
         let applied = entries.into_iter().map(|entry| {
             let proposal = match &mut self.part {
-                Part::Leader(leader) => leader.take_proposal(&entry),
+                RoleState::Leader(leader) => leader.take_proposal(&entry),
                 _ => None,
             };
-            Applied { entry, proposal }
+            CommittedEntry { entry, proposal }
         });
         let applied = applied.collect();
         self.actions.push(Action::Apply(applied));
@@ -338,7 +340,7 @@
             if held.message.term < term {
                 continue;
             }
-            if self.saves.is_synced(held.ticket) {
+            if self.saves.is_synced(held.seq) {
                 self.actions.push(Action::Send { to: held.to, message: held.message });
             } else {
                 waiting.push_back(held);
@@ -356,7 +358,7 @@
             term: self.hard.term,
             leader: self.leader.clone(),
             commit: self.commit,
-            last: self.log.last(),
+            last_index: self.log.last(),
             members: self.log.members(),
         };
         let changed = status.role != self.status.role
@@ -364,7 +366,7 @@
             || status.leader != self.status.leader
             || status.members != self.status.members;
         if changed {
-            self.actions.push(Action::Changed(status.clone()));
+            self.actions.push(Action::StatusChanged(status.clone()));
         }
         self.status = status;
     }
--- a/hawthornkeel_core/src/replica/saves.rs
+++ b/hawthornkeel_core/src/replica/persistence.rs
@@ -7,7 +7,7 @@
 use crate::replica::action::Save;
 use crate::replica::entry::Entry;
 use crate::replica::entry::HardState;
-use crate::replica::entry::Ticket;
+use crate::replica::entry::SaveSeq;
 use crate::replica::message::Message;
 
 /// What must be on disk before a message leaves.
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(super) struct Held {
     /// Save that must be on disk, and all before it.
-    pub(super) ticket: Ticket,
+    pub(super) seq: SaveSeq,
     /// Receiver.
     pub(super) to: InstanceName,
     /// Message.
@@ -35,7 +35,7 @@
 /// Save that is not yet on disk.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    ticket: Ticket,
+    seq: SaveSeq,
     /// Last entry that is on disk once it is.
     last: LogIndex,
 }
@@ -43,9 +43,9 @@
 /// What is saved, on disk and about to be saved.
 #[derive(Debug, Default)]
 pub(super) struct Saves {
-    issued: Ticket,
-    synced: Ticket,
-    hard_ticket: Ticket,
+    issued: SaveSeq,
+    synced: SaveSeq,
+    hard_seq: SaveSeq,
     durable: LogIndex,
     pending: VecDeque<Pending>,
     hard: Option<HardState>,
@@ -67,9 +67,9 @@
         self.durable
     }
 
-    /// Tells whether `ticket` and all before it are on disk.
-    pub(super) fn is_synced(&self, ticket: Ticket) -> bool {
-        ticket <= self.synced
+    /// Tells whether `seq` and all before it are on disk.
+    pub(super) fn is_synced(&self, seq: SaveSeq) -> bool {
+        seq <= self.synced
     }
 
     /// Notes a new hard state.
@@ -89,36 +89,36 @@
     }
 
     /// Takes what has to be saved, if anything, as one save that leaves the log at `last`.
-    pub(super) fn take(&mut self, last: LogIndex) -> Option<(Ticket, Save)> {
+    pub(super) fn take(&mut self, last: LogIndex) -> Option<(SaveSeq, Save)> {
         if self.hard.is_none() && self.truncate.is_none() && self.entries.is_empty() {
             return None;
         }
-        let ticket = self.issue(last);
+        let seq = self.issue(last);
         if self.hard.is_some() {
-            self.hard_ticket = ticket;
+            self.hard_seq = seq;
         }
         let save = Save::Log {
             hard: self.hard.take(),
             truncate: self.truncate.take(),
             entries: std::mem::take(&mut self.entries),
         };
-        Some((ticket, save))
+        Some((seq, save))
     }
 
     /// Numbers a save that leaves the log on disk at `last`.
-    pub(super) fn issue(&mut self, last: LogIndex) -> Ticket {
-        self.issued = Ticket(self.issued.0 + 1);
-        self.pending.push_back(Pending { ticket: self.issued, last });
+    pub(super) fn issue(&mut self, last: LogIndex) -> SaveSeq {
+        self.issued = SaveSeq(self.issued.0 + 1);
+        self.pending.push_back(Pending { seq: self.issued, last });
         self.issued
     }
 
-    /// Notes that `ticket` and all before it are on disk.
-    pub(super) fn synced(&mut self, ticket: Ticket) {
+    /// Notes that `seq` and all before it are on disk.
+    pub(super) fn synced(&mut self, seq: SaveSeq) {
         // A ticket that was never issued would count what is not on disk.
-        let ticket = ticket.min(self.issued);
-        self.synced = self.synced.max(ticket);
+        let seq = seq.min(self.issued);
+        self.synced = self.synced.max(seq);
         while let Some(pending) = self.pending.front().copied() {
-            if pending.ticket > self.synced {
+            if pending.seq > self.synced {
                 break;
             }
             self.durable = pending.last;
@@ -127,10 +127,10 @@
     }
 
     /// Returns the save that a message made now must wait for.
-    pub(super) fn gate(&self, gate: Gate) -> Ticket {
+    pub(super) fn gate(&self, gate: Gate) -> SaveSeq {
         match gate {
-            Gate::Free => Ticket(0),
-            Gate::Hard => self.hard_ticket,
+            Gate::Free => SaveSeq(0),
+            Gate::Hard => self.hard_seq,
             Gate::All => self.issued,
         }
     }
--- a/hawthornkeel_core/src/replica/progress.rs
+++ b/hawthornkeel_core/src/replica/progress.rs
@@ -5,7 +5,7 @@
 
 use crate::ids::LogIndex;
 use crate::replica::log;
-use crate::replica::settings::Settings;
+use crate::replica::settings::ReplicaSettings;
 use crate::time::Instant;
 
 /// How the leader sends to a member.
@@ -66,7 +66,7 @@
     }
 
     /// Tells whether another message with entries or parts may be sent.
-    pub(super) fn has_room(&self, settings: &Settings) -> bool {
+    pub(super) fn has_room(&self, settings: &ReplicaSettings) -> bool {
         match self.flow {
             Flow::Probe | Flow::Snapshot { .. } => self.sent.is_none(),
             Flow::Replicate => {
--- a/hawthornkeel_core/src/replica/receive.rs
+++ b/hawthornkeel_core/src/replica/receive.rs
@@ -1,13 +1,13 @@
 //! Sorts out messages by group, receiver and term.
 
-use crate::replica::Part;
 use crate::replica::Replica;
+use crate::replica::RoleState;
 use crate::replica::entry::GroupId;
 use crate::replica::entry::HardState;
 use crate::replica::message::Body;
 use crate::replica::message::HeartbeatReply;
 use crate::replica::message::Message;
-use crate::replica::saves::Gate;
+use crate::replica::persistence::Gate;
 
 impl Replica {
     /// Takes in a message.
@@ -37,7 +37,7 @@
         match &message.body {
             // Neither changes the term by itself: a member that was cut off disturbs nobody.
             Body::PreVote(candidacy) => self.receive_pre_vote(&message.from, *candidacy),
-            Body::Vote(candidacy) if self.in_lease() && !candidacy.handed => {}
+            Body::Vote(candidacy) if self.in_lease() && !candidacy.transfer => {}
             // Comes from voters whose term may be lower than the candidate's.
             Body::PreVoteReply(reply) => {
                 self.follow_term(message.term);
@@ -58,13 +58,13 @@
         match message.body {
             Body::Vote(candidacy) => self.receive_vote(&from, candidacy),
             Body::VoteReply(reply) => self.receive_vote_reply(&from, reply),
-            Body::TakeOver => self.take_over(),
+            Body::TimeoutNow => self.take_over(),
             Body::Heartbeat(heartbeat) => self.receive_heartbeat(&from, heartbeat),
             Body::HeartbeatReply(reply) => self.receive_heartbeat_reply(&from, reply),
             Body::Append(append) => self.receive_append(&from, append),
             Body::AppendReply(reply) => self.receive_append_reply(&from, reply),
-            Body::Part(part) => self.receive_part(&from, part),
-            Body::PartReply(reply) => self.receive_part_reply(&from, reply),
+            Body::SnapshotChunk(part) => self.receive_part(&from, part),
+            Body::SnapshotChunkReply(reply) => self.receive_part_reply(&from, reply),
             Body::Hello | Body::HelloReply(_) | Body::PreVote(_) | Body::PreVoteReply(_) => {}
         }
     }
@@ -79,7 +79,7 @@
 
     /// Joins a group whose leader knows this replica by its identity.
     pub(super) fn join(&mut self, group: GroupId) {
-        self.part = Part::Follower;
+        self.part = RoleState::Follower;
         self.set_hard(HardState { group: Some(group), ..self.hard });
         self.arm_election();
     }
@@ -87,5 +87,5 @@
 
 /// Tells whether only a leader sends such messages.
 fn is_from_leader(body: &Body) -> bool {
-    matches!(body, Body::Heartbeat(_) | Body::Append(_) | Body::Part(_))
+    matches!(body, Body::Heartbeat(_) | Body::Append(_) | Body::SnapshotChunk(_))
 }
--- a/hawthornkeel_core/src/replica/transfer.rs
+++ b/hawthornkeel_core/src/replica/replication.rs
@@ -1,8 +1,8 @@
 //! How a leader sends entries and snapshots to the members.
 
 use crate::ids::ReplicaId;
-use crate::replica::Part;
 use crate::replica::Replica;
+use crate::replica::RoleState;
 use crate::replica::entry::Entry;
 use crate::replica::entry::Node;
 use crate::replica::log;
@@ -10,23 +10,23 @@
 use crate::replica::message::Append;
 use crate::replica::message::AppendReply;
 use crate::replica::message::Body;
-use crate::replica::message::PartReply;
+use crate::replica::message::SnapshotChunkReply;
+use crate::replica::persistence::Gate;
 use crate::replica::progress::Flow;
 use crate::replica::progress::Progress;
-use crate::replica::saves::Gate;
 
 impl Replica {
     /// Returns the progress of a member, if this replica leads.
     fn progress(&mut self, id: ReplicaId) -> Option<&mut Progress> {
         match &mut self.part {
-            Part::Leader(leader) => leader.peers.get_mut(&id),
+            RoleState::Leader(leader) => leader.peers.get_mut(&id),
             _ => None,
         }
     }
 
     /// Sends to every member what it lacks, as far as the limits allow.
     pub(super) fn replicate(&mut self) {
-        let Part::Leader(leader) = &self.part else { return };
+        let RoleState::Leader(leader) = &self.part else { return };
         let ids: Vec<_> = leader.peers.keys().copied().collect();
         for id in ids {
             self.replicate_to(id);
@@ -38,7 +38,7 @@
         let members = self.log.members();
         let Some(member) = members.get(id) else { return };
         let now = self.now;
-        let resend = self.settings.resend;
+        let resend = self.settings.resend_timeout;
         let Some(progress) = self.progress(id) else { return };
         progress.check_resend(resend, now);
         while self.send_next(&member.node) {}
@@ -49,7 +49,7 @@
         let (base, last, snapshot) =
             (self.log.base(), self.log.last(), self.snapshot.as_ref().map(|s| s.index));
         let settings = &self.settings;
-        let Part::Leader(leader) = &mut self.part else { return false };
+        let RoleState::Leader(leader) = &mut self.part else { return false };
         let Some(progress) = leader.peers.get_mut(&node.id) else { return false };
         if !progress.has_room(settings) {
             return false;
@@ -84,14 +84,14 @@
     /// Sends the next part of the snapshot.
     fn send_part(&mut self, node: &Node) {
         let now = self.now;
-        let part_bytes = self.settings.part_bytes;
+        let chunk_bytes = self.settings.chunk_bytes;
         let Some(snapshot) = self.snapshot.clone() else { return };
         let Some(progress) = self.progress(node.id) else { return };
         let Flow::Snapshot { received, .. } = progress.flow else { return };
         progress.sent_part(now);
         let start = usize::try_from(received).unwrap_or(usize::MAX).min(snapshot.data.len());
-        let end = start.saturating_add(part_bytes).min(snapshot.data.len());
-        let part = message::Part {
+        let end = start.saturating_add(chunk_bytes).min(snapshot.data.len());
+        let part = message::SnapshotChunk {
             index: snapshot.index,
             last_term: snapshot.term,
             members: snapshot.members,
@@ -99,7 +99,7 @@
             total: snapshot.data.len() as u64,
             data: snapshot.data.slice(start..end),
         };
-        self.send(node, Gate::Free, Body::Part(part));
+        self.send(node, Gate::Free, Body::SnapshotChunk(part));
     }
 
     /// Takes in an answer to entries.
@@ -111,7 +111,7 @@
         match reply {
             AppendReply::Stored(index) if index <= last => progress.stored(index, now),
             AppendReply::Stored(_) => return,
-            AppendReply::Differs { prev, hint } => progress.differs(prev, hint),
+            AppendReply::Mismatch { prev, hint } => progress.differs(prev, hint),
         }
         self.advance_commit();
         self.replicate_to(from.id);
@@ -119,7 +119,7 @@
     }
 
     /// Takes in an answer to a part of a snapshot.
-    pub(super) fn receive_part_reply(&mut self, from: &Node, reply: PartReply) {
+    pub(super) fn receive_part_reply(&mut self, from: &Node, reply: SnapshotChunkReply) {
         let now = self.now;
         let Some(progress) = self.progress(from.id) else { return };
         progress.heard = now;
--- a/hawthornkeel_core/src/replica/settings.rs
+++ b/hawthornkeel_core/src/replica/settings.rs
@@ -6,44 +6,44 @@
 
 /// Which learners become voters by themselves.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Admission {
+pub enum VoterPolicy {
     /// Only those of the founders' instances.
     #[default]
     Founders,
     /// Any control instance, for deployments that replace instances by others.
     Open {
         /// Voters, at most; further replicas stay learners and take the place of lost voters.
-        voters: usize,
+        max_voters: usize,
         /// Time without an answer after which a learner takes the place of a voter.
-        replace: Duration,
+        replace_after: Duration,
     },
 }
 
 /// Settings of a replica, which all replicas of a group should share.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Settings {
+pub struct ReplicaSettings {
     /// Instances that form the first group, and whose replicas may become voters by themselves.
     pub founders: Vec<InstanceName>,
     /// Whether this replica may take part in forming the first group.
     ///
     /// Not on a folder that may have been lost: a group may stand that none of the others is in.
-    pub forms: bool,
+    pub can_bootstrap: bool,
     /// Who may become a voter beside the founders.
-    pub admission: Admission,
+    pub voter_policy: VoterPolicy,
     /// Time without a leader after which a replica may vote for another.
     ///
     /// A follower waits between one and two times this long before it stands for election.
-    pub election: Duration,
+    pub election_timeout: Duration,
     /// Time between heartbeats.
-    pub heartbeat: Duration,
-    /// Part of `election` that the leader's lease leaves unused, as allowance for clock drift.
-    pub drift: Duration,
+    pub heartbeat_interval: Duration,
+    /// Part of `election_timeout` that the leader's lease leaves unused, as allowance for clock drift.
+    pub clock_drift: Duration,
     /// Time after which entries that were not answered are sent again.
-    pub resend: Duration,
+    pub resend_timeout: Duration,
     /// Time between hellos of a replica that belongs to no group.
-    pub hello: Duration,
+    pub hello_interval: Duration,
     /// Time that a read waits for the leader's lease at most.
-    pub read_wait: Duration,
+    pub read_timeout: Duration,
     /// Entries applied since the last snapshot that call for the next, once they are as large as it.
     pub snapshot_entries: u64,
     /// Entries before a snapshot that stay in the log for slow followers.
@@ -59,21 +59,21 @@
     /// Proposed entries that are not committed, in bytes at most.
     pub pending_bytes: usize,
     /// Size of one part of a snapshot, in bytes.
-    pub part_bytes: usize,
+    pub chunk_bytes: usize,
 }
 
-impl Default for Settings {
+impl Default for ReplicaSettings {
     fn default() -> Self {
         Self {
             founders: Vec::new(),
-            forms: true,
-            admission: Admission::Founders,
-            election: Duration::from_millis(600),
-            heartbeat: Duration::from_millis(100),
-            drift: Duration::from_millis(60),
-            resend: Duration::from_millis(300),
-            hello: Duration::from_millis(500),
-            read_wait: Duration::from_millis(1_000),
+            can_bootstrap: true,
+            voter_policy: VoterPolicy::Founders,
+            election_timeout: Duration::from_millis(600),
+            heartbeat_interval: Duration::from_millis(100),
+            clock_drift: Duration::from_millis(60),
+            resend_timeout: Duration::from_millis(300),
+            hello_interval: Duration::from_millis(500),
+            read_timeout: Duration::from_millis(1_000),
             snapshot_entries: 20_000,
             retain_entries: 2_000,
             catchup_entries: 64,
@@ -81,7 +81,7 @@
             inflight_messages: 16,
             inflight_bytes: 1024 * 1024,
             pending_bytes: 16 * 1024 * 1024,
-            part_bytes: 256 * 1024,
+            chunk_bytes: 256 * 1024,
         }
     }
 }
--- a/hawthornkeel_core/src/routing/cold.rs
+++ b/hawthornkeel_core/src/routing/cold.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use crate::ids::Incarnation;
-use crate::lease::Doubt;
 use crate::lease::GrantMessage;
 use crate::lease::LeaseSettings;
 use crate::lease::MemberId;
+use crate::lease::SuspectReason;
 use crate::lease::message::GrantId;
 use crate::lease::message::GrantOutcome;
 use crate::names::CentreName;
@@ -58,14 +58,20 @@
     }
 
     /// Takes a target for possibly cold, and tells its issuer where `tell` says so.
-    pub(crate) fn suspect(&mut self, now: Instant, target: &TargetName, doubt: Doubt, tell: bool) {
+    pub(crate) fn suspect(
+        &mut self,
+        now: Instant,
+        target: &TargetName,
+        doubt: SuspectReason,
+        tell: bool,
+    ) {
         let Some(mut found) = self.find(target) else {
             return;
         };
         let Some(state) = found.target() else {
             return;
         };
-        let known = if doubt == Doubt::Overload { state.named.present } else { None };
+        let known = if doubt == SuspectReason::Overload { state.named.present } else { None };
         let was_warm = state.suspect();
         let centre = state.info.centre.clone();
         found.refresh(now);
@@ -166,7 +172,7 @@
 
     /// Gives back grants that no call has used.
     fn give_back_unused(&mut self, now: Instant) {
-        let unused = self.lease.unused;
+        let unused = self.lease.unused_timeout;
         let mut back = Vec::new();
         for pool in self.pools.values_mut() {
             for index in 0..pool.targets.len() {
--- a/hawthornkeel_core/src/routing/finish.rs
+++ b/hawthornkeel_core/src/routing/finish.rs
@@ -1,7 +1,7 @@
 //! What the end of a call tells about its target.
 
 use crate::ids::Incarnation;
-use crate::lease::Doubt;
+use crate::lease::SuspectReason;
 use crate::lease::message::GrantOutcome;
 use crate::names::TargetName;
 use crate::routing::incarnation::Word;
@@ -54,7 +54,7 @@
 
     /// Takes a target for restarted and so possibly cold.
     pub(crate) fn suspect_restart(&mut self, now: Instant, target: &TargetName) {
-        self.suspect(now, target, Doubt::Restart, true);
+        self.suspect(now, target, SuspectReason::Restart, true);
     }
 
     /// Takes the outcome into the target's and the pool's state; returns a doubt, if it raises one.
@@ -63,7 +63,7 @@
         now: Instant,
         permit: &Permit,
         outcome: CallOutcome,
-    ) -> Option<Doubt> {
+    ) -> Option<SuspectReason> {
         let Found { pool, index, settings: set } = self.find(&permit.target)?;
         let most = f64::from(pool.config.warm_limit);
         let usual = pool.recent;
@@ -94,13 +94,13 @@
             }
             CallOutcome::Refused => {
                 let light = target.refused(now, most);
-                (light && target.warmth == Warmth::Warm).then_some(Doubt::Overload)
+                (light && target.warmth == Warmth::Warm).then_some(SuspectReason::Overload)
             }
             CallOutcome::ConnectFailed | CallOutcome::Reset => {
                 target.limit.failed(now);
                 target.failed(now, true, set);
                 pool.failed(now);
-                Some(Doubt::Restart)
+                Some(SuspectReason::Restart)
             }
             CallOutcome::TimedOut => {
                 pool.times.record(now.since(permit.given));
@@ -121,10 +121,10 @@
 }
 
 /// Returns the doubt that an answer raises.
-fn doubt(warmth: Warmth, word: Option<Word>, step: bool) -> Option<Doubt> {
+fn doubt(warmth: Warmth, word: Option<Word>, step: bool) -> Option<SuspectReason> {
     match (warmth, word, step) {
-        (Warmth::Warm, Some(Word::New), _) => Some(Doubt::Restart),
-        (Warmth::Warm, _, true) => Some(Doubt::Overload),
+        (Warmth::Warm, Some(Word::New), _) => Some(SuspectReason::Restart),
+        (Warmth::Warm, _, true) => Some(SuspectReason::Overload),
         _ => None,
     }
 }
--- a/hawthornkeel_core/src/routing/target/grants.rs
+++ b/hawthornkeel_core/src/routing/target/grants.rs
@@ -47,8 +47,8 @@
         if now < self.ask_after {
             return None;
         }
-        self.ask_after = now + lease.resend;
-        let old = |p: &Pending| now.since(p.sent) >= lease.grant / RENUMBER_PART;
+        self.ask_after = now + lease.resend_timeout;
+        let old = |p: &Pending| now.since(p.sent) >= lease.grant_duration / RENUMBER_PART;
         self.pending.take_if(|p| old(p));
         let pending = self.pending.get_or_insert_with(|| {
             *next += 1;
--- a/hawthornkeel_core/tests/cold_site/entry.rs
+++ b/hawthornkeel_core/tests/cold_site/entry.rs
@@ -43,11 +43,11 @@
 
 fn settings() -> LeaseSettings {
     LeaseSettings {
-        period: Duration::from_millis(600),
-        renew: Duration::from_millis(200),
-        grant: Duration::from_millis(2_000),
-        resend: Duration::from_millis(50),
-        unused: Duration::from_millis(100),
+        lease_duration: Duration::from_millis(600),
+        renew_interval: Duration::from_millis(200),
+        grant_duration: Duration::from_millis(2_000),
+        resend_timeout: Duration::from_millis(50),
+        unused_timeout: Duration::from_millis(100),
         ..LeaseSettings::default()
     }
 }
--- a/hawthornkeel_core/tests/grant_pace.rs
+++ b/hawthornkeel_core/tests/grant_pace.rs
@@ -76,7 +76,7 @@
 /// Grants the request under `number` and returns the permit of the call that waited for it.
 fn grant(router: &mut Router, now: Instant, number: u64) -> Permit {
     let grant = GrantId { issuer: issuer(), number };
-    let lasts = LeaseSettings::default().grant;
+    let lasts = LeaseSettings::default().grant_duration;
     let granted = GrantMessage::Granted { number, grant, target: "readers-0".into(), lasts };
     router.handle_grant(now, &granted);
     let ready = router.take_ready(now).into_iter().next().expect("the call that waits");
@@ -110,7 +110,7 @@
     let mut router = router();
     router.choose(at(1), &request(1));
     let first = asked(&mut router, at(1)).expect("a first request");
-    let resend = LeaseSettings::default().resend.as_millis() as u64;
+    let resend = LeaseSettings::default().resend_timeout.as_millis() as u64;
     for millis in (1 + STEP_MS..1 + resend).step_by(STEP_MS as usize) {
         assert_eq!(asked(&mut router, at(millis)), None, "at {millis} ms");
     }
--- a/hawthornkeel_core/tests/isolated_leader.rs
+++ b/hawthornkeel_core/tests/isolated_leader.rs
@@ -1,13 +1,13 @@
 //! A member that was cut off or stopped for long: it serves nothing old and disturbs nobody.
 
-mod driver;
+mod simulation;
 
 use hawthornkeel_core::replica::Input;
 use hawthornkeel_core::replica::Role;
 use rstest::rstest;
 
-use crate::driver::Cluster;
-use crate::driver::waits::calm;
+use crate::simulation::Cluster;
+use crate::simulation::waits::calm;
 
 const MINUTE_MS: u64 = 60_000;
 
@@ -65,11 +65,11 @@
         let old = cluster.leads().unwrap();
         (0..20).for_each(|command| cluster.propose(old, command));
         cluster.run(0);
-        cluster.handle(old, Input::HandOver);
+        cluster.handle(old, Input::TransferLeadership);
         cluster.propose(old, 99);
         // Far less than an election time of 250 ms.
-        let handed = cluster.run_until(60, |c| c.leader().is_some_and(|l| l != old));
-        assert!(handed, "seed {seed}: no other leader");
+        let transferred = cluster.run_until(60, |c| c.leader().is_some_and(|l| l != old));
+        assert!(transferred, "seed {seed}: no other leader");
         assert_eq!(cluster.checker.accepted.len(), 20, "seed {seed}");
         assert!(cluster.checker.refused.contains(&99) && cluster.checker.lost.is_empty());
         assert!(cluster.run_until(500, |c| c.leads().is_some()));
--- a/hawthornkeel_core/tests/leader_rules.rs
+++ b/hawthornkeel_core/tests/leader_rules.rs
@@ -14,20 +14,20 @@
 use hawthornkeel_core::replica::HardState;
 use hawthornkeel_core::replica::Input;
 use hawthornkeel_core::replica::Member;
+use hawthornkeel_core::replica::MemberKind;
 use hawthornkeel_core::replica::Members;
 use hawthornkeel_core::replica::Message;
 use hawthornkeel_core::replica::Node;
 use hawthornkeel_core::replica::Payload;
+use hawthornkeel_core::replica::PersistedState;
 use hawthornkeel_core::replica::Replica;
+use hawthornkeel_core::replica::ReplicaSettings;
 use hawthornkeel_core::replica::Role;
-use hawthornkeel_core::replica::Settings;
-use hawthornkeel_core::replica::Standing;
-use hawthornkeel_core::replica::Stored;
 use hawthornkeel_core::replica::message::AppendReply;
-use hawthornkeel_core::replica::message::Candidacy;
 use hawthornkeel_core::replica::message::Heartbeat;
 use hawthornkeel_core::replica::message::HeartbeatReply;
 use hawthornkeel_core::replica::message::VoteReply;
+use hawthornkeel_core::replica::message::VoteRequest;
 use hawthornkeel_core::time::Instant;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -50,16 +50,16 @@
 
 impl Alone {
     fn new() -> Self {
-        let member = |id| Member { node: node(id), standing: Standing::Voter };
+        let member = |id| Member { node: node(id), kind: MemberKind::Voter };
         let members = Members((1..=3).map(member).collect());
-        let stored = Stored {
+        let stored = PersistedState {
             hard: HardState { group: Some(GROUP), term: Term(3), vote: None },
             snapshot: None,
             entries: vec![entry(1, 1, Payload::Members(members)), entry(2, 2, Payload::Noop)],
         };
         let now = Instant::from_millis(1_000);
         let rng = ChaCha8Rng::seed_from_u64(1);
-        let settings = Settings::default();
+        let settings = ReplicaSettings::default();
         let replica = Replica::recover(node(1), settings, rng, now, stored).unwrap();
         Self { replica, now }
     }
@@ -67,12 +67,12 @@
     /// Hands in an input; what is to be saved is synced at once.
     fn handle(&mut self, input: Input) -> Vec<Action> {
         let mut actions = self.replica.handle(self.now, input);
-        let tickets = actions.iter().filter_map(|action| match action {
-            Action::Save { ticket, .. } => Some(*ticket),
+        let seqs = actions.iter().filter_map(|action| match action {
+            Action::Save { seq, .. } => Some(*seq),
             _ => None,
         });
-        if let Some(ticket) = tickets.max() {
-            actions.extend(self.handle(Input::Synced { ticket }));
+        if let Some(seq) = seqs.max() {
+            actions.extend(self.handle(Input::Synced { seq }));
         }
         actions
     }
@@ -92,7 +92,7 @@
 
     /// Makes it the leader of term 4, and returns what it does as its first.
     fn elect(&mut self) -> Vec<Action> {
-        self.now = self.replica.deadline();
+        self.now = self.replica.next_tick();
         self.handle(Input::Tick);
         let reply = VoteReply { term: Term(4), granted: true };
         self.receive(Body::PreVoteReply(reply));
@@ -130,11 +130,11 @@
     let mut alone = Alone::new();
     let round = round(&alone.elect());
     let sent = alone.now;
-    let settings = Settings::default();
+    let settings = ReplicaSettings::default();
     // The answer was on its way for long.
     alone.now = sent + Duration::from_millis(400);
     alone.receive(Body::HeartbeatReply(HeartbeatReply { round }));
-    let end = sent + (settings.election - settings.drift);
+    let end = sent + (settings.election_timeout - settings.clock_drift);
     assert!(alone.replica.has_lease(alone.now));
     assert!(!alone.replica.has_lease(end));
 }
@@ -149,20 +149,20 @@
     let actions = alone.replica.handle(alone.now, Input::Propose(vec![proposal]));
     alone.receive(Body::AppendReply(AppendReply::Stored(LogIndex(4))));
     assert_eq!(alone.replica.status().commit, LogIndex(3), "counted what is not on its disk");
-    let Some(Action::Save { ticket, .. }) = actions.first() else { panic!("{actions:?}") };
-    alone.handle(Input::Synced { ticket: *ticket });
+    let Some(Action::Save { seq, .. }) = actions.first() else { panic!("{actions:?}") };
+    alone.handle(Input::Synced { seq: *seq });
     assert_eq!(alone.replica.status().commit, LogIndex(4));
 }
 
 #[test]
 fn heartbeat_withholds_vote() {
     let mut alone = Alone::new();
-    let election = Settings::default().election;
+    let election = ReplicaSettings::default().election_timeout;
     alone.now = alone.now + election;
     alone.receive(Body::Heartbeat(Heartbeat { round: 1, commit: LogIndex(1) }));
     let heard = alone.now;
     let vote =
-        Candidacy { term: Term(4), last_index: LogIndex(9), last_term: Term(3), handed: false };
+        VoteRequest { term: Term(4), last_index: LogIndex(9), last_term: Term(3), transfer: false };
     // The pre-vote may have been given before the heartbeat.
     alone.now = heard + (election - Duration::from_millis(1));
     alone.receive_from(3, Term(4), Body::Vote(vote));
--- a/hawthornkeel_core/tests/lease_safety.rs
+++ b/hawthornkeel_core/tests/lease_safety.rs
@@ -20,9 +20,9 @@
 
 fn settings() -> LeaseSettings {
     LeaseSettings {
-        period: Duration::from_secs(2),
-        renew: Duration::from_millis(500),
-        grant: Duration::from_secs(3),
+        lease_duration: Duration::from_secs(2),
+        renew_interval: Duration::from_millis(500),
+        grant_duration: Duration::from_secs(3),
         ..LeaseSettings::default()
     }
 }
--- a/hawthornkeel_core/tests/lost_disks.rs
+++ b/hawthornkeel_core/tests/lost_disks.rs
@@ -1,12 +1,12 @@
 //! Lost disks: nothing acknowledged goes with them, and what comes back does not count.
 
-mod driver;
+mod simulation;
 
 use hawthornkeel_core::replica::Role;
 
-use crate::driver::Cluster;
-use crate::driver::Variant;
-use crate::driver::waits::calm;
+use crate::simulation::Cluster;
+use crate::simulation::Variant;
+use crate::simulation::waits::calm;
 
 /// Loses the disk of a machine and starts it again.
 fn replace(cluster: &mut Cluster, i: usize) {
--- a/hawthornkeel_core/tests/member_change.rs
+++ b/hawthornkeel_core/tests/member_change.rs
@@ -1,15 +1,15 @@
 //! Changes of the members by operators: one at a time, learners first.
 
-mod driver;
+mod simulation;
 
-use hawthornkeel_core::replica::Change;
 use hawthornkeel_core::replica::Input;
+use hawthornkeel_core::replica::MemberKind;
 use hawthornkeel_core::replica::Members;
+use hawthornkeel_core::replica::MembershipChange;
 use hawthornkeel_core::replica::ProposalId;
-use hawthornkeel_core::replica::Standing;
 
-use crate::driver::Cluster;
-use crate::driver::Variant;
+use crate::simulation::Cluster;
+use crate::simulation::Variant;
 
 /// Starts three founders and a fourth machine, and waits until that is a learner.
 fn four() -> (Cluster, usize) {
@@ -21,13 +21,13 @@
     (cluster, leader)
 }
 
-fn change(cluster: &mut Cluster, number: u64, change: Change) {
+fn change(cluster: &mut Cluster, number: u64, change: MembershipChange) {
     let leader = cluster.leads().unwrap();
-    cluster.handle(leader, Input::Change(ProposalId(number), change));
+    cluster.handle(leader, Input::ChangeMembers(ProposalId(number), change));
 }
 
 fn voters(members: &Members) -> usize {
-    members.0.iter().filter(|m| m.standing == Standing::Voter).count()
+    members.0.iter().filter(|m| m.kind == MemberKind::Voter).count()
 }
 
 #[test]
@@ -41,7 +41,7 @@
 fn learner_is_promoted_on_order() {
     let (mut cluster, _) = four();
     let id = cluster.machines[3].disk.id;
-    change(&mut cluster, 900, Change::Promote(id));
+    change(&mut cluster, 900, MembershipChange::Promote(id));
     assert!(cluster.run_until(1_000, |c| c.checker.accepted.contains_key(&900)));
     assert_eq!(voters(&cluster.checker.members), 4);
     assert_eq!(cluster.checker.fault, None);
@@ -56,7 +56,7 @@
         cluster.propose(leader, command);
         cluster.run(5);
     }
-    change(&mut cluster, 900, Change::Promote(id));
+    change(&mut cluster, 900, MembershipChange::Promote(id));
     assert!(cluster.checker.refused.contains(&900));
 }
 
@@ -65,8 +65,8 @@
     let (mut cluster, leader) = four();
     let id = cluster.machines[3].disk.id;
     let other = cluster.machines[(leader + 1) % 3].disk.id;
-    change(&mut cluster, 900, Change::Promote(id));
-    change(&mut cluster, 901, Change::Remove(other));
+    change(&mut cluster, 900, MembershipChange::Promote(id));
+    change(&mut cluster, 901, MembershipChange::Remove(other));
     assert!(cluster.checker.refused.contains(&901) && !cluster.checker.refused.contains(&900));
 }
 
@@ -78,7 +78,7 @@
     let term = cluster.status(leader).term;
     // It does not learn that it was removed, so that it takes itself for a voter.
     cluster.machines[other].cut = true;
-    change(&mut cluster, 900, Change::Remove(id));
+    change(&mut cluster, 900, MembershipChange::Remove(id));
     assert!(cluster.run_until(1_000, |c| c.checker.accepted.contains_key(&900)));
     cluster.machines[other].cut = false;
     cluster.run(10_000);
@@ -90,6 +90,6 @@
 fn leader_is_not_removed() {
     let (mut cluster, leader) = four();
     let id = cluster.machines[leader].disk.id;
-    change(&mut cluster, 900, Change::Remove(id));
+    change(&mut cluster, 900, MembershipChange::Remove(id));
     assert!(cluster.checker.refused.contains(&900));
 }
--- a/hawthornkeel_core/tests/open_members.rs
+++ b/hawthornkeel_core/tests/open_members.rs
@@ -1,21 +1,21 @@
 //! Membership open to any control instance: machines that are replaced by others at new addresses.
 
-mod driver;
+mod simulation;
 
 use std::time::Duration;
 
-use hawthornkeel_core::replica::Admission;
 use hawthornkeel_core::replica::Role;
+use hawthornkeel_core::replica::VoterPolicy;
 
-use crate::driver::Cluster;
-use crate::driver::Variant;
+use crate::simulation::Cluster;
+use crate::simulation::Variant;
 
 /// Time without an answer after which a learner takes a voter's place.
-const REPLACE: Duration = Duration::from_millis(1_500);
+const REPLACE_AFTER: Duration = Duration::from_millis(1_500);
 
 fn cluster(seed: u64, size: usize) -> Cluster {
-    let admission = Admission::Open { voters: 3, replace: REPLACE };
-    Cluster::with_admission(seed, size, 3, Variant::Right, admission)
+    let policy = VoterPolicy::Open { max_voters: 3, replace_after: REPLACE_AFTER };
+    Cluster::with_admission(seed, size, 3, Variant::Right, policy)
 }
 
 fn is(cluster: &Cluster, voters: [&str; 3]) -> bool {
--- a/hawthornkeel_core/tests/random_histories.rs
+++ b/hawthornkeel_core/tests/random_histories.rs
@@ -2,7 +2,7 @@
 //!
 //! `HAWTHORNKEEL_SEEDS=20000` runs more seeds, `HAWTHORNKEEL_SEED=17` runs one.
 
-mod driver;
+mod simulation;
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -10,9 +10,9 @@
 use hawthornkeel_core::replica::Input;
 use rand::Rng;
 
-use crate::driver::Cluster;
-use crate::driver::Variant;
-use crate::driver::Weather;
+use crate::simulation::Cluster;
+use crate::simulation::Variant;
+use crate::simulation::Weather;
 
 const SEEDS: u64 = 2_000;
 const THREADS: usize = 3;
@@ -42,7 +42,7 @@
         }
         8 => {
             let leader = cluster.leader().unwrap_or(i);
-            cluster.handle(leader, Input::HandOver);
+            cluster.handle(leader, Input::TransferLeadership);
         }
         // The leader and another lose sight of each other, or only one of them does.
         _ => {
--- a/hawthornkeel_core/tests/driver/actions.rs
+++ b/hawthornkeel_core/tests/simulation/actions.rs
@@ -8,23 +8,23 @@
 use hawthornkeel_core::replica::message::AppendReply;
 use rand::Rng;
 
-use crate::driver::Cluster;
-use crate::driver::Event;
-use crate::driver::Variant;
+use crate::simulation::Cluster;
+use crate::simulation::Event;
+use crate::simulation::Variant;
 
 impl Cluster {
     pub(super) fn act(&mut self, i: usize, action: Action) {
         let id = self.machines[i].disk.id;
         match action {
-            Action::Save { ticket, save } => {
+            Action::Save { seq, save } => {
                 let run = self.machines[i].run;
                 let slow = self.rng.random_bool(self.weather.slow_sync);
                 let longest = if slow { 300_000 } else { self.machines[i].sync_us };
                 let delay = self.rng.random_range(100..longest);
-                let delay = self.machines[i].disk.write(ticket, save, self.now, delay);
-                self.post(delay, Event::Stored(i, run, ticket));
+                let delay = self.machines[i].disk.write(seq, save, self.now, delay);
+                self.post(delay, Event::Stored(i, run, seq));
                 let early = self.variant == Variant::EarlySync;
-                self.post(if early { 0 } else { delay }, Event::Synced(i, run, ticket));
+                self.post(if early { 0 } else { delay }, Event::Synced(i, run, seq));
             }
             Action::Send { to, message } => self.send(i, &to, message),
             Action::Apply(applied) => {
@@ -41,23 +41,23 @@
                 let (run, index) = (self.machines[i].run, self.machines[i].applied);
                 self.post(0, Event::State(i, run, index));
             }
-            Action::Refused { id, .. } => {
+            Action::ProposalRejected { id, .. } => {
                 self.checker.refused.insert(id.0);
             }
-            Action::Lost { id } => {
+            Action::OutcomeUnknown { id } => {
                 self.checker.lost.insert(id.0);
             }
             Action::ReadReady { id } => self.answer(i, id),
-            Action::ReadRefused { id, .. } => {
+            Action::ReadRejected { id, .. } => {
                 self.machines[i].reads.remove(&id);
             }
-            Action::Changed(status) if status.role == Role::Leader => {
+            Action::StatusChanged(status) if status.role == Role::Leader => {
                 self.checker.lead(status.term, id);
                 if let Some(old) = self.old_lease() {
                     self.checker.fail(format!("{id} leads while the lease of {old} stands"));
                 }
             }
-            Action::Changed(_) => {}
+            Action::StatusChanged(_) => {}
         }
     }
 
@@ -71,7 +71,7 @@
             self.checker.count(message.from.id);
         }
         let Some(j) = self.machines.iter().position(|m| m.name == *to) else { return };
-        if matches!(message.body, Body::Append(_) | Body::Part(_)) {
+        if matches!(message.body, Body::Append(_) | Body::SnapshotChunk(_)) {
             self.machines[j].received += 1;
         }
         let blocked = self.machines[i].cut || self.links.contains(&(i, j));
--- a/hawthornkeel_core/tests/driver/disk.rs
+++ b/hawthornkeel_core/tests/simulation/disk.rs
@@ -3,12 +3,12 @@
 use std::collections::VecDeque;
 
 use hawthornkeel_core::ids::ReplicaId;
-use hawthornkeel_core::replica::Keep;
+use hawthornkeel_core::replica::LogRetention;
 use hawthornkeel_core::replica::Members;
 use hawthornkeel_core::replica::Payload;
+use hawthornkeel_core::replica::PersistedState;
 use hawthornkeel_core::replica::Save;
-use hawthornkeel_core::replica::Stored;
-use hawthornkeel_core::replica::Ticket;
+use hawthornkeel_core::replica::SaveSeq;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
@@ -16,8 +16,8 @@
 pub struct Disk {
     /// Identity drawn when it was empty.
     pub id: ReplicaId,
-    synced: Stored,
-    pending: VecDeque<(Ticket, Save)>,
+    synced: PersistedState,
+    pending: VecDeque<(SaveSeq, Save)>,
     /// Time of the last sync that was asked for, in microseconds.
     busy: u64,
 }
@@ -25,11 +25,11 @@
 impl Disk {
     pub fn empty(id: impl Into<u64>) -> Self {
         let id = ReplicaId(id.into());
-        Self { id, synced: Stored::default(), pending: VecDeque::new(), busy: 0 }
+        Self { id, synced: PersistedState::default(), pending: VecDeque::new(), busy: 0 }
     }
 
     /// Returns what a process finds when it starts.
-    pub fn stored(&self) -> Stored {
+    pub fn stored(&self) -> PersistedState {
         self.synced.clone()
     }
 
@@ -44,15 +44,15 @@
     }
 
     /// Takes a write, and returns the time until it is synced: syncs end in order.
-    pub fn write(&mut self, ticket: Ticket, save: Save, now: u64, delay: u64) -> u64 {
-        self.pending.push_back((ticket, save));
+    pub fn write(&mut self, seq: SaveSeq, save: Save, now: u64, delay: u64) -> u64 {
+        self.pending.push_back((seq, save));
         self.busy = self.busy.max(now + delay);
         self.busy - now
     }
 
     /// Ends the sync of a write and all before it.
-    pub fn sync(&mut self, ticket: Ticket) {
-        while self.pending.front().is_some_and(|(t, _)| *t <= ticket) {
+    pub fn sync(&mut self, seq: SaveSeq) {
+        while self.pending.front().is_some_and(|(s, _)| *s <= seq) {
             let (_, save) = self.pending.pop_front().unwrap();
             self.store(save);
         }
@@ -79,10 +79,10 @@
                 }
                 self.synced.entries.extend(entries);
             }
-            Save::Snapshot { snapshot, keep } => {
-                match keep {
-                    Keep::From(from) => self.synced.entries.retain(|e| e.index >= from),
-                    Keep::Nothing => self.synced.entries.clear(),
+            Save::Snapshot { snapshot, retention } => {
+                match retention {
+                    LogRetention::From(from) => self.synced.entries.retain(|e| e.index >= from),
+                    LogRetention::Nothing => self.synced.entries.clear(),
                 }
                 self.synced.snapshot = Some(snapshot);
             }
--- a/hawthornkeel_core/tests/driver/mod.rs
+++ b/hawthornkeel_core/tests/simulation/mod.rs
@@ -15,7 +15,6 @@
 use bytes::Bytes;
 use hawthornkeel_core::ids::LogIndex;
 use hawthornkeel_core::names::InstanceName;
-use hawthornkeel_core::replica::Admission;
 use hawthornkeel_core::replica::Input;
 use hawthornkeel_core::replica::Message;
 use hawthornkeel_core::replica::Node;
@@ -23,9 +22,10 @@
 use hawthornkeel_core::replica::ProposalId;
 use hawthornkeel_core::replica::ReadId;
 use hawthornkeel_core::replica::Replica;
+use hawthornkeel_core::replica::ReplicaSettings;
 use hawthornkeel_core::replica::Role;
-use hawthornkeel_core::replica::Settings;
-use hawthornkeel_core::replica::Ticket;
+use hawthornkeel_core::replica::SaveSeq;
+use hawthornkeel_core::replica::VoterPolicy;
 use hawthornkeel_core::time::Instant;
 use rand::Rng;
 use rand::SeedableRng;
@@ -61,8 +61,8 @@
 #[derive(Debug)]
 enum Event {
     Deliver(usize, Message),
-    Stored(usize, u64, Ticket),
-    Synced(usize, u64, Ticket),
+    Stored(usize, u64, SaveSeq),
+    Synced(usize, u64, SaveSeq),
     State(usize, u64, LogIndex),
     Wake(usize, u64),
     Propose(usize, u64),
@@ -101,23 +101,23 @@
     /// Time in microseconds.
     pub now: u64,
     variant: Variant,
-    settings: Settings,
+    settings: ReplicaSettings,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     sequence: u64,
 }
 
 /// Settings with short times and small limits, so that snapshots and flow control come into play.
-pub fn settings(names: &[InstanceName]) -> Settings {
+pub fn settings(names: &[InstanceName]) -> ReplicaSettings {
     use std::time::Duration;
-    Settings {
+    ReplicaSettings {
         founders: names.to_vec(),
-        election: Duration::from_millis(250),
-        heartbeat: Duration::from_millis(40),
-        drift: Duration::from_millis(25),
-        resend: Duration::from_millis(100),
-        hello: Duration::from_millis(50),
-        read_wait: Duration::from_millis(400),
+        election_timeout: Duration::from_millis(250),
+        heartbeat_interval: Duration::from_millis(40),
+        clock_drift: Duration::from_millis(25),
+        resend_timeout: Duration::from_millis(100),
+        hello_interval: Duration::from_millis(50),
+        read_timeout: Duration::from_millis(400),
         snapshot_entries: 20,
         retain_entries: 5,
         catchup_entries: 4,
@@ -125,8 +125,8 @@
         inflight_messages: 4,
         inflight_bytes: 600,
         pending_bytes: 20_000,
-        part_bytes: 64,
-        ..Settings::default()
+        chunk_bytes: 64,
+        ..ReplicaSettings::default()
     }
 }
 
@@ -141,7 +141,7 @@
 
     /// Starts machines of which the first `founders` found the group.
     pub fn with_founders(seed: u64, size: usize, founders: usize, variant: Variant) -> Self {
-        Self::with_admission(seed, size, founders, variant, Admission::Founders)
+        Self::with_admission(seed, size, founders, variant, VoterPolicy::Founders)
     }
 
     /// Starts machines as above, with other rules for who becomes a voter.
@@ -150,7 +150,7 @@
         size: usize,
         founders: usize,
         variant: Variant,
-        admission: Admission,
+        voter_policy: VoterPolicy,
     ) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let names: Vec<_> = (0..size).map(|i| InstanceName::new(&format!("i{i}"))).collect();
@@ -176,7 +176,7 @@
             links: BTreeSet::new(),
             now: 1_000_000,
             variant,
-            settings: Settings { admission, ..settings(&names[..founders]) },
+            settings: ReplicaSettings { voter_policy, ..settings(&names[..founders]) },
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             sequence: 0,
@@ -188,7 +188,7 @@
 
     /// Sets whether replicas that start from now on may form a group.
     pub fn set_forms(&mut self, forms: bool) {
-        self.settings.forms = forms;
+        self.settings.can_bootstrap = forms;
     }
 
     /// Returns the names of the voters, as the leader knows them.
@@ -319,8 +319,8 @@
         match event {
             Event::Deliver(_, _) if self.machines[i].cut => {}
             Event::Deliver(_, message) => self.handle(i, Input::Message(message)),
-            Event::Stored(_, of, ticket) if of == run => self.machines[i].disk.sync(ticket),
-            Event::Synced(_, of, ticket) if of == run => self.handle(i, Input::Synced { ticket }),
+            Event::Stored(_, of, seq) if of == run => self.machines[i].disk.sync(seq),
+            Event::Synced(_, of, seq) if of == run => self.handle(i, Input::Synced { seq }),
             Event::State(_, of, index) if of == run => {
                 let data = Bytes::from(vec![index.0 as u8; 150]);
                 self.handle(i, Input::Snapshot { index, data });
@@ -361,7 +361,7 @@
         let now = self.clock(i);
         let Some(replica) = &mut self.machines[i].replica else { return };
         let actions = replica.handle(now, input);
-        let deadline = replica.deadline();
+        let deadline = replica.next_tick();
         for action in actions {
             self.act(i, action);
         }
--- a/hawthornkeel_core/tests/driver/waits.rs
+++ b/hawthornkeel_core/tests/simulation/waits.rs
@@ -2,9 +2,9 @@
 
 use hawthornkeel_core::replica::Status;
 
-use crate::driver::Cluster;
-use crate::driver::Machine;
-use crate::driver::Variant;
+use crate::simulation::Cluster;
+use crate::simulation::Machine;
+use crate::simulation::Variant;
 
 /// Starts three machines and waits for a leader that has committed.
 pub fn calm(seed: u64, size: usize) -> Cluster {
--- a/hawthornkeel_core/tests/slow_follower.rs
+++ b/hawthornkeel_core/tests/slow_follower.rs
@@ -1,6 +1,6 @@
 //! Slow followers hold up nobody, get bounded traffic, and catch up by entries or a snapshot.
 
-mod driver;
+mod simulation;
 
 use bytes::Bytes;
 use hawthornkeel_core::replica::Body;
@@ -8,8 +8,8 @@
 use hawthornkeel_core::replica::Proposal;
 use hawthornkeel_core::replica::ProposalId;
 
-use crate::driver::Cluster;
-use crate::driver::waits::calm;
+use crate::simulation::Cluster;
+use crate::simulation::waits::calm;
 
 /// Commits `count` commands.
 fn load(cluster: &mut Cluster, from: u64, count: u64) {
@@ -73,7 +73,8 @@
         let away = (cluster.leads().unwrap() + 1) % 3;
         cluster.kill(away);
         load(&mut cluster, 0, 60);
-        cluster.weather = driver::Weather { loss: 0.1, doubling: 0.1, late: 0.1, slow_sync: 0.1 };
+        cluster.weather =
+            simulation::Weather { loss: 0.1, doubling: 0.1, late: 0.1, slow_sync: 0.1 };
         cluster.start(away);
         assert!(cluster.heals(20_000), "seed {seed}");
         assert_eq!(cluster.checker.fault, None, "seed {seed}");
--- a/hawthornkeel_core/tests/split_votes.rs
+++ b/hawthornkeel_core/tests/split_votes.rs
@@ -44,7 +44,7 @@
     };
     let mut holders: Vec<_> = begun().map(holder).collect();
     let mut flights: Vec<Flight> = Vec::new();
-    let end = u64::try_from((set.period * PERIODS).as_millis()).unwrap();
+    let end = u64::try_from((set.lease_duration * PERIODS).as_millis()).unwrap();
     for now in 0..end {
         for (from, holder) in holders.iter_mut().enumerate().filter(|(i, _)| starts[*i] <= now) {
             if let Some(message) = holder.tick(at(now)) {
