--- a/hawthornkeel/src/forward/booking.rs
+++ b/hawthornkeel/src/forward/booking.rs
@@ -4,11 +4,11 @@
 use futures_util::stream::FuturesUnordered;
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::stages::admission::Outlook;
-use hawthornkeel_core::stages::admission::Pace;
-use hawthornkeel_core::stages::job::Booked;
-use hawthornkeel_core::stages::job::Booking;
-use hawthornkeel_core::stages::job::DeskName;
+use hawthornkeel_core::stages::admission::Timeliness;
 use hawthornkeel_core::stages::job::JobId;
+use hawthornkeel_core::stages::job::Reservation;
+use hawthornkeel_core::stages::job::ReservationEstimate;
+use hawthornkeel_core::stages::job::SchedulerName;
 use indexmap::IndexMap;
 
 use crate::forward::desks::Desks;
@@ -19,7 +19,7 @@
 /// Bookings of a request's stages; those that were not used are given up once it is dropped.
 pub(super) struct Bookings {
     desks: Desks,
-    open: Vec<(InstanceName, DeskName, JobId)>,
+    open: Vec<(InstanceName, SchedulerName, JobId)>,
 }
 
 impl Bookings {
@@ -49,7 +49,7 @@
         let mut soonest = None;
         for place in self.places(desks) {
             self.place = place;
-            if self.pace == Pace::Late {
+            if self.pace == Timeliness::Late {
                 break;
             }
             let (bookings, outlook) = self.book_at(desks).await;
@@ -64,7 +64,7 @@
         if let Some((_, place)) = soonest {
             self.place = place;
         }
-        self.pace = Pace::Late;
+        self.pace = Timeliness::Late;
         let (bookings, outlook) = self.book_at(desks).await;
         let times = self.times();
         tracing::debug!(event = "request-judged", request = %self.ticket.id, ?outlook, ?times);
@@ -72,7 +72,7 @@
             self.expect(&outlook);
             return Ok(bookings);
         }
-        Err(Unprepared::Refused { retry: outlook.retry(self.pace, &times) })
+        Err(Unprepared::Refused { retry: outlook.retry_after(self.pace, &times) })
     }
 
     fn expect(&mut self, outlook: &Outlook) {
@@ -82,7 +82,7 @@
 
     /// Books the stages at the present pace.
     async fn book_at(&self, desks: &Desks) -> (Bookings, Outlook) {
-        let mut wanted: IndexMap<DeskName, Vec<Booking>> = IndexMap::new();
+        let mut wanted: IndexMap<SchedulerName, Vec<Reservation>> = IndexMap::new();
         for at in self.wanted() {
             if let Some(desk) = self.desk(at) {
                 wanted.entry(desk).or_default().push(self.booking(at));
@@ -96,7 +96,7 @@
             })
             .collect();
         let mut booked = Bookings::new(desks);
-        let mut estimates: IndexMap<u16, Option<Booked>> = IndexMap::new();
+        let mut estimates: IndexMap<u16, Option<ReservationEstimate>> = IndexMap::new();
         while let Some((answer, desk, ids)) = asked.next().await {
             let Some((owner, answers)) = answer else { continue };
             for (id, estimate) in ids.into_iter().zip(answers) {
--- a/hawthornkeel/src/forward/context.rs
+++ b/hawthornkeel/src/forward/context.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use hawthornkeel_config::settings::Settings;
-use hawthornkeel_core::fleet::Present;
+use hawthornkeel_core::fleet::ServingEntry;
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::names::PoolName;
-use hawthornkeel_core::place::board::Board;
-use hawthornkeel_core::place::repeats::Budget;
-use hawthornkeel_core::place::repeats::Repeats;
-use hawthornkeel_core::stages::job::DeskName;
+use hawthornkeel_core::placement::balancer::Balancer;
+use hawthornkeel_core::placement::retries::RetryBucket;
+use hawthornkeel_core::placement::retries::RetryBudget;
+use hawthornkeel_core::stages::job::SchedulerName;
 use hawthornkeel_core::table::RouteTable;
 use hawthornkeel_platform::fields;
 use indexmap::IndexMap;
@@ -44,7 +44,7 @@
     /// Connections to targets.
     pub exchanges: Exchanges,
     /// Targets.
-    pub board: RefCell<Board>,
+    pub board: RefCell<Balancer>,
     /// Routes in force.
     pub table: RefCell<Option<Rc<RouteTable>>>,
     /// Entries that serve callers.
@@ -53,7 +53,7 @@
     pub stopping: Cell<bool>,
     /// Requests in progress.
     pub open: Cell<usize>,
-    repeats: RefCell<IndexMap<PoolName, Repeats>>,
+    repeats: RefCell<IndexMap<PoolName, RetryBucket>>,
     times: RefCell<IndexMap<PoolName, f64>>,
 }
 
@@ -61,9 +61,9 @@
 #[derive(Debug, Default)]
 pub struct Roster {
     /// Entries, by name.
-    pub entries: Vec<Present>,
+    pub entries: Vec<ServingEntry>,
     /// When each was last told of.
-    told: IndexMap<InstanceName, (hawthornkeel_core::time::Instant, Present)>,
+    told: IndexMap<InstanceName, (hawthornkeel_core::time::Instant, ServingEntry)>,
     /// Most entries of late, and when there were that many.
     most: Option<(usize, hawthornkeel_core::time::Instant)>,
 }
@@ -72,13 +72,13 @@
     /// Takes in the entries that a control instance knows, and tells whether that changes any.
     ///
     /// One that it does not know is kept for a while, as another may know it.
-    pub fn set(&mut self, entries: Vec<Present>) -> bool {
+    pub fn set(&mut self, entries: Vec<ServingEntry>) -> bool {
         let now = boot_now();
         for entry in entries {
             self.told.insert(entry.name.clone(), (now, entry));
         }
         self.told.retain(|_, (at, _)| now.since(*at) < TOLD);
-        let mut known: Vec<Present> = self.told.values().map(|(_, e)| e.clone()).collect();
+        let mut known: Vec<ServingEntry> = self.told.values().map(|(_, e)| e.clone()).collect();
         known.sort();
         let count = known.len();
         let outdated = |(most, at)| count >= most || now.since(at) > REMEMBERED;
@@ -125,9 +125,9 @@
     /// All entries that know the same others get the same order, and few desks move where an entry
     /// comes or goes. One that has just started comes last: a desk that moves costs a while in
     /// which two desks call the same targets. Those in the desk's own data centre come first.
-    pub fn owners(&self, desk: &DeskName) -> Vec<InstanceName> {
+    pub fn owners(&self, desk: &SchedulerName) -> Vec<InstanceName> {
         let roster = self.roster.borrow();
-        let score = |p: &Present| {
+        let score = |p: &ServingEntry| {
             let text = format!("{desk}/{}", p.name);
             let far = desk.centre.as_ref().is_some_and(|c| p.centre != *c);
             (far, !p.settled, xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
@@ -140,23 +140,24 @@
     /// Counts a request for the budget of repeats of a pool.
     pub fn count_request(&self, pool: &PoolName) {
         let (budget, sharers) = (self.budget(), self.roster.borrow().sharers());
-        self.repeats.borrow_mut().entry(pool.clone()).or_default().count(&budget, sharers);
+        self.repeats.borrow_mut().entry(pool.clone()).or_default().record_request(&budget, sharers);
     }
 
     /// Takes one repeat from the budget of a pool, where there is one.
     pub fn may_repeat(&self, pool: &PoolName) -> bool {
         let (budget, sharers) = (self.budget(), self.roster.borrow().sharers());
         let mut repeats = self.repeats.borrow_mut();
-        let granted = repeats.entry(pool.clone()).or_default().take(boot_now(), &budget, sharers);
+        let granted =
+            repeats.entry(pool.clone()).or_default().try_take(boot_now(), &budget, sharers);
         if !granted {
             tracing::info!(event = "repeat-refused", %pool, entries = sharers);
         }
         granted
     }
 
-    fn budget(&self) -> Budget {
+    fn budget(&self) -> RetryBudget {
         let forward = &self.settings.forward;
-        Budget {
+        RetryBudget {
             ratio: forward.retry_ratio,
             slack: forward.retry_slack,
             window: Duration::from_secs_f64(forward.retry_window_s.max(0.001)),
--- a/hawthornkeel/src/forward/desks/calls.rs
+++ b/hawthornkeel/src/forward/desks/calls.rs
@@ -4,13 +4,13 @@
 use std::time::Instant;
 
 use hawthornkeel_core::names::TargetName;
-use hawthornkeel_core::stages::desk::CallFailure;
-use hawthornkeel_core::stages::desk::CallNumber;
-use hawthornkeel_core::stages::desk::Input;
-use hawthornkeel_core::stages::desk::Item;
-use hawthornkeel_core::stages::desk::PieceOutcome;
-use hawthornkeel_core::stages::job::DeskName;
 use hawthornkeel_core::stages::job::Handle;
+use hawthornkeel_core::stages::job::SchedulerName;
+use hawthornkeel_core::stages::scheduler::CallFailure;
+use hawthornkeel_core::stages::scheduler::CallNumber;
+use hawthornkeel_core::stages::scheduler::Input;
+use hawthornkeel_core::stages::scheduler::Item;
+use hawthornkeel_core::stages::scheduler::PieceOutcome;
 use hawthornkeel_platform::fields;
 use hawthornkeel_platform::pieces;
 use hawthornkeel_platform::pieces::Done;
@@ -28,7 +28,7 @@
     /// Calls a target for pieces and takes in what came of them.
     pub(super) async fn call(
         self,
-        name: DeskName,
+        name: SchedulerName,
         number: CallNumber,
         maker: TargetName,
         items: Vec<Item>,
@@ -104,7 +104,7 @@
         Done::Result(handle) => PieceOutcome::Done(handle),
         Done::Late => PieceOutcome::Late,
         Done::Gone => PieceOutcome::Gone,
-        Done::Room => PieceOutcome::NoRoom,
+        Done::Room => PieceOutcome::OutOfMemory,
         Done::Failed => PieceOutcome::Failed,
     }
 }
@@ -115,7 +115,7 @@
         request: &item.job.request,
         stage: item.job.stage,
         piece: item.piece,
-        remaining_ms: u64::try_from(item.left.as_millis()).unwrap_or(u64::MAX),
+        remaining_ms: u64::try_from(item.remaining.as_millis()).unwrap_or(u64::MAX),
         key: item.key.as_deref(),
         inputs,
     }
--- a/hawthornkeel/src/forward/desks/mod.rs
+++ b/hawthornkeel/src/forward/desks/mod.rs
@@ -16,17 +16,17 @@
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::names::PoolName;
-use hawthornkeel_core::stages::desk::Action;
-use hawthornkeel_core::stages::desk::Desk;
-use hawthornkeel_core::stages::desk::Input;
-use hawthornkeel_core::stages::desk::Summary;
-use hawthornkeel_core::stages::job::Booked;
-use hawthornkeel_core::stages::job::Booking;
-use hawthornkeel_core::stages::job::DeskName;
 use hawthornkeel_core::stages::job::Job;
 use hawthornkeel_core::stages::job::JobId;
 use hawthornkeel_core::stages::job::JobOutcome;
-use hawthornkeel_core::table::pool::Pieces;
+use hawthornkeel_core::stages::job::Reservation;
+use hawthornkeel_core::stages::job::ReservationEstimate;
+use hawthornkeel_core::stages::job::SchedulerName;
+use hawthornkeel_core::stages::scheduler::Action;
+use hawthornkeel_core::stages::scheduler::Input;
+use hawthornkeel_core::stages::scheduler::Scheduler;
+use hawthornkeel_core::stages::scheduler::Summary;
+use hawthornkeel_core::table::pool::StageWorkload;
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 
@@ -67,8 +67,8 @@
 
 struct Inner {
     context: Rc<Context>,
-    pools: RefCell<IndexMap<PoolName, Pieces>>,
-    desks: RefCell<IndexMap<DeskName, Local>>,
+    pools: RefCell<IndexMap<PoolName, StageWorkload>>,
+    desks: RefCell<IndexMap<SchedulerName, Local>>,
     /// Entries that did not answer.
     suspects: RefCell<IndexSet<InstanceName>>,
     woken: Signal,
@@ -77,7 +77,7 @@
 
 /// Desk that this entry keeps.
 struct Local {
-    desk: Desk,
+    desk: Scheduler,
     waiters: IndexMap<JobId, Vec<oneshot::Sender<JobOutcome>>>,
 }
 
@@ -130,7 +130,7 @@
     }
 
     /// Takes in the pools that do stages.
-    pub fn set_pools(&self, pools: Vec<(PoolName, Pieces)>) {
+    pub fn set_pools(&self, pools: Vec<(PoolName, StageWorkload)>) {
         for (name, local) in self.inner.desks.borrow_mut().iter_mut() {
             if let Some((_, pieces)) = pools.iter().find(|(pool, _)| *pool == name.pool) {
                 local.desk.set_pool(*pieces);
@@ -141,10 +141,10 @@
 
     /// Takes in that the targets may have changed.
     pub fn set_makers(&self) {
-        let names: Vec<DeskName> = self.inner.desks.borrow().keys().cloned().collect();
+        let names: Vec<SchedulerName> = self.inner.desks.borrow().keys().cloned().collect();
         for name in names {
-            let makers = self.inner.context.board.borrow().makers(&name);
-            self.input(&name, Input::Makers(makers));
+            let makers = self.inner.context.board.borrow().workers(&name);
+            self.input(&name, Input::Workers(makers));
         }
     }
 
@@ -160,7 +160,7 @@
     ///
     /// # Errors
     /// Fails as [`Undone`] says; dropping the future withdraws the job.
-    pub async fn run(&self, name: &DeskName, job: Job) -> Result<Results, Undone> {
+    pub async fn run(&self, name: &SchedulerName, job: Job) -> Result<Results, Undone> {
         let started = Instant::now();
         let mut last = Undone::Failed;
         for owner in self.candidates(name) {
@@ -184,9 +184,9 @@
     /// Returns the desk's owner and what each booking comes to; `None` where no desk answers.
     pub async fn book(
         &self,
-        name: &DeskName,
-        bookings: Vec<Booking>,
-    ) -> Option<(InstanceName, Vec<Option<Booked>>)> {
+        name: &SchedulerName,
+        bookings: Vec<Reservation>,
+    ) -> Option<(InstanceName, Vec<Option<ReservationEstimate>>)> {
         let book = Book { desk: name.clone(), bookings };
         for owner in self.candidates(name) {
             let booked = self.book_at(&owner, &book).await;
@@ -198,7 +198,11 @@
         None
     }
 
-    async fn book_at(&self, owner: &InstanceName, book: &Book) -> Option<Vec<Option<Booked>>> {
+    async fn book_at(
+        &self,
+        owner: &InstanceName,
+        book: &Book,
+    ) -> Option<Vec<Option<ReservationEstimate>>> {
         if owner == self.inner.context.endpoint.name() {
             return Some(self.take_bookings(book));
         }
@@ -215,21 +219,21 @@
     }
 
     /// Gives up jobs or bookings at the desk that `owner` keeps.
-    pub fn withdraw(&self, owner: &InstanceName, name: &DeskName, jobs: Vec<JobId>) {
+    pub fn withdraw(&self, owner: &InstanceName, name: &SchedulerName, jobs: Vec<JobId>) {
         self.dismiss(owner, Dismiss { desk: name.clone(), jobs, results: Vec::new() });
     }
 
-    fn take_bookings(&self, book: &Book) -> Vec<Option<Booked>> {
+    fn take_bookings(&self, book: &Book) -> Vec<Option<ReservationEstimate>> {
         if !self.open(&book.desk) {
             return Vec::new();
         }
         let mut desks = self.inner.desks.borrow_mut();
         let Some(local) = desks.get_mut(&book.desk) else { return Vec::new() };
-        book.bookings.iter().map(|b| local.desk.book(boot_now(), b)).collect()
+        book.bookings.iter().map(|b| local.desk.reserve(boot_now(), b)).collect()
     }
 
     /// Returns the entries that may keep the desk of a pool, in order, and this one at last.
-    fn candidates(&self, name: &DeskName) -> Vec<InstanceName> {
+    fn candidates(&self, name: &SchedulerName) -> Vec<InstanceName> {
         let own = self.inner.context.endpoint.name();
         let suspects = self.inner.suspects.borrow();
         let mut owners = self.inner.context.owners(name);
@@ -263,7 +267,12 @@
     }
 
     /// Offers a job to an entry and waits for what comes of it; `None` where it doesn't answer.
-    async fn offer(&self, owner: &InstanceName, name: &DeskName, job: Job) -> Option<JobOutcome> {
+    async fn offer(
+        &self,
+        owner: &InstanceName,
+        name: &SchedulerName,
+        job: Job,
+    ) -> Option<JobOutcome> {
         let id = job.id.clone();
         let mut pending = Pending {
             desks: self.clone(),
@@ -305,7 +314,7 @@
     }
 
     /// Tells whether a desk of this entry has a job, which it then goes on with even at a stop.
-    fn knows(&self, name: &DeskName, job: &JobId) -> bool {
+    fn knows(&self, name: &SchedulerName, job: &JobId) -> bool {
         self.inner.desks.borrow().get(name).is_some_and(|l| l.desk.knows(job))
     }
 
@@ -322,7 +331,7 @@
             waiters.retain(|w| !w.is_canceled());
             waiters.push(sender);
         }
-        self.input(&name, Input::Offer(job));
+        self.input(&name, Input::Submit(job));
         let hold = Duration::from_millis(wait_ms.into());
         match monoio::time::timeout(hold, outcome).await {
             Ok(Ok(outcome)) => outcome,
@@ -331,7 +340,7 @@
     }
 
     /// Opens the desk of a pool, where the document has the pool and this entry goes on.
-    fn open(&self, name: &DeskName) -> bool {
+    fn open(&self, name: &SchedulerName) -> bool {
         if self.inner.context.stopping.get() {
             return false;
         }
@@ -340,10 +349,10 @@
         }
         let Some(pieces) = self.inner.pools.borrow().get(&name.pool).copied() else { return false };
         tracing::info!(event = "desk-opened", desk = %name);
-        let local = Local { desk: Desk::new(pieces), waiters: IndexMap::new() };
+        let local = Local { desk: Scheduler::new(pieces), waiters: IndexMap::new() };
         self.inner.desks.borrow_mut().insert(name.clone(), local);
-        let makers = self.inner.context.board.borrow().makers(name);
-        self.input(name, Input::Makers(makers));
+        let makers = self.inner.context.board.borrow().workers(name);
+        self.input(name, Input::Workers(makers));
         true
     }
 
@@ -364,7 +373,7 @@
             if let Some(local) = self.inner.desks.borrow_mut().get_mut(&name) {
                 local.waiters.swap_remove(&job);
             }
-            self.input(&name, Input::Withdraw(job));
+            self.input(&name, Input::Cancel(job));
         }
         if !results.is_empty() {
             self.input(&name, Input::Release(results));
@@ -372,7 +381,7 @@
     }
 
     /// Hands an input to a desk and carries out what follows.
-    fn input(&self, name: &DeskName, input: Input) {
+    fn input(&self, name: &SchedulerName, input: Input) {
         let actions = match self.inner.desks.borrow_mut().get_mut(name) {
             Some(local) => local.desk.handle(boot_now(), input),
             None => return,
@@ -385,15 +394,15 @@
         }
     }
 
-    fn carry_out(&self, name: &DeskName, action: Action) {
+    fn carry_out(&self, name: &SchedulerName, action: Action) {
         match action {
-            Action::Run { call, maker, items, limit } => {
-                monoio::spawn(self.clone().call(name.clone(), call, maker, items, limit));
+            Action::Run { call, worker, items, timeout } => {
+                monoio::spawn(self.clone().call(name.clone(), call, worker, items, timeout));
             }
-            Action::Free { maker, results } => {
-                monoio::spawn(self.clone().free(maker, results));
+            Action::Free { worker, results } => {
+                monoio::spawn(self.clone().free(worker, results));
             }
-            Action::Answer { job, outcome } => {
+            Action::Reply { job, outcome } => {
                 let mut desks = self.inner.desks.borrow_mut();
                 let Some(local) = desks.get_mut(name) else { return };
                 let waiters = local.waiters.swap_remove(&job).unwrap_or_default();
@@ -416,8 +425,17 @@
                 if local.desk.is_idle() {
                     continue;
                 }
-                let Summary { jobs, waiting, late, booked, calls, makers, counted, free, held } =
-                    local.desk.summary();
+                let Summary {
+                    jobs,
+                    waiting,
+                    late,
+                    booked,
+                    calls,
+                    workers: makers,
+                    available: counted,
+                    free,
+                    held_bytes: held,
+                } = local.desk.summary();
                 tracing::info!(
                     event = "desk-state", desk = %name, jobs, waiting, late, booked, calls, makers, counted, free, held
                 );
@@ -437,9 +455,9 @@
             }
             monoio::time::sleep(TICK).await;
             let now = boot_now();
-            let due = |l: &Local| l.desk.deadline().is_some_and(|d| d <= now);
+            let due = |l: &Local| l.desk.next_tick().is_some_and(|d| d <= now);
             let desks = self.inner.desks.borrow();
-            let names: Vec<DeskName> =
+            let names: Vec<SchedulerName> =
                 desks.iter().filter(|(_, l)| due(l)).map(|(n, _)| n.clone()).collect();
             drop(desks);
             for name in names {
--- a/hawthornkeel/src/forward/desks/results.rs
+++ b/hawthornkeel/src/forward/desks/results.rs
@@ -1,9 +1,9 @@
 //! What comes of a stage, and what is given back where nobody waits for it any more.
 
 use hawthornkeel_core::names::InstanceName;
-use hawthornkeel_core::stages::job::DeskName;
 use hawthornkeel_core::stages::job::Handle;
 use hawthornkeel_core::stages::job::JobId;
+use hawthornkeel_core::stages::job::SchedulerName;
 
 use crate::forward::desks::Desks;
 use crate::peer::frame::Dismiss;
@@ -12,7 +12,7 @@
 pub struct Results {
     /// Results, in the order of the pieces.
     pub handles: Vec<Handle>,
-    pub(super) desk: DeskName,
+    pub(super) desk: SchedulerName,
     pub(super) owner: InstanceName,
     pub(super) desks: Desks,
 }
@@ -50,7 +50,7 @@
 pub(super) struct Pending {
     pub(super) desks: Desks,
     pub(super) owner: InstanceName,
-    pub(super) desk: DeskName,
+    pub(super) desk: SchedulerName,
     pub(super) job: Option<JobId>,
 }
 
--- a/hawthornkeel/src/forward/follow.rs
+++ b/hawthornkeel/src/forward/follow.rs
@@ -6,8 +6,8 @@
 
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::names::PoolName;
-use hawthornkeel_core::table::pool::Pieces;
-use hawthornkeel_core::table::pool::Work;
+use hawthornkeel_core::table::pool::StageWorkload;
+use hawthornkeel_core::table::pool::Workload;
 use hawthornkeel_platform::document;
 
 use crate::clock::boot_now;
@@ -114,7 +114,7 @@
 
 /// Puts the document that the published state holds into force here.
 fn take_document(context: &Context, desks: &Desks) {
-    context.board.borrow_mut().set_out(boot_now(), context.watch.taken_out());
+    context.board.borrow_mut().set_taken_out(boot_now(), context.watch.taken_out());
     let Some(published) = context.watch.current() else { return };
     let known = context.table.borrow().as_ref().map(|t| t.version);
     if published.text.is_empty() || known == Some(published.version) {
@@ -124,12 +124,13 @@
         Ok(table) => {
             let (version, routes) = (table.version, table.len());
             tracing::info!(event = "routes-in-force", %version, routes);
-            let pieces = |work: &Work| match work {
-                Work::Pieces(pieces) => Some(*pieces),
-                Work::Plain | Work::Engine(_) => None,
+            let pieces = |work: &Workload| match work {
+                Workload::Stages(pieces) => Some(*pieces),
+                Workload::Requests | Workload::Engine(_) => None,
             };
-            let pools = table.pools.iter().filter_map(|(n, p)| Some((n.clone(), pieces(&p.work)?)));
-            let pools: Vec<(PoolName, Pieces)> = pools.collect();
+            let pools =
+                table.pools.iter().filter_map(|(n, p)| Some((n.clone(), pieces(&p.workload)?)));
+            let pools: Vec<(PoolName, StageWorkload)> = pools.collect();
             *context.table.borrow_mut() = Some(Rc::new(table));
             desks.set_pools(pools);
         }
--- a/hawthornkeel/src/forward/gate.rs
+++ b/hawthornkeel/src/forward/gate.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hawthornkeel_core::table::gate;
-use hawthornkeel_core::table::gate::Claim;
-use hawthornkeel_core::table::gate::Confirmed;
-use hawthornkeel_core::table::gate::Denied;
+use hawthornkeel_core::table::access;
+use hawthornkeel_core::table::access::AccessRequest;
+use hawthornkeel_core::table::access::Denied;
+use hawthornkeel_core::table::access::Freshness;
 use hawthornkeel_platform::fields;
 use http::header::AUTHORIZATION;
 use http::header::HOST;
@@ -36,8 +36,8 @@
     let table = context.table.borrow().clone().ok_or_else(not_ready)?;
     let age = context.watch.age().ok_or_else(not_ready)?;
     let keys = Duration::from_millis(context.settings.forward.confirm_ms).mul_f64(KEY_PART);
-    let confirmed = Confirmed { age, keys, denials: DENIAL_AGE };
-    let pass = gate::admit(&table, &claim(&request.head), confirmed).map_err(|denied| {
+    let confirmed = Freshness { age, max_key_age: keys, max_denial_age: DENIAL_AGE };
+    let pass = access::authorize(&table, &claim(&request.head), confirmed).map_err(|denied| {
         let (id, version) = (request.head.header(fields::REQUEST_ID), table.version);
         tracing::info!(event = "request-denied", request = id, ?denied, %version, age_ms = age.as_millis());
         match denied {
@@ -49,8 +49,8 @@
     Ticket::new(request, pass, Rc::clone(&table)).ok_or_else(not_ready)
 }
 
-fn claim(head: &Head) -> Claim<'_> {
-    Claim {
+fn claim(head: &Head) -> AccessRequest<'_> {
+    AccessRequest {
         host: head.header(HOST.as_str()).unwrap_or_default(),
         path: &head.path,
         key: head.header(AUTHORIZATION.as_str()).and_then(fields::key),
--- a/hawthornkeel/src/forward/handler.rs
+++ b/hawthornkeel/src/forward/handler.rs
@@ -7,10 +7,10 @@
 
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::TargetName;
-use hawthornkeel_core::place::board::Ask;
-use hawthornkeel_core::place::board::Chosen;
-use hawthornkeel_core::place::board::NoTarget;
-use hawthornkeel_core::place::health::Ended;
+use hawthornkeel_core::placement::balancer::ChosenTarget;
+use hawthornkeel_core::placement::balancer::NoTarget;
+use hawthornkeel_core::placement::balancer::TargetQuery;
+use hawthornkeel_core::placement::health::TargetOutcome;
 use hawthornkeel_core::request::refusal::Ran;
 use hawthornkeel_core::stages::job::Handle;
 use hawthornkeel_core::table::route::RouteKind;
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     /// Fails with the reason where there is none.
-    pub fn choose(&self, context: &Context, ticket: &Ticket) -> Result<Chosen, NoTarget> {
+    pub fn choose(&self, context: &Context, ticket: &Ticket) -> Result<ChosenTarget, NoTarget> {
         let entries = context.roster.borrow().sharers();
         let centre = preferred_centre(context, ticket);
         let ask = ask(ticket, centre.as_ref(), &self.tried, entries);
@@ -143,7 +143,7 @@
 pub fn likely_centre(context: &Context, ticket: &Ticket) -> Option<CentreName> {
     let centre = preferred_centre(context, ticket);
     let ask = ask(ticket, centre.as_ref(), &[], 1);
-    context.board.borrow_mut().centre(boot_now(), &ask)
+    context.board.borrow_mut().likely_centre(boot_now(), &ask)
 }
 
 fn ask<'a>(
@@ -151,14 +151,14 @@
     centre: Option<&'a CentreName>,
     tried: &'a [TargetName],
     entries: usize,
-) -> Ask<'a> {
+) -> TargetQuery<'a> {
     let Ticket { pool, session, .. } = ticket;
-    Ask { pool: &pool.name, session: *session, centre, tried, cold: pool.cold, entries }
+    TargetQuery { pool: &pool.name, session: *session, centre, tried, cold: pool.cold, entries }
 }
 
 /// Returns the data centre whose targets are preferred: the own one, unless prompts are shared.
 fn preferred_centre(context: &Context, ticket: &Ticket) -> Option<CentreName> {
-    (!ticket.route.affine).then(|| context.centre().clone())
+    (!ticket.route.session_affinity).then(|| context.centre().clone())
 }
 
 impl Handler for Callers {
@@ -272,7 +272,7 @@
                     ran = Ran::Unknown;
                     arrived = true;
                     course.runs += 1;
-                    if !ticket.route.kind.may_repeat() {
+                    if !ticket.route.kind.is_retryable() {
                         return Forwarded::Answer(answer, target);
                     }
                     failed = Some((answer, target));
@@ -281,7 +281,7 @@
                     ran = Ran::Unknown;
                     arrived = true;
                     course.runs += 1;
-                    if !ticket.route.kind.may_repeat() {
+                    if !ticket.route.kind.is_retryable() {
                         return ended(ran, None);
                     }
                 }
@@ -291,11 +291,11 @@
 
     /// Tells whether a request may be sent to one more target.
     fn may_repeat(&self, ticket: &Ticket, course: &Course) -> bool {
-        course.runs < ticket.route.attempts && self.context.may_repeat(&ticket.pool.name)
+        course.runs < ticket.route.max_attempts && self.context.may_repeat(&ticket.pool.name)
     }
 
     /// Chooses a target, waiting for a while where all that are left are cold.
-    async fn choose(&self, ticket: &Ticket, course: &Course) -> Result<Chosen, NoTarget> {
+    async fn choose(&self, ticket: &Ticket, course: &Course) -> Result<ChosenTarget, NoTarget> {
         let limit = ticket.started + ticket.route.objective / COLD_PART;
         loop {
             match course.choose(&self.context, ticket) {
@@ -310,7 +310,7 @@
 
     /// Returns until when a target may be silent.
     fn patience(&self, ticket: &Ticket, runs: u32) -> Instant {
-        let more = ticket.route.kind.may_repeat() && runs + 1 < ticket.route.attempts;
+        let more = ticket.route.kind.is_retryable() && runs + 1 < ticket.route.max_attempts;
         if !more {
             return ticket.end;
         }
@@ -320,17 +320,24 @@
     }
 
     /// Tells what came of sending a request to a target.
-    fn judge(&self, ticket: &Ticket, target: &Chosen, sent: Result<Answer, Failure>) -> Tried {
+    fn judge(
+        &self,
+        ticket: &Ticket,
+        target: &ChosenTarget,
+        sent: Result<Answer, Failure>,
+    ) -> Tried {
         let (tried, ended) = match sent {
             Ok(answer) => judge_answer(answer),
-            Err(failure) if failure.is_not_run() => (Tried::Unreached, Some(Ended::Unreached)),
+            Err(failure) if failure.is_not_run() => {
+                (Tried::Unreached, Some(TargetOutcome::Unreached))
+            }
             Err(Failure::Silent) if Instant::now() >= ticket.end => {
-                (Tried::Lost, Some(Ended::GivenUp))
+                (Tried::Lost, Some(TargetOutcome::Abandoned))
             }
-            Err(_) => (Tried::Lost, Some(Ended::Badly)),
+            Err(_) => (Tried::Lost, Some(TargetOutcome::Failed)),
         };
         if let Some(ended) = ended {
-            self.context.board.borrow_mut().ended(boot_now(), &target.name, ended);
+            self.context.board.borrow_mut().record_outcome(boot_now(), &target.name, ended);
         }
         tried
     }
@@ -343,7 +350,7 @@
         left: Signal,
         open: Open,
         answer: Box<Answer>,
-        target: Chosen,
+        target: ChosenTarget,
     ) -> Response {
         let status = answer.status;
         course.first = ticket.started.elapsed();
@@ -368,17 +375,17 @@
         ticket: &Ticket,
         mut course: Course,
         mut answer: Answer,
-        mut target: Chosen,
+        mut target: ChosenTarget,
     ) -> Response {
         let mut until = self.patience(ticket, 0);
         loop {
             let status = answer.status;
             let body = answer.whole(until).await;
             let ended = match &body {
-                Ok(_) if !status.is_server_error() => Ended::Well,
-                _ => Ended::Badly,
+                Ok(_) if !status.is_server_error() => TargetOutcome::Succeeded,
+                _ => TargetOutcome::Failed,
             };
-            self.context.board.borrow_mut().ended(boot_now(), &target.name, ended);
+            self.context.board.borrow_mut().record_outcome(boot_now(), &target.name, ended);
             match body {
                 Ok(body) => {
                     let headers = passed_headers(&answer.headers);
@@ -404,9 +411,13 @@
     }
 
     /// Sends a request once more after its answer broke off, where it may be.
-    async fn again(&self, ticket: &Ticket, course: &mut Course) -> Option<(Box<Answer>, Chosen)> {
+    async fn again(
+        &self,
+        ticket: &Ticket,
+        course: &mut Course,
+    ) -> Option<(Box<Answer>, ChosenTarget)> {
         course.runs += 1;
-        if !ticket.route.kind.may_repeat() || !self.may_repeat(ticket, course) {
+        if !ticket.route.kind.is_retryable() || !self.may_repeat(ticket, course) {
             return None;
         }
         match self.forward(ticket, course).await {
--- a/hawthornkeel/src/forward/plan.rs
+++ b/hawthornkeel/src/forward/plan.rs
@@ -6,16 +6,16 @@
 
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::PoolName;
-use hawthornkeel_core::stages::admission::Pace;
-use hawthornkeel_core::stages::admission::Step;
+use hawthornkeel_core::stages::admission::StageTiming;
+use hawthornkeel_core::stages::admission::Timeliness;
 use hawthornkeel_core::stages::admission::Times;
-use hawthornkeel_core::stages::job::Booking;
-use hawthornkeel_core::stages::job::DeskName;
 use hawthornkeel_core::stages::job::Handle;
 use hawthornkeel_core::stages::job::Job;
 use hawthornkeel_core::stages::job::JobId;
-use hawthornkeel_core::stages::job::Near;
-use hawthornkeel_core::table::pool::Work;
+use hawthornkeel_core::stages::job::Locality;
+use hawthornkeel_core::stages::job::Reservation;
+use hawthornkeel_core::stages::job::SchedulerName;
+use hawthornkeel_core::table::pool::Workload;
 use hawthornkeel_core::table::route::Stage;
 use hawthornkeel_platform::fields;
 use hawthornkeel_platform::pieces;
@@ -46,7 +46,7 @@
     /// Time from its arrival until its answer begins.
     pub end: Duration,
     /// Whether it can meet its objective.
-    pub pace: Pace,
+    pub pace: Timeliness,
 }
 
 /// What is to be done for one request.
@@ -63,7 +63,7 @@
     /// Data centre in which its stages are done, where pools are split by data centre.
     pub(super) place: Option<CentreName>,
     /// Whether it can still meet its objective.
-    pub(super) pace: Pace,
+    pub(super) pace: Timeliness,
     pub(super) expected: Option<Expected>,
 }
 
@@ -71,9 +71,9 @@
     pub(super) fn new(context: &'a Context, ticket: &'a Ticket, pieces: &[u32], pass: u16) -> Self {
         let stages = ticket.route.stages.len();
         let counts = (0..stages).map(|at| pieces.get(at).copied().unwrap_or(0)).collect();
-        let last = ticket.route.last_stages();
+        let last = ticket.route.final_stages();
         let centre = crate::forward::handler::likely_centre(context, ticket);
-        let pace = if ticket.fresh.is_zero() { Pace::Late } else { Pace::Prompt };
+        let pace = if ticket.fresh.is_zero() { Timeliness::Late } else { Timeliness::OnTime };
         let place = centre.clone();
         Self { context, ticket, pass, counts, last, centre, place, pace, expected: None }
     }
@@ -130,7 +130,7 @@
             self.wanted().filter_map(|at| Some(&self.stage(at)?.pool)).collect();
         let board = self.context.board.borrow();
         let first = self.centre.clone();
-        let other = board.other_centre(&pools, first.as_ref(), &self.ticket.id);
+        let other = board.alternative_centre(&pools, first.as_ref(), &self.ticket.id);
         let mut places = vec![first];
         places.extend(other.map(Some));
         if places.len() > 1 && self.centre.as_ref().is_some_and(|c| desks.is_cut(c)) {
@@ -140,14 +140,16 @@
     }
 
     /// Returns the desk that does a stage.
-    pub(super) fn desk(&self, at: u16) -> Option<DeskName> {
+    pub(super) fn desk(&self, at: u16) -> Option<SchedulerName> {
         let board = self.context.board.borrow();
-        Some(board.desk(&self.stage(at)?.pool, self.place.as_ref(), &self.ticket.id))
+        Some(board.scheduler_for(&self.stage(at)?.pool, self.place.as_ref(), &self.ticket.id))
     }
 
-    pub(super) fn steps(&self) -> Vec<Step> {
+    pub(super) fn steps(&self) -> Vec<StageTiming> {
         let after = |at: u16| self.stage(at).map(|s| s.after.clone()).unwrap_or_default();
-        self.wanted().map(|at| Step { at, after: after(at), usual: self.time(at) }).collect()
+        self.wanted()
+            .map(|at| StageTiming { stage: at, after: after(at), expected: self.time(at) })
+            .collect()
     }
 
     pub(super) fn times(&self) -> Times {
@@ -160,12 +162,12 @@
         }
     }
 
-    pub(super) fn booking(&self, at: u16) -> Booking {
+    pub(super) fn booking(&self, at: u16) -> Reservation {
         let due = self.ticket.due.saturating_duration_since(Instant::now());
-        Booking {
+        Reservation {
             id: self.id(at),
             pieces: self.count(at),
-            priority: self.pace.rank(self.ticket.rank),
+            priority: self.pace.priority(self.ticket.rank),
             due_ms: millis(due.saturating_sub(self.rest(at))),
         }
     }
@@ -192,35 +194,36 @@
         Job {
             id: self.id(at),
             pieces: self.count(at),
-            priority: self.pace.rank(self.ticket.rank),
+            priority: self.pace.priority(self.ticket.rank),
             key: after.is_empty().then(|| Arc::from(key)),
             near: self.near(at, &inputs, due_ms),
             inputs: Arc::from(inputs),
-            bytes: stage.map_or(0, |s| s.bytes),
+            bytes: stage.map_or(0, |s| s.result_bytes),
             due_ms,
             end_ms: until(self.ticket.end),
         }
     }
 
     /// Returns where a stage should be done: near its inputs, or near where its results are used.
-    fn near(&self, at: u16, inputs: &[Handle], due_ms: u64) -> Option<Near> {
+    fn near(&self, at: u16, inputs: &[Handle], due_ms: u64) -> Option<Locality> {
         if self.desk(at)?.centre.is_some() {
             return None;
         }
         let stage = self.stage(at)?;
-        let size = |a: &u16| self.stage(*a).map_or(0, |s| s.bytes) * u64::from(self.count(*a));
+        let size =
+            |a: &u16| self.stage(*a).map_or(0, |s| s.result_bytes) * u64::from(self.count(*a));
         let read: u64 = stage.after.iter().map(size).sum::<u64>() * u64::from(self.count(at));
-        let made = stage.bytes * u64::from(self.count(at));
+        let made = stage.result_bytes * u64::from(self.count(at));
         let slack = due_ms.saturating_sub(millis(self.own_time(at)));
         if read >= LARGE {
             let board = self.context.board.borrow();
             let keeper = inputs.iter().find_map(|i| pieces::keeper(i))?;
             let centre = board.centre_at(keeper)?.clone();
-            return Some(Near { centre, wait_ms: slack / INPUTS_PART });
+            return Some(Locality { centre, wait_ms: slack / INPUTS_PART });
         }
         let used = made >= LARGE && self.last.contains(&at);
         let centre = self.centre.clone().filter(|_| used)?;
-        Some(Near { centre, wait_ms: slack / RESULTS_PART })
+        Some(Locality { centre, wait_ms: slack / RESULTS_PART })
     }
 
     /// Returns the time that a request takes after a stage, about.
@@ -246,8 +249,10 @@
     /// Returns the time that a stage takes in calls of its own.
     fn own_time(&self, at: u16) -> Duration {
         let pool = self.stage(at).and_then(|s| self.ticket.table.pools.get(&s.pool));
-        match pool.map(|p| &p.work) {
-            Some(Work::Pieces(pieces)) => pieces.overhead + pieces.item * self.count(at),
+        match pool.map(|p| &p.workload) {
+            Some(Workload::Stages(pieces)) => {
+                pieces.call_overhead + pieces.piece_time * self.count(at)
+            }
             _ => STAGE_TIME,
         }
     }
--- a/hawthornkeel/src/forward/prepare.rs
+++ b/hawthornkeel/src/forward/prepare.rs
@@ -5,9 +5,9 @@
 
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
-use hawthornkeel_core::stages::job::DeskName;
 use hawthornkeel_core::stages::job::Handle;
 use hawthornkeel_core::stages::job::Job;
+use hawthornkeel_core::stages::job::SchedulerName;
 
 use crate::forward::booking::Bookings;
 use crate::forward::context::Context;
@@ -97,6 +97,6 @@
     Ok(Prepared { stages, last: plan.last, plan: plan.expected })
 }
 
-async fn run(desks: &Desks, desk: Option<DeskName>, job: Job) -> Result<Results, Undone> {
+async fn run(desks: &Desks, desk: Option<SchedulerName>, job: Job) -> Result<Results, Undone> {
     desks.run(&desk.ok_or(Undone::Failed)?, job).await
 }
--- a/hawthornkeel/src/forward/relay.rs
+++ b/hawthornkeel/src/forward/relay.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use bytes::BytesMut;
 use hawthornkeel_core::names::TargetName;
-use hawthornkeel_core::place::board::Chosen;
-use hawthornkeel_core::place::health::Ended;
+use hawthornkeel_core::placement::balancer::ChosenTarget;
+use hawthornkeel_core::placement::health::TargetOutcome;
 use hawthornkeel_core::table::route::RouteKind;
 use hawthornkeel_platform::fields;
 
@@ -76,17 +76,17 @@
 
 impl Relay {
     /// Relays a stream to its end.
-    pub async fn run(mut self, first: Answer, target: Chosen, sender: Sender) {
+    pub async fn run(mut self, first: Answer, target: ChosenTarget, sender: Sender) {
         let mut events = Events::default();
         let (mut answer, mut target) = (first, target);
         loop {
             let cut = self.pump(&mut answer, &mut events, &sender).await;
             let ended = match &cut {
-                Cut::Whole => Ended::Well,
-                Cut::Left | Cut::Late => Ended::GivenUp,
-                Cut::Broken(_) => Ended::Badly,
+                Cut::Whole => TargetOutcome::Succeeded,
+                Cut::Left | Cut::Late => TargetOutcome::Abandoned,
+                Cut::Broken(_) => TargetOutcome::Failed,
             };
-            self.context.board.borrow_mut().ended(boot_now(), &target.name, ended);
+            self.context.board.borrow_mut().record_outcome(boot_now(), &target.name, ended);
             match cut {
                 Cut::Whole => {
                     answer.finish();
@@ -142,7 +142,11 @@
     }
 
     /// Has another target go on after the event `last`.
-    async fn resume(&mut self, from: &TargetName, last: Option<&str>) -> Option<(Answer, Chosen)> {
+    async fn resume(
+        &mut self,
+        from: &TargetName,
+        last: Option<&str>,
+    ) -> Option<(Answer, ChosenTarget)> {
         if !self.resumes() {
             return None;
         }
@@ -152,7 +156,7 @@
         self.course.runs += 1;
         let last = last.or_else(|| self.ticket.head.header(fields::LAST_EVENT)).map(str::to_owned);
         loop {
-            let attempts = self.ticket.route.attempts;
+            let attempts = self.ticket.route.max_attempts;
             let allowed = self.course.runs < attempts && self.ticket.left() > SILENCE;
             if !allowed || !self.context.may_repeat(&self.ticket.pool.name) {
                 return None;
@@ -169,14 +173,14 @@
                     tracing::info!(event = "stream-resumed", request = %self.ticket.id, target = %target.name, last);
                     return Some((answer, target));
                 }
-                Ok(_) => Ended::Refused,
-                Err(failure) if failure.is_not_run() => Ended::Unreached,
+                Ok(_) => TargetOutcome::Refused,
+                Err(failure) if failure.is_not_run() => TargetOutcome::Unreached,
                 Err(_) => {
                     self.course.runs += 1;
-                    Ended::Badly
+                    TargetOutcome::Failed
                 }
             };
-            self.context.board.borrow_mut().ended(boot_now(), &target.name, ended);
+            self.context.board.borrow_mut().record_outcome(boot_now(), &target.name, ended);
             self.course.tried.push(target.name);
         }
     }
--- a/hawthornkeel/src/forward/request.rs
+++ b/hawthornkeel/src/forward/request.rs
@@ -8,11 +8,11 @@
 use bytes::Bytes;
 use bytes::BytesMut;
 use hawthornkeel_core::names::WorkspaceName;
-use hawthornkeel_core::place::board::Chosen;
-use hawthornkeel_core::stages::admission::fresh_for;
+use hawthornkeel_core::placement::balancer::ChosenTarget;
+use hawthornkeel_core::stages::admission::first_attempt_slack;
 use hawthornkeel_core::stages::job::Handle;
 use hawthornkeel_core::table::RouteTable;
-use hawthornkeel_core::table::gate::Pass;
+use hawthornkeel_core::table::access::Admitted;
 use hawthornkeel_core::table::pool::Pool;
 use hawthornkeel_core::table::route::Route;
 use hawthornkeel_platform::fields;
@@ -69,16 +69,16 @@
 
 impl Ticket {
     /// Reads a request that has passed; `None` where its route leads to no pool.
-    pub fn new(request: Request, pass: Pass, table: Rc<RouteTable>) -> Option<Self> {
+    pub fn new(request: Request, pass: Admitted, table: Rc<RouteTable>) -> Option<Self> {
         let started = Instant::now();
         let head = request.head;
         let id: Arc<str> = Arc::from(head.header(fields::REQUEST_ID).unwrap_or_default());
         let hash = xxhash_rust::xxh3::xxh3_64(id.as_bytes());
-        let pool = pass.route.pool(hash).and_then(|p| table.pools.get(p)).cloned()?;
+        let pool = pass.route.pick_pool(hash).and_then(|p| table.pools.get(p)).cloned()?;
         let asked = head.header(fields::DEADLINE).and_then(|d| d.trim().parse::<f64>().ok());
         let asked = asked.and_then(|d| Duration::try_from_secs_f64(d / 1_000.0).ok());
         let timeout = pass.route.timeout;
-        let fresh = fresh_for(timeout, asked.unwrap_or(timeout));
+        let fresh = first_attempt_slack(timeout, asked.unwrap_or(timeout));
         let end = started + asked.unwrap_or(timeout).min(timeout);
         let due = end.min(started + pass.route.objective);
         let session = session(&head).unwrap_or(hash);
@@ -89,7 +89,7 @@
             pool,
             table,
             workspace: pass.workspace,
-            rank: pass.rank,
+            rank: pass.priority,
             session,
             started,
             due,
@@ -110,7 +110,12 @@
     }
 
     /// Encodes the request for `target`; a stream goes on after the event `last`, if there is one.
-    pub fn outgoing(&self, target: &Chosen, results: &[Handle], last: Option<&str>) -> Outgoing {
+    pub fn outgoing(
+        &self,
+        target: &ChosenTarget,
+        results: &[Handle],
+        last: Option<&str>,
+    ) -> Outgoing {
         let Head { method, path, query, headers } = &self.head;
         let mut out = BytesMut::with_capacity(1_024 + self.body.len());
         put(&mut out, &[method.as_str(), " ", path]);
@@ -144,14 +149,14 @@
             data: out.freeze(),
             id: (!self.id.is_empty()).then(|| Bytes::copy_from_slice(self.id.as_bytes())),
             bodiless: method == Method::HEAD,
-            repeatable: self.route.kind.may_repeat(),
+            repeatable: self.route.kind.is_retryable(),
         }
     }
 
     /// Tells whether a field of the caller's goes on to a target.
     fn goes_on(&self, name: &HeaderName, last: Option<&str>) -> bool {
         if name == AUTHORIZATION {
-            return !self.table.keyed;
+            return !self.table.requires_key;
         }
         let replaced = last.is_some() && name == fields::LAST_EVENT;
         !replaced
--- a/hawthornkeel/src/forward/survey.rs
+++ b/hawthornkeel/src/forward/survey.rs
@@ -11,8 +11,8 @@
 use std::time::Instant;
 
 use hawthornkeel_config::settings::Settings;
-use hawthornkeel_core::fleet::Listing;
-use hawthornkeel_core::fleet::Present;
+use hawthornkeel_core::fleet::ServingEntry;
+use hawthornkeel_core::fleet::TargetList;
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_platform::listing;
@@ -61,7 +61,7 @@
     exchanges: Exchanges,
     list: SocketAddr,
     poll: Duration,
-    listing: RefCell<Listing>,
+    listing: RefCell<TargetList>,
     listed: Cell<Option<Instant>>,
     entries: RefCell<IndexMap<InstanceName, Seen>>,
     changed: Signal,
@@ -207,7 +207,7 @@
         let entries = self.inner.entries.borrow();
         // What was here before this instance can't be told from what is new.
         let young = self.inner.started.elapsed() < SETTLED * 2;
-        let present = |(name, seen): (&InstanceName, &Seen)| Present {
+        let present = |(name, seen): (&InstanceName, &Seen)| ServingEntry {
             name: name.clone(),
             centre: seen.centre.clone(),
             settled: young || seen.first.elapsed() > SETTLED,
@@ -306,7 +306,7 @@
         tracing::warn!(event = "list-unread", cause, age_ms = age);
     }
 
-    fn set_listing(&self, listing: Listing) {
+    fn set_listing(&self, listing: TargetList) {
         let known = self.inner.listed.get().is_some();
         if known && self.inner.listing.borrow().mark == listing.mark {
             // Only times have changed.
@@ -323,7 +323,7 @@
 }
 
 /// Returns entries in the one order that all control instances give them in.
-fn sorted(mut entries: Vec<Present>) -> Vec<Present> {
+fn sorted(mut entries: Vec<ServingEntry>) -> Vec<ServingEntry> {
     entries.sort();
     entries
 }
--- a/hawthornkeel/src/forward/verdict.rs
+++ b/hawthornkeel/src/forward/verdict.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hawthornkeel_core::place::board::Chosen;
-use hawthornkeel_core::place::health::Ended;
+use hawthornkeel_core::placement::balancer::ChosenTarget;
+use hawthornkeel_core::placement::health::TargetOutcome;
 use hawthornkeel_core::request::refusal::Ran;
 use hawthornkeel_platform::fields;
 use http::HeaderMap;
@@ -28,7 +28,7 @@
 /// What came of forwarding a request.
 pub(super) enum Forwarded {
     /// An answer of a target, for the caller.
-    Answer(Box<Answer>, Chosen),
+    Answer(Box<Answer>, ChosenTarget),
     /// Results that it needs are gone; it did not run.
     ResultsGone,
     /// No target is left for it.
@@ -65,20 +65,20 @@
 }
 
 /// Judges the head of an answer, with how the call ended at the target unless its body decides.
-pub(super) fn judge_answer(answer: Answer) -> (Tried, Option<Ended>) {
+pub(super) fn judge_answer(answer: Answer) -> (Tried, Option<TargetOutcome>) {
     let status = answer.status;
     let not_run = answer.headers.contains_key(fields::NOT_RUN);
     match status {
-        StatusCode::MISDIRECTED_REQUEST => (Tried::NotRun, Some(Ended::Unreached)),
-        StatusCode::CONFLICT if not_run => (Tried::ResultsGone, Some(Ended::GivenUp)),
-        _ if not_run => (Tried::NotRun, Some(Ended::Refused)),
+        StatusCode::MISDIRECTED_REQUEST => (Tried::NotRun, Some(TargetOutcome::Unreached)),
+        StatusCode::CONFLICT if not_run => (Tried::ResultsGone, Some(TargetOutcome::Abandoned)),
+        _ if not_run => (Tried::NotRun, Some(TargetOutcome::Refused)),
         _ if status.is_server_error() => (Tried::Failed(Box::new(answer)), None),
         _ => (Tried::Answered(Box::new(answer)), None),
     }
 }
 
 /// Returns how a request ends that no target is left for.
-pub(super) fn ended(ran: Ran, failed: Option<(Box<Answer>, Chosen)>) -> Forwarded {
+pub(super) fn ended(ran: Ran, failed: Option<(Box<Answer>, ChosenTarget)>) -> Forwarded {
     if let Some((answer, target)) = failed {
         return Forwarded::Answer(answer, target);
     }
--- a/hawthornkeel/src/peer/frame.rs
+++ b/hawthornkeel/src/peer/frame.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use hawthornkeel_core::fleet::Listing;
-use hawthornkeel_core::fleet::Present;
+use hawthornkeel_core::fleet::ServingEntry;
+use hawthornkeel_core::fleet::TargetList;
 use hawthornkeel_core::ids::LogIndex;
 use hawthornkeel_core::ids::Term;
 use hawthornkeel_core::ids::Version;
@@ -11,13 +11,13 @@
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::replica::Members;
 use hawthornkeel_core::replica::Message;
-use hawthornkeel_core::stages::job::Booked;
-use hawthornkeel_core::stages::job::Booking;
-use hawthornkeel_core::stages::job::DeskName;
 use hawthornkeel_core::stages::job::Handle;
 use hawthornkeel_core::stages::job::Job;
 use hawthornkeel_core::stages::job::JobId;
 use hawthornkeel_core::stages::job::JobOutcome;
+use hawthornkeel_core::stages::job::Reservation;
+use hawthornkeel_core::stages::job::ReservationEstimate;
+use hawthornkeel_core::stages::job::SchedulerName;
 use hawthornkeel_core::state::command::CentreOrder;
 use hawthornkeel_core::state::command::Command;
 use hawthornkeel_core::state::command::Outcome;
@@ -72,7 +72,7 @@
     /// Call: make room for stages of a request that are to come.
     Book(Book),
     /// Answers [`Frame::Book`], for each booking in order; `None` where no target does the work.
-    Booked(Vec<Option<Booked>>),
+    Booked(Vec<Option<ReservationEstimate>>),
     /// Call: whether the instance answers.
     Ping,
     /// Answers [`Frame::Ping`].
@@ -231,13 +231,13 @@
     /// Published state, where it is newer than the caller's, and its age.
     pub followed: Followed,
     /// List of targets, where it differs from the caller's.
-    pub listing: Option<Listing>,
+    pub listing: Option<TargetList>,
     /// Time since the list was read from the platform, in milliseconds.
     pub listed_ms: Option<u64>,
     /// Control instances.
     pub controls: Vec<InstanceName>,
     /// Entries that serve callers.
-    pub entries: Vec<Present>,
+    pub entries: Vec<ServingEntry>,
 }
 
 /// What an entry tells of itself.
@@ -253,7 +253,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Offer {
     /// Desk that has it done.
-    pub desk: DeskName,
+    pub desk: SchedulerName,
     /// Work.
     pub job: Job,
     /// Time to hold the call while it is not done, in milliseconds.
@@ -264,16 +264,16 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Book {
     /// Desk that is to have them done.
-    pub desk: DeskName,
+    pub desk: SchedulerName,
     /// Stages.
-    pub bookings: Vec<Booking>,
+    pub bookings: Vec<Reservation>,
 }
 
 /// What another entry need not do or keep any more.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Dismiss {
     /// Desk concerned.
-    pub desk: DeskName,
+    pub desk: SchedulerName,
     /// Jobs that nobody waits for, or whose bookings are not used.
     pub jobs: Vec<JobId>,
     /// Results that nobody needs.
--- a/hawthornkeel_core/src/fleet/mod.rs
+++ b/hawthornkeel_core/src/fleet/mod.rs
@@ -13,7 +13,7 @@
 
 /// One target, as the platform's list tells of it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedTarget {
     /// Identity of this start of the target.
     pub name: TargetName,
     /// Pool that it belongs to.
@@ -32,16 +32,16 @@
 
 /// The platform's list of targets at one moment.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Listing {
+pub struct TargetList {
     /// Targets.
-    pub targets: Arc<[Listed]>,
+    pub targets: Arc<[ListedTarget]>,
     /// Number that differs between lists with different targets.
     pub mark: u64,
 }
 
 /// Entry that serves callers now.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
-pub struct Present {
+pub struct ServingEntry {
     /// Instance.
     pub name: InstanceName,
     /// Data centre.
--- a/hawthornkeel_core/src/lib.rs
+++ b/hawthornkeel_core/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod lease;
 pub mod names;
 pub mod orders;
-pub mod place;
+pub mod placement;
 pub mod replica;
 pub mod request;
 pub mod routing;
--- a/hawthornkeel_core/src/place/board.rs
+++ b/hawthornkeel_core/src/placement/balancer.rs
@@ -12,15 +12,15 @@
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::fleet::Listed;
-use crate::fleet::Listing;
+use crate::fleet::ListedTarget;
+use crate::fleet::TargetList;
 use crate::names::CentreName;
 use crate::names::PoolName;
 use crate::names::TargetName;
-use crate::place::health::Ended;
-use crate::place::health::Health;
-use crate::place::split::Split;
-use crate::table::pool::Cold;
+use crate::placement::health::Health;
+use crate::placement::health::TargetOutcome;
+use crate::placement::partition::Split;
+use crate::table::pool::ColdLimit;
 use crate::time::Instant;
 
 /// Weight of a target in the data centre that is preferred, against others.
@@ -44,7 +44,7 @@
 
 /// What a target is wanted for.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct TargetQuery<'a> {
     /// Pool.
     pub pool: &'a PoolName,
     /// Number that is the same for requests that share a prompt, or drawn for the request.
@@ -54,14 +54,14 @@
     /// Targets that were tried before.
     pub tried: &'a [TargetName],
     /// What the pool's cold targets bear.
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdLimit>,
     /// Entries that serve callers.
     pub entries: usize,
 }
 
 /// Target that was chosen; its request counts as in progress until this is dropped.
 #[derive(Debug)]
-pub struct Chosen {
+pub struct ChosenTarget {
     /// Target.
     pub name: TargetName,
     /// Address.
@@ -103,7 +103,7 @@
 
 /// Targets of all pools as one entry sees them.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct Balancer {
     pub(super) targets: IndexMap<TargetName, Target>,
     out: Vec<CentreName>,
     /// How the targets of each pool are split over desks.
@@ -117,7 +117,7 @@
 /// Target as this entry sees it.
 #[derive(Clone, Debug)]
 pub(super) struct Target {
-    pub(super) listed: Listed,
+    pub(super) listed: ListedTarget,
     health: Health,
     /// When it last answered.
     answered: Instant,
@@ -131,9 +131,9 @@
     filled: Instant,
 }
 
-impl Board {
+impl Balancer {
     /// Takes in the platform's list.
-    pub fn update(&mut self, now: Instant, listing: &Listing) {
+    pub fn update(&mut self, now: Instant, listing: &TargetList) {
         let mut known = std::mem::take(&mut self.targets);
         for listed in listing.targets.iter() {
             let target = known.swap_remove(&listed.name);
@@ -151,7 +151,7 @@
     }
 
     /// Takes in which data centres get no new work; those that come back have cold targets.
-    pub fn set_out(&mut self, now: Instant, out: Vec<CentreName>) {
+    pub fn set_taken_out(&mut self, now: Instant, out: Vec<CentreName>) {
         for target in self.targets.values_mut() {
             let centre = &target.listed.centre;
             if self.out.contains(centre) && !out.contains(centre) {
@@ -175,16 +175,20 @@
     }
 
     /// Returns the data centre of the target that would be chosen.
-    pub fn centre(&mut self, now: Instant, ask: &Ask<'_>) -> Option<CentreName> {
+    pub fn likely_centre(&mut self, now: Instant, ask: &TargetQuery<'_>) -> Option<CentreName> {
         let at = self.best(now, ask).ok()?;
         self.targets.get_index(at).map(|(_, t)| t.listed.centre.clone())
     }
 
-    /// Chooses a target; what came of the call is told by [`Board::ended`].
+    /// Chooses a target; what came of the call is told by [`Balancer::record_outcome`].
     ///
     /// # Errors
     /// Fails with the reason where no target may get the request now.
-    pub fn choose(&mut self, now: Instant, ask: &Ask<'_>) -> Result<Chosen, NoTarget> {
+    pub fn choose(
+        &mut self,
+        now: Instant,
+        ask: &TargetQuery<'_>,
+    ) -> Result<ChosenTarget, NoTarget> {
         let at = self.best(now, ask)?;
         let (name, target) = self.targets.get_index_mut(at).ok_or(NoTarget::Empty)?;
         let open = Open::new(&target.open);
@@ -192,13 +196,13 @@
         if cold {
             target.allowance -= 1.0;
         }
-        let Listed { address, centre, .. } = &target.listed;
+        let ListedTarget { address, centre, .. } = &target.listed;
         let (address, centre) = (*address, centre.clone());
-        Ok(Chosen { name: name.clone(), address, centre, cold, _open: open })
+        Ok(ChosenTarget { name: name.clone(), address, centre, cold, _open: open })
     }
 
     /// Returns the position of the best target.
-    fn best(&mut self, now: Instant, ask: &Ask<'_>) -> Result<usize, NoTarget> {
+    fn best(&mut self, now: Instant, ask: &TargetQuery<'_>) -> Result<usize, NoTarget> {
         let mut best: Option<(f64, usize)> = None;
         let mut reason = NoTarget::Empty;
         for at in 0..self.targets.len() {
@@ -213,19 +217,19 @@
     }
 
     /// Notes how a call at a target ended.
-    pub fn ended(&mut self, now: Instant, name: &TargetName, ended: Ended) {
+    pub fn record_outcome(&mut self, now: Instant, name: &TargetName, ended: TargetOutcome) {
         let Some(target) = self.targets.get_mut(name) else { return };
         match ended {
-            Ended::Unreached => {
+            TargetOutcome::Unreached => {
                 self.unreached.insert(name.clone(), (now, target.listed.centre.clone()));
             }
-            Ended::Well | Ended::Refused => {
+            TargetOutcome::Succeeded | TargetOutcome::Refused => {
                 target.answered = now;
                 self.unreached.swap_remove(name);
             }
-            Ended::Badly | Ended::GivenUp => {}
+            TargetOutcome::Failed | TargetOutcome::Abandoned => {}
         }
-        if ended == Ended::Well && target.health.is_unreached() {
+        if ended == TargetOutcome::Succeeded && target.health.is_unreached() {
             // It was gone and has come back.
             target.fresh = Some(now);
         }
@@ -245,7 +249,7 @@
     }
 
     /// Returns the score of a target: the highest is chosen.
-    fn score(&mut self, now: Instant, at: usize, ask: &Ask<'_>) -> Result<f64, NoTarget> {
+    fn score(&mut self, now: Instant, at: usize, ask: &TargetQuery<'_>) -> Result<f64, NoTarget> {
         let (_, target) = self.targets.get_index(at).ok_or(NoTarget::Empty)?;
         if target.listed.pool != *ask.pool || !self.is_usable(target) {
             return Err(NoTarget::Empty);
@@ -282,7 +286,7 @@
 }
 
 impl Target {
-    fn new(now: Instant, listed: &Listed, fresh: bool) -> Self {
+    fn new(now: Instant, listed: &ListedTarget, fresh: bool) -> Self {
         Self {
             listed: listed.clone(),
             health: Health::default(),
@@ -295,13 +299,13 @@
         }
     }
 
-    fn is_cold(&self, now: Instant, cold: Option<Cold>) -> bool {
+    fn is_cold(&self, now: Instant, cold: Option<ColdLimit>) -> bool {
         let Some(cold) = cold else { return false };
-        self.cold_until > now || self.fresh.is_some_and(|f| now.since(f) < cold.time)
+        self.cold_until > now || self.fresh.is_some_and(|f| now.since(f) < cold.duration)
     }
 
     /// Tells whether this entry's share of what it bears while cold allows one more request.
-    fn may_take_cold(&mut self, now: Instant, ask: &Ask<'_>) -> bool {
+    fn may_take_cold(&mut self, now: Instant, ask: &TargetQuery<'_>) -> bool {
         let Some(cold) = ask.cold else { return true };
         let rate = cold.rate / ask.entries.max(1) as f64;
         let earned = now.since(self.filled).as_secs_f64() * rate;
--- a/hawthornkeel_core/src/place/health.rs
+++ b/hawthornkeel_core/src/placement/health.rs
@@ -15,17 +15,17 @@
 
 /// How a call at a target ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ended {
+pub enum TargetOutcome {
     /// Answered.
-    Well,
+    Succeeded,
     /// Failed, or its answer was lost or is not whole.
-    Badly,
+    Failed,
     /// The target could not be reached: nothing was sent.
     Unreached,
     /// Refused, as the target is full or is leaving.
     Refused,
     /// Given up for a reason that says nothing of the target.
-    GivenUp,
+    Abandoned,
 }
 
 /// What an entry's own calls tell of a target.
@@ -41,17 +41,17 @@
 
 impl Health {
     /// Takes in how a call ended.
-    pub(super) fn note(&mut self, now: Instant, ended: Ended) {
+    pub(super) fn note(&mut self, now: Instant, ended: TargetOutcome) {
         let outcome = match ended {
-            Ended::Well => 0.0,
-            Ended::Badly | Ended::Unreached => 1.0,
-            Ended::Refused => 0.5,
-            Ended::GivenUp => return,
+            TargetOutcome::Succeeded => 0.0,
+            TargetOutcome::Failed | TargetOutcome::Unreached => 1.0,
+            TargetOutcome::Refused => 0.5,
+            TargetOutcome::Abandoned => return,
         };
         let rate = self.rate(now);
         self.rate = rate + (outcome - rate) * NEWEST;
         self.updated = now;
-        if ended == Ended::Unreached {
+        if ended == TargetOutcome::Unreached {
             let pause = FIRST_PAUSE * 2_u32.saturating_pow(self.unreached.min(8));
             self.unreached = self.unreached.saturating_add(1);
             self.paused_until = now + pause.min(MAX_PAUSE);
--- a/hawthornkeel_core/src/place/mod.rs
+++ b/hawthornkeel_core/src/placement/mod.rs
@@ -3,9 +3,9 @@
 //! An entry knows the targets from the platform's list, which lags, and from what came of its own
 //! calls. Sums over all entries, such as what a cold target bears, are kept by equal shares.
 
-pub mod board;
-pub mod repeats;
+pub mod balancer;
+pub mod retries;
 
 pub mod health;
 
-mod split;
+mod partition;
--- a/hawthornkeel_core/src/place/split.rs
+++ b/hawthornkeel_core/src/placement/partition.rs
@@ -9,10 +9,10 @@
 
 use crate::names::CentreName;
 use crate::names::PoolName;
-use crate::place::board::Board;
-use crate::place::board::Target;
-use crate::stages::desk::MakerInfo;
-use crate::stages::job::DeskName;
+use crate::placement::balancer::Balancer;
+use crate::placement::balancer::Target;
+use crate::stages::job::SchedulerName;
+use crate::stages::scheduler::WorkerInfo;
 
 /// Targets of one desk, at least, where a pool has twice as many.
 const DESK_TARGETS: usize = 5;
@@ -68,9 +68,14 @@
     }
 }
 
-impl Board {
+impl Balancer {
     /// Returns the desk that does the work of a pool for a request, in `centre` where it can.
-    pub fn desk(&self, pool: &PoolName, centre: Option<&CentreName>, request: &str) -> DeskName {
+    pub fn scheduler_for(
+        &self,
+        pool: &PoolName,
+        centre: Option<&CentreName>,
+        request: &str,
+    ) -> SchedulerName {
         let hash = xxh3_64(request.as_bytes());
         let split = self.splits.get(pool);
         let centre = split.filter(|s| s.is_by_centre()).and_then(|s| {
@@ -85,13 +90,13 @@
             (_, None) => 0,
         };
         let part = hash % Split::parts(listed) as u64;
-        DeskName { pool: pool.clone(), centre, part: u16::try_from(part).unwrap_or_default() }
+        SchedulerName { pool: pool.clone(), centre, part: u16::try_from(part).unwrap_or_default() }
     }
 
     /// Returns a data centre other than `not` that can do the work of `pools`, if they are split.
     ///
     /// Each has a share of the requests by the targets of the pool that has fewest there.
-    pub fn other_centre(
+    pub fn alternative_centre(
         &self,
         pools: &[&PoolName],
         not: Option<&CentreName>,
@@ -108,7 +113,7 @@
     /// Returns the targets of a desk that do stages now.
     ///
     /// Each part of a pool that is not split by data centre has its share of the targets in each.
-    pub fn makers(&self, desk: &DeskName) -> Vec<MakerInfo> {
+    pub fn workers(&self, desk: &SchedulerName) -> Vec<WorkerInfo> {
         let belongs = |t: &&Target| {
             let centre = desk.centre.as_ref();
             t.listed.pool == desk.pool && centre.is_none_or(|c| t.listed.centre == *c)
@@ -121,8 +126,10 @@
         let parts = Split::parts(targets.len());
         let part = usize::from(desk.part) % parts;
         let own = targets.into_iter().enumerate().filter(|(at, _)| at % parts == part);
-        let info =
-            |t: &Target| MakerInfo { name: t.listed.name.clone(), centre: t.listed.centre.clone() };
+        let info = |t: &Target| WorkerInfo {
+            name: t.listed.name.clone(),
+            centre: t.listed.centre.clone(),
+        };
         own.filter(|(_, t)| self.is_usable(t)).map(|(_, t)| info(t)).collect()
     }
 
--- a/hawthornkeel_core/src/place/repeats.rs
+++ b/hawthornkeel_core/src/placement/retries.rs
@@ -12,7 +12,7 @@
 
 /// Budget of all entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Repeats as a share of the requests.
     pub ratio: f64,
     /// Repeats beyond that share in each window.
@@ -23,19 +23,19 @@
 
 /// Repeats of one pool by one entry.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Repeats {
+pub struct RetryBucket {
     left: f64,
     filled: Option<Instant>,
 }
 
-impl Repeats {
+impl RetryBucket {
     /// Counts a request, which earns a part of a repeat.
-    pub fn count(&mut self, budget: &Budget, entries: usize) {
+    pub fn record_request(&mut self, budget: &RetryBudget, entries: usize) {
         self.left = (self.left + budget.ratio * USED).min(most(budget, entries));
     }
 
     /// Takes one repeat, where there is one.
-    pub fn take(&mut self, now: Instant, budget: &Budget, entries: usize) -> bool {
+    pub fn try_take(&mut self, now: Instant, budget: &RetryBudget, entries: usize) -> bool {
         let most = most(budget, entries);
         let since = self.filled.map(|f| now.since(f).as_secs_f64() / budget.window.as_secs_f64());
         // A process that has just started may follow one that used its part.
@@ -51,11 +51,11 @@
 }
 
 /// Returns an entry's part of the fixed repeats of a window.
-fn part(budget: &Budget, entries: usize) -> f64 {
+fn part(budget: &RetryBudget, entries: usize) -> f64 {
     budget.slack * USED / 2.0 / entries.max(1) as f64
 }
 
 /// Returns the repeats that may be saved up, so that half of a window's are not used at once.
-fn most(budget: &Budget, entries: usize) -> f64 {
+fn most(budget: &RetryBudget, entries: usize) -> f64 {
     part(budget, entries).max(1.0)
 }
--- a/hawthornkeel_core/src/stages/action.rs
+++ b/hawthornkeel_core/src/stages/action.rs
@@ -26,7 +26,7 @@
     /// Results that it needs.
     pub inputs: Arc<[Handle]>,
     /// Time that its result is of use.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// What came of one piece.
@@ -39,7 +39,7 @@
     /// A result that it needs is gone.
     Gone,
     /// The target had no room.
-    NoRoom,
+    OutOfMemory,
     /// The target failed.
     Failed,
 }
@@ -57,7 +57,7 @@
 
 /// Target that may do pieces.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct MakerInfo {
+pub struct WorkerInfo {
     /// Target.
     pub name: TargetName,
     /// Data centre.
@@ -68,11 +68,11 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Targets that may get calls now.
-    Makers(Vec<MakerInfo>),
+    Workers(Vec<WorkerInfo>),
     /// A job, which may be known already.
-    Offer(Job),
+    Submit(Job),
     /// Nobody waits for the job any more, or its booking is given up.
-    Withdraw(JobId),
+    Cancel(JobId),
     /// Results that nobody needs any more.
     Release(Vec<Handle>),
     /// A call was answered.
@@ -91,21 +91,21 @@
         /// Number of the call.
         call: CallNumber,
         /// Target.
-        maker: TargetName,
+        worker: TargetName,
         /// Pieces.
         items: Vec<Item>,
         /// Time after which the call counts as lost.
-        limit: Duration,
+        timeout: Duration,
     },
     /// Tell a target that results are not needed.
     Free {
         /// Target.
-        maker: TargetName,
+        worker: TargetName,
         /// Results.
         results: Vec<Handle>,
     },
     /// Tell the instance that offered the job what came of it.
-    Answer {
+    Reply {
         /// Job.
         job: JobId,
         /// Outcome.
@@ -127,13 +127,13 @@
     /// Calls in progress.
     pub calls: usize,
     /// Targets.
-    pub makers: usize,
+    pub workers: usize,
     /// Targets that count for the capacity.
-    pub counted: usize,
+    pub available: usize,
     /// Targets that may be called.
     pub free: usize,
     /// Bytes of results that targets hold.
-    pub held: u64,
+    pub held_bytes: u64,
 }
 
 impl PieceOutcome {
@@ -141,7 +141,7 @@
     pub(super) fn into_result(self) -> Option<Handle> {
         match self {
             Self::Done(handle) => Some(handle),
-            Self::Late | Self::Gone | Self::NoRoom | Self::Failed => None,
+            Self::Late | Self::Gone | Self::OutOfMemory | Self::Failed => None,
         }
     }
 }
--- a/hawthornkeel_core/src/stages/admission.rs
+++ b/hawthornkeel_core/src/stages/admission.rs
@@ -8,10 +8,10 @@
 
 use indexmap::IndexMap;
 
-use crate::stages::job::Booked;
+use crate::stages::job::ReservationEstimate;
 
 /// Rank from which on work is late already, and goes behind all work that is not.
-pub const LATE_RANK: u16 = 1_024;
+pub const LATE_PRIORITY: u16 = 1_024;
 /// Part of the objective by which a request must be expected to be early to be begun.
 const MARGIN: f64 = 0.1;
 /// Time for the messages about one stage.
@@ -33,27 +33,27 @@
 
 /// Whether a request can still meet its objective.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Pace {
+pub enum Timeliness {
     /// It can.
-    Prompt,
+    OnTime,
     /// It can't: its work goes behind all else.
     Late,
 }
 
-impl Pace {
+impl Timeliness {
     /// Returns its name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Prompt => "prompt",
+            Self::OnTime => "prompt",
             Self::Late => "late",
         }
     }
 
     /// Returns the rank of a request's work.
-    pub fn rank(self, rank: u16) -> u16 {
+    pub fn priority(self, rank: u16) -> u16 {
         match self {
-            Self::Prompt => rank,
-            Self::Late => LATE_RANK.saturating_add(rank),
+            Self::OnTime => rank,
+            Self::Late => LATE_PRIORITY.saturating_add(rank),
         }
     }
 }
@@ -61,19 +61,19 @@
 /// Returns the time after which a caller that has `left` is known to have been here before.
 ///
 /// Zero where it is known now, by less time than callers have on their first try.
-pub fn fresh_for(timeout: Duration, left: Duration) -> Duration {
+pub fn first_attempt_slack(timeout: Duration, left: Duration) -> Duration {
     left.saturating_sub(timeout.mul_f64(FIRST_PART))
 }
 
 /// Stage of a request, as far as its time matters.
 #[derive(Clone, Debug)]
-pub struct Step {
+pub struct StageTiming {
     /// Position of the stage.
-    pub at: u16,
+    pub stage: u16,
     /// Stages whose results it needs.
     pub after: Vec<u16>,
     /// Time that it takes, about, where no desk tells.
-    pub usual: Duration,
+    pub expected: Duration,
 }
 
 /// Times of a request, counted from now.
@@ -104,49 +104,53 @@
     /// `rest` is the time that it takes after them, up to when its answer begins.
     /// A stage without a booking counts with its usual time, as another desk takes over. One that
     /// no target does now never ends.
-    pub fn new(steps: &[Step], booked: &IndexMap<u16, Option<Booked>>, rest: Duration) -> Self {
+    pub fn new(
+        steps: &[StageTiming],
+        booked: &IndexMap<u16, Option<ReservationEstimate>>,
+        rest: Duration,
+    ) -> Self {
         let mut done: IndexMap<u16, Duration> = IndexMap::new();
         let mut harm = Duration::ZERO;
         for step in steps {
             let before = step.after.iter().filter_map(|a| done.get(a).copied());
             let begin = before.max();
-            let end = match booked.get(&step.at) {
+            let end = match booked.get(&step.stage) {
                 Some(Some(booked)) => {
                     harm = harm.max(Duration::from_millis(booked.harm_ms));
-                    let turn = Duration::from_millis(booked.turn_ms);
+                    let turn = Duration::from_millis(booked.slot_wait_ms);
                     let ready = begin.map_or(Duration::ZERO, |b| b.saturating_add(turn));
                     let begin = ready.max(Duration::from_millis(booked.drain_ms));
-                    begin.saturating_add(MESSAGES + Duration::from_millis(booked.own_ms))
+                    begin.saturating_add(MESSAGES + Duration::from_millis(booked.run_ms))
                 }
                 Some(None) => Duration::MAX,
-                None => begin.unwrap_or_default().saturating_add(step.usual),
+                None => begin.unwrap_or_default().saturating_add(step.expected),
             };
-            done.insert(step.at, end);
+            done.insert(step.stage, end);
         }
         let end = done.values().copied().max().unwrap_or_default();
         Self { end: end.saturating_add(rest), harm }
     }
 
     /// Tells whether a request may be begun at a pace.
-    pub fn allows(&self, pace: Pace, times: &Times) -> bool {
+    pub fn allows(&self, pace: Timeliness, times: &Times) -> bool {
         self.delay(pace, times).is_zero()
     }
 
     /// Returns the time after which a request that is turned away may come back.
-    pub fn retry(&self, pace: Pace, times: &Times) -> Duration {
+    pub fn retry_after(&self, pace: Timeliness, times: &Times) -> Duration {
         let delay = self.delay(pace, times).max(times.fresh);
         delay.clamp(MIN_RETRY, MAX_RETRY)
     }
 
     /// Returns the time by which a request comes too early to be begun.
-    fn delay(&self, pace: Pace, times: &Times) -> Duration {
+    fn delay(&self, pace: Timeliness, times: &Times) -> Duration {
         match pace {
-            Pace::Prompt => {
+            Timeliness::OnTime => {
                 let limit = times.due.saturating_sub(times.objective.mul_f64(MARGIN));
                 let harm = if self.harm > HARM { self.harm } else { Duration::ZERO };
                 self.end.saturating_sub(limit).max(harm)
             }
-            Pace::Late => {
+            Timeliness::Late => {
                 let limit = times.left.mul_f64(LATE_PART);
                 let limit = limit.min(times.objective.mul_f64(LATE_OBJECTIVES));
                 self.end.saturating_sub(limit)
--- a/hawthornkeel_core/src/stages/dispatch.rs
+++ b/hawthornkeel_core/src/stages/dispatch.rs
@@ -4,15 +4,15 @@
 
 use crate::names::CentreName;
 use crate::names::TargetName;
-use crate::stages::desk::Action;
-use crate::stages::desk::Call;
-use crate::stages::desk::CallNumber;
-use crate::stages::desk::Desk;
-use crate::stages::desk::Entry;
-use crate::stages::desk::Item;
 use crate::stages::estimate::call_time;
 use crate::stages::job::JobId;
-use crate::stages::maker::Maker;
+use crate::stages::scheduler::Action;
+use crate::stages::scheduler::Call;
+use crate::stages::scheduler::CallNumber;
+use crate::stages::scheduler::Entry;
+use crate::stages::scheduler::Item;
+use crate::stages::scheduler::Scheduler;
+use crate::stages::worker::Worker;
 
 /// Part of a target's room that is used, as sizes are known about and freeing takes time.
 const ROOM_PART: f64 = 0.85;
@@ -23,26 +23,26 @@
 /// Time added to that, for networks.
 const LOST_SLACK: Duration = Duration::from_millis(500);
 
-impl Desk {
+impl Scheduler {
     /// Gives free targets calls, as long as pieces wait that they may do.
     ///
     /// One pass over what waits, as this runs with every input.
     pub(super) fn dispatch(&mut self) {
-        if !self.makers.values().any(|m| m.is_free(self.now)) {
+        if !self.workers.values().any(|m| m.is_free(self.now)) {
             return;
         }
         let order = self.order();
         for (place, at) in order.iter().enumerate() {
             let waits = |e: &Entry| e.is_waiting();
             while self.jobs.get_index(*at).is_some_and(|(_, e)| waits(e)) {
-                let Some(maker) = self.choose(*at) else { break };
-                let items = self.fill(order.get(place..).unwrap_or_default(), &maker);
+                let Some(worker) = self.choose(*at) else { break };
+                let items = self.fill(order.get(place..).unwrap_or_default(), &worker);
                 if items.is_empty() {
                     break;
                 }
-                self.start(maker, items);
+                self.start(worker, items);
             }
-            if !self.makers.values().any(|m| m.is_free(self.now)) {
+            if !self.workers.values().any(|m| m.is_free(self.now)) {
                 return;
             }
         }
@@ -60,11 +60,11 @@
     fn choose(&self, at: usize) -> Option<TargetName> {
         let (_, entry) = self.jobs.get_index(at)?;
         let busy = self.is_busy();
-        let usable = |m: &Maker| (busy || !m.is_slow(self.now)) && self.has_room(m, entry);
-        let free = self.makers.iter().filter(|(_, m)| m.is_free(self.now) && usable(m));
-        let near = |m: &Maker| is_near(entry, &m.centre);
+        let usable = |m: &Worker| (busy || !m.is_slow(self.now)) && self.has_room(m, entry);
+        let free = self.workers.iter().filter(|(_, m)| m.is_free(self.now) && usable(m));
+        let near = |m: &Worker| is_near(entry, &m.centre);
         let waits = entry.far_at().is_some_and(|at| at > self.now)
-            && self.makers.values().any(|m| near(m) && m.counts(self.now));
+            && self.workers.values().any(|m| near(m) && m.counts(self.now));
         let allowed = free.filter(|(_, m)| near(m) || !waits);
         let best = allowed.min_by(|(_, a), (_, b)| {
             let far = (!near(a)).cmp(&!near(b));
@@ -78,16 +78,16 @@
     ///
     /// A slow target is of use only then: its call takes longer than a wait for another.
     fn is_busy(&self) -> bool {
-        let sound = self.makers.values().filter(|m| m.is_sound(self.now)).count();
+        let sound = self.workers.values().filter(|m| m.is_sound(self.now)).count();
         let waiting: u32 = self.jobs.values().map(Entry::waiting).sum();
-        waiting as usize > sound * self.pool.batch
+        waiting as usize > sound * self.pool.batch_size
     }
 
     /// Tells whether a target has room for the results of a job, whole unless they are small.
-    fn has_room(&self, maker: &Maker, entry: &Entry) -> bool {
+    fn has_room(&self, worker: &Worker, entry: &Entry) -> bool {
         let pieces = if self.is_splittable(entry) { 1 } else { entry.waiting() };
-        let pieces = u64::from(pieces).min(self.pool.batch as u64);
-        maker.held == 0 || maker.held + entry.job.bytes * pieces <= self.room()
+        let pieces = u64::from(pieces).min(self.pool.batch_size as u64);
+        worker.held == 0 || worker.held + entry.job.bytes * pieces <= self.room()
     }
 
     /// Tells whether a job's results are so small that some may wait for the others.
@@ -99,21 +99,21 @@
 
     /// Returns the bytes of results that one target may hold.
     fn room(&self) -> u64 {
-        (self.pool.room as f64 * ROOM_PART) as u64
+        (self.pool.memory as f64 * ROOM_PART) as u64
     }
 
-    /// Returns the pieces of a call to `maker`, from the first of `order` on.
+    /// Returns the pieces of a call to `worker`, from the first of `order` on.
     ///
     /// Others than the first are left out where they wait for a target elsewhere.
-    fn fill(&mut self, order: &[usize], maker: &TargetName) -> Vec<(JobId, u32)> {
+    fn fill(&mut self, order: &[usize], worker: &TargetName) -> Vec<(JobId, u32)> {
         let (room, now) = (self.room(), self.now);
-        let Some(maker) = self.makers.get(maker) else { return Vec::new() };
-        let (held, centre) = (maker.held, maker.centre.clone());
+        let Some(worker) = self.workers.get(worker) else { return Vec::new() };
+        let (held, centre) = (worker.held, worker.centre.clone());
         // A target that has failed gets one job, to see whether it is back.
-        let order = if maker.has_failed() { order.get(..1).unwrap_or_default() } else { order };
+        let order = if worker.has_failed() { order.get(..1).unwrap_or_default() } else { order };
         let (mut items, mut bytes) = (Vec::new(), held);
         for (place, at) in order.iter().enumerate() {
-            if items.len() >= self.pool.batch {
+            if items.len() >= self.pool.batch_size {
                 break;
             }
             let Some((id, entry)) = self.jobs.get_index_mut(*at) else { continue };
@@ -123,15 +123,15 @@
             }
             let size = entry.job.bytes;
             let waiting = entry.waiting() as usize;
-            let whole =
-                items.len() + waiting <= self.pool.batch && bytes + size * waiting as u64 <= room;
+            let whole = items.len() + waiting <= self.pool.batch_size
+                && bytes + size * waiting as u64 <= room;
             let splittable = size * u64::from(entry.job.pieces) < room / SMALL_PART;
             if place > 0 && !whole && !splittable {
                 continue;
             }
             for (piece, state) in entry.pieces.iter_mut().enumerate().filter(|(_, s)| s.waits) {
                 let fits = items.is_empty() && held == 0 || bytes + size <= room;
-                if items.len() >= self.pool.batch || !fits {
+                if items.len() >= self.pool.batch_size || !fits {
                     break;
                 }
                 bytes += size;
@@ -143,7 +143,7 @@
         items
     }
 
-    fn start(&mut self, maker: TargetName, items: Vec<(JobId, u32)>) {
+    fn start(&mut self, worker: TargetName, items: Vec<(JobId, u32)>) {
         let number = CallNumber(self.next);
         self.next += 1;
         let (now, expected) = (self.now, call_time(&self.usual(), items.len()));
@@ -153,20 +153,20 @@
             piece,
             key: entry.job.key.clone(),
             inputs: entry.job.inputs.clone(),
-            left: entry.end.since(now),
+            remaining: entry.end.since(now),
         };
         let bytes = entries.clone().map(|(e, _)| e.job.bytes).sum();
         let wire: Vec<Item> = entries.map(item).collect();
-        if let Some(maker) = self.makers.get_mut(&maker) {
-            maker.call = Some(number);
-            maker.busy_until = now + expected.mul_f64(maker.speed.clamp(0.5, 4.0));
-            maker.held += bytes;
+        if let Some(worker) = self.workers.get_mut(&worker) {
+            worker.call = Some(number);
+            worker.busy_until = now + expected.mul_f64(worker.speed.clamp(0.5, 4.0));
+            worker.held += bytes;
         }
         let call =
-            Call { maker: maker.clone(), items, bytes, started: now, expected, overdue: false };
+            Call { worker: worker.clone(), items, bytes, started: now, expected, overdue: false };
         self.calls.insert(number, call);
-        let limit = expected * LOST + LOST_SLACK;
-        self.actions.push(Action::Run { call: number, maker, items: wire, limit });
+        let timeout = expected * LOST + LOST_SLACK;
+        self.actions.push(Action::Run { call: number, worker, items: wire, timeout });
     }
 }
 
--- a/hawthornkeel_core/src/stages/estimate.rs
+++ b/hawthornkeel_core/src/stages/estimate.rs
@@ -3,9 +3,9 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-use crate::stages::admission::LATE_RANK;
-use crate::table::gate::ROUTE_RANKS;
-use crate::table::pool::Pieces;
+use crate::stages::admission::LATE_PRIORITY;
+use crate::table::access::ROUTE_PRIORITIES;
+use crate::table::pool::StageWorkload;
 use crate::time::Instant;
 
 /// Lateness of work that was taken already up to which more is taken.
@@ -53,7 +53,7 @@
 
 /// Returns the place of work in the order: by its due, with a start for higher ranks.
 pub(super) fn place(due: Instant, priority: u16) -> Instant {
-    let (late, rank) = match priority.checked_sub(LATE_RANK) {
+    let (late, rank) = match priority.checked_sub(LATE_PRIORITY) {
         Some(rank) => (LATE_STEP, rank),
         None => (Duration::ZERO, priority),
     };
@@ -81,7 +81,7 @@
 
     /// Returns the pieces a second that go before work of a rank, whenever they come.
     fn above(&self, now: Instant, rank: u16) -> f64 {
-        let above = if rank >= LATE_RANK { self.rates.len() } else { usize::from(level(rank)) };
+        let above = if rank >= LATE_PRIORITY { self.rates.len() } else { usize::from(level(rank)) };
         self.rates.iter().take(above).sum::<f64>() * self.decay(now)
     }
 
@@ -92,8 +92,8 @@
 
 /// Returns the level of a rank: that of its workspace first, then that of its route.
 fn level(rank: u16) -> u16 {
-    let workspace = (rank / ROUTE_RANKS).min(WORKSPACE_LEVELS - 1);
-    workspace * ROUTE_LEVELS + (rank % ROUTE_RANKS).min(ROUTE_LEVELS - 1)
+    let workspace = (rank / ROUTE_PRIORITIES).min(WORKSPACE_LEVELS - 1);
+    workspace * ROUTE_LEVELS + (rank % ROUTE_PRIORITIES).min(ROUTE_LEVELS - 1)
 }
 
 /// Time that a piece takes, as calls tell: stages differ, and inputs are fetched within it.
@@ -111,20 +111,20 @@
 
 impl PieceTime {
     /// Notes a call of `pieces` that took as long as its target usually takes.
-    pub(super) fn note(&mut self, pool: &Pieces, pieces: usize, took: Duration) {
-        let said = pool.item.as_secs_f64() * pieces as f64;
-        let measured = took.saturating_sub(pool.overhead).as_secs_f64();
+    pub(super) fn note(&mut self, pool: &StageWorkload, pieces: usize, took: Duration) {
+        let said = pool.piece_time.as_secs_f64() * pieces as f64;
+        let measured = took.saturating_sub(pool.call_overhead).as_secs_f64();
         if said > 0.0 {
             let scale = (measured / said).clamp(*SCALE.start(), *SCALE.end());
             // A call of few pieces tells little.
-            let share = NEWEST * (2.0 * pieces as f64 / pool.batch.max(1) as f64).min(1.0);
+            let share = NEWEST * (2.0 * pieces as f64 / pool.batch_size.max(1) as f64).min(1.0);
             self.scale += (scale - self.scale) * share;
         }
     }
 
     /// Returns a pool with the measured time.
-    pub(super) fn measured(&self, pool: &Pieces) -> Pieces {
-        Pieces { item: pool.item.mul_f64(self.scale), ..*pool }
+    pub(super) fn measured(&self, pool: &StageWorkload) -> StageWorkload {
+        StageWorkload { piece_time: pool.piece_time.mul_f64(self.scale), ..*pool }
     }
 }
 
@@ -134,7 +134,7 @@
     /// Present point.
     pub(super) now: Instant,
     /// Targets that take calls, each weighted by its speed.
-    pub(super) makers: f64,
+    pub(super) workers: f64,
     /// Time until the first of them is free.
     pub(super) until_free: Duration,
     /// Time until a target is free for work that comes later, about.
@@ -162,11 +162,11 @@
     /// Returns `None` where no target takes calls.
     pub(super) fn estimate(
         &self,
-        pool: &Pieces,
+        pool: &StageWorkload,
         queued: &[Queued],
         new: &Queued,
     ) -> Option<Estimate> {
-        if self.makers <= 0.0 {
+        if self.workers <= 0.0 {
             return None;
         }
         let first = queued.partition_point(|q| q.place <= new.place);
@@ -179,13 +179,14 @@
     }
 
     /// Returns the part of the capacity that is left for work of a rank.
-    fn leftover(&self, pool: &Pieces, rank: u16) -> f64 {
-        let most = pool.batch as f64 / call_time(pool, pool.batch).as_secs_f64() * self.makers;
+    fn leftover(&self, pool: &StageWorkload, rank: u16) -> f64 {
+        let most =
+            pool.batch_size as f64 / call_time(pool, pool.batch_size).as_secs_f64() * self.workers;
         (1.0 - self.flow.above(self.now, rank) / most).clamp(MIN_LEFTOVER, 1.0)
     }
 
     /// Returns the time by which work in `after` of the same or a higher rank would be late.
-    fn harm(&self, pool: &Pieces, after: &[Queued], ahead: u32, new: &Queued) -> Duration {
+    fn harm(&self, pool: &StageWorkload, after: &[Queued], ahead: u32, new: &Queued) -> Duration {
         let mut before = ahead;
         let mut harm = Duration::ZERO;
         for queued in after {
@@ -204,20 +205,20 @@
     }
 
     /// Returns the time until `pieces` are done, in full calls.
-    fn drain(&self, pool: &Pieces, pieces: u32) -> Duration {
-        let each = call_time(pool, pool.batch).as_secs_f64() / pool.batch.max(1) as f64;
-        let time = f64::from(pieces) * each / self.makers;
+    fn drain(&self, pool: &StageWorkload, pieces: u32) -> Duration {
+        let each = call_time(pool, pool.batch_size).as_secs_f64() / pool.batch_size.max(1) as f64;
+        let time = f64::from(pieces) * each / self.workers;
         self.until_free + Duration::try_from_secs_f64(time).unwrap_or(Duration::MAX / 4)
     }
 }
 
 /// Returns the time of the call that does `pieces`, with some of the `ahead` that go along.
-fn own_time(pool: &Pieces, ahead: u32, pieces: u32) -> Duration {
-    let along = (ahead as usize).saturating_add(pieces as usize).min(pool.batch);
+fn own_time(pool: &StageWorkload, ahead: u32, pieces: u32) -> Duration {
+    let along = (ahead as usize).saturating_add(pieces as usize).min(pool.batch_size);
     call_time(pool, along.max(1))
 }
 
 /// Returns the time that a call of `pieces` takes at a maker of usual speed.
-pub(super) fn call_time(pool: &Pieces, pieces: usize) -> Duration {
-    pool.overhead + pool.item * u32::try_from(pieces).unwrap_or(u32::MAX)
+pub(super) fn call_time(pool: &StageWorkload, pieces: usize) -> Duration {
+    pool.call_overhead + pool.piece_time * u32::try_from(pieces).unwrap_or(u32::MAX)
 }
--- a/hawthornkeel_core/src/stages/job.rs
+++ b/hawthornkeel_core/src/stages/job.rs
@@ -11,7 +11,7 @@
 
 /// Desk of a pool, or of a part of its targets where there are many.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
-pub struct DeskName {
+pub struct SchedulerName {
     /// Pool.
     pub pool: PoolName,
     /// Data centre of its targets, where each has desks of its own.
@@ -20,7 +20,7 @@
     pub part: u16,
 }
 
-impl fmt::Display for DeskName {
+impl fmt::Display for SchedulerName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.centre {
             Some(centre) => write!(f, "{}/{centre}/{}", self.pool, self.part),
@@ -44,7 +44,7 @@
 ///
 /// Times are counted from when it is handed over, as instances don't share a clock.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Booking {
+pub struct Reservation {
     /// Job that it is for.
     pub id: JobId,
     /// Number of pieces.
@@ -57,15 +57,17 @@
 
 /// What a booking comes to.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Booked {
+pub struct ReservationEstimate {
     /// Time until the work that goes first is done, in milliseconds.
     pub drain_ms: u64,
     /// Time that the work itself takes after that, in milliseconds.
-    pub own_ms: u64,
+    #[serde(rename = "own_ms")]
+    pub run_ms: u64,
     /// Time by which work that was taken already would be late because of it, in milliseconds.
     pub harm_ms: u64,
     /// Time until a target is free for work that comes later, about, in milliseconds.
-    pub turn_ms: u64,
+    #[serde(rename = "turn_ms")]
+    pub slot_wait_ms: u64,
 }
 
 /// One stage of one request.
@@ -90,12 +92,12 @@
     /// Time after which its results are of no use, in milliseconds.
     pub end_ms: u64,
     /// Data centre in which it should be done.
-    pub near: Option<Near>,
+    pub near: Option<Locality>,
 }
 
 /// Data centre in which a job should be done, as its inputs or results are large.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Near {
+pub struct Locality {
     /// Data centre.
     pub centre: CentreName,
     /// Time that it may wait for a target there, in milliseconds.
--- a/hawthornkeel_core/src/stages/desk.rs
+++ b/hawthornkeel_core/src/stages/scheduler.rs
@@ -15,24 +15,24 @@
 pub use crate::stages::action::CallNumber;
 pub use crate::stages::action::Input;
 pub use crate::stages::action::Item;
-pub use crate::stages::action::MakerInfo;
 pub use crate::stages::action::PieceOutcome;
 pub use crate::stages::action::Summary;
-use crate::stages::admission::LATE_RANK;
+pub use crate::stages::action::WorkerInfo;
+use crate::stages::admission::LATE_PRIORITY;
 use crate::stages::estimate::Capacity;
 use crate::stages::estimate::Flow;
 use crate::stages::estimate::PieceTime;
 use crate::stages::estimate::Queued;
 use crate::stages::estimate::call_time;
 use crate::stages::estimate::place;
-use crate::stages::job::Booked;
-use crate::stages::job::Booking;
 use crate::stages::job::Handle;
 use crate::stages::job::Job;
 use crate::stages::job::JobId;
 use crate::stages::job::JobOutcome;
-use crate::stages::maker::Maker;
-use crate::table::pool::Pieces;
+use crate::stages::job::Reservation;
+use crate::stages::job::ReservationEstimate;
+use crate::stages::worker::Worker;
+use crate::table::pool::StageWorkload;
 use crate::time::Instant;
 
 /// Times that a piece is tried, at most.
@@ -70,7 +70,7 @@
 /// Call in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Call {
-    pub(super) maker: TargetName,
+    pub(super) worker: TargetName,
     pub(super) items: Vec<(JobId, u32)>,
     pub(super) bytes: u64,
     pub(super) started: Instant,
@@ -82,16 +82,16 @@
 /// Result that a target holds.
 #[derive(Clone, Debug)]
 struct Kept {
-    maker: TargetName,
+    worker: TargetName,
     bytes: u64,
     until: Instant,
 }
 
 /// Queue of one pool's stages.
 #[derive(Clone, Debug)]
-pub struct Desk {
-    pub(super) pool: Pieces,
-    pub(super) makers: IndexMap<TargetName, Maker>,
+pub struct Scheduler {
+    pub(super) pool: StageWorkload,
+    pub(super) workers: IndexMap<TargetName, Worker>,
     pub(super) jobs: IndexMap<JobId, Entry>,
     /// Work that is to come, with when it should be done.
     bookings: IndexMap<JobId, Queued>,
@@ -107,12 +107,12 @@
     pub(super) actions: Vec<Action>,
 }
 
-impl Desk {
+impl Scheduler {
     /// Creates the desk of a pool.
-    pub fn new(pool: Pieces) -> Self {
+    pub fn new(pool: StageWorkload) -> Self {
         Self {
             pool,
-            makers: IndexMap::new(),
+            workers: IndexMap::new(),
             jobs: IndexMap::new(),
             bookings: IndexMap::new(),
             flow: Flow::default(),
@@ -127,7 +127,7 @@
     }
 
     /// Takes over what a new document says of the pool.
-    pub fn set_pool(&mut self, pool: Pieces) {
+    pub fn set_pool(&mut self, pool: StageWorkload) {
         self.pool = pool;
     }
 
@@ -135,9 +135,9 @@
     pub fn handle(&mut self, now: Instant, input: Input) -> Vec<Action> {
         self.now = self.now.max(now);
         match input {
-            Input::Makers(makers) => self.set_makers(makers),
-            Input::Offer(job) => self.offer(job),
-            Input::Withdraw(job) => self.withdraw(&job),
+            Input::Workers(workers) => self.set_workers(workers),
+            Input::Submit(job) => self.offer(job),
+            Input::Cancel(job) => self.withdraw(&job),
             Input::Release(results) => self.release(results),
             Input::Answered(call, outcomes) => self.answered(call, outcomes),
             Input::Failed(call, failure) => self.failed(call, failure),
@@ -151,7 +151,7 @@
     /// Books work that is to come, and tells what it comes to.
     ///
     /// Returns `None` where no target takes calls; nothing is booked then.
-    pub fn book(&mut self, now: Instant, booking: &Booking) -> Option<Booked> {
+    pub fn reserve(&mut self, now: Instant, booking: &Reservation) -> Option<ReservationEstimate> {
         self.now = self.now.max(now);
         let due = self.now + Duration::from_millis(booking.due_ms);
         let new = Queued::new(due, booking.priority, booking.pieces);
@@ -159,28 +159,28 @@
         let estimate = capacity.estimate(&self.usual(), &queued, &new)?;
         self.bookings.insert(booking.id.clone(), new);
         let millis = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
-        Some(Booked {
+        Some(ReservationEstimate {
             drain_ms: millis(estimate.drain),
-            own_ms: millis(estimate.own),
+            run_ms: millis(estimate.own),
             harm_ms: millis(estimate.harm),
-            turn_ms: millis(estimate.turn),
+            slot_wait_ms: millis(estimate.turn),
         })
     }
 
     /// Returns the point at which [`Input::Tick`] is due, if any.
-    pub fn deadline(&self) -> Option<Instant> {
+    pub fn next_tick(&self) -> Option<Instant> {
         let overdue = self.calls.values().filter(|c| !c.overdue).map(|c| self.overdue_at(c));
         let waiting = || self.jobs.values().filter(|e| e.is_waiting());
         let ends = waiting().map(|e| if e.is_idle() { e.latest } else { e.end });
         let far = waiting().filter_map(|e| e.far_at()).filter(|at| *at > self.now);
         let waits = waiting().next().is_some();
-        let resumes = self.makers.values().filter(|_| waits).filter_map(|m| m.resumes(self.now));
+        let resumes = self.workers.values().filter(|_| waits).filter_map(|m| m.resumes(self.now));
         overdue.chain(ends).chain(far).chain(resumes).min()
     }
 
     /// Returns what the desk has to do and what it can, for logs.
     pub fn summary(&self) -> Summary {
-        let makers = || self.makers.values();
+        let workers = || self.workers.values();
         let waiting = || self.jobs.values().filter(|e| e.is_waiting());
         let late = |e: &&Entry| e.due < self.now;
         Summary {
@@ -189,10 +189,10 @@
             late: waiting().filter(late).count(),
             booked: self.bookings.values().map(|b| b.pieces).sum(),
             calls: self.calls.len(),
-            makers: self.makers.len(),
-            counted: makers().filter(|m| m.counts(self.now)).count(),
-            free: makers().filter(|m| m.is_free(self.now)).count(),
-            held: makers().map(|m| m.held).sum(),
+            workers: self.workers.len(),
+            available: workers().filter(|m| m.counts(self.now)).count(),
+            free: workers().filter(|m| m.is_free(self.now)).count(),
+            held_bytes: workers().map(|m| m.held).sum(),
         }
     }
 
@@ -206,26 +206,26 @@
         self.jobs.is_empty() && self.calls.is_empty()
     }
 
-    fn set_makers(&mut self, makers: Vec<MakerInfo>) {
-        let mut known = std::mem::take(&mut self.makers);
-        for info in makers {
-            let maker = known.swap_remove(&info.name);
-            let maker = maker.unwrap_or_else(|| Maker::new(info.centre.clone()));
-            self.makers.insert(info.name, maker);
+    fn set_workers(&mut self, workers: Vec<WorkerInfo>) {
+        let mut known = std::mem::take(&mut self.workers);
+        for info in workers {
+            let worker = known.swap_remove(&info.name);
+            let worker = worker.unwrap_or_else(|| Worker::new(info.centre.clone()));
+            self.workers.insert(info.name, worker);
         }
     }
 
     fn offer(&mut self, job: Job) {
         if let Some((_, outcome)) = self.ended.get(&job.id) {
             let outcome = outcome.clone();
-            self.actions.push(Action::Answer { job: job.id, outcome });
+            self.actions.push(Action::Reply { job: job.id, outcome });
             return;
         }
         if self.jobs.contains_key(&job.id) {
             return;
         }
         self.bookings.swap_remove(&job.id);
-        if job.priority < LATE_RANK {
+        if job.priority < LATE_PRIORITY {
             self.flow.add(self.now, job.priority, job.pieces);
         }
         let due = self.now + Duration::from_millis(job.due_ms);
@@ -251,38 +251,38 @@
         let mut freed: IndexMap<TargetName, Vec<Handle>> = IndexMap::new();
         for result in results {
             if let Some(kept) = self.kept.swap_remove(&result) {
-                self.forget_bytes(&kept.maker, kept.bytes);
-                freed.entry(kept.maker).or_default().push(result);
+                self.forget_bytes(&kept.worker, kept.bytes);
+                freed.entry(kept.worker).or_default().push(result);
             }
         }
-        for (maker, results) in freed {
-            if self.makers.contains_key(&maker) {
-                self.actions.push(Action::Free { maker, results });
+        for (worker, results) in freed {
+            if self.workers.contains_key(&worker) {
+                self.actions.push(Action::Free { worker, results });
             }
         }
     }
 
-    fn forget_bytes(&mut self, maker: &TargetName, bytes: u64) {
-        if let Some(maker) = self.makers.get_mut(maker) {
-            maker.held = maker.held.saturating_sub(bytes);
+    fn forget_bytes(&mut self, worker: &TargetName, bytes: u64) {
+        if let Some(worker) = self.workers.get_mut(worker) {
+            worker.held = worker.held.saturating_sub(bytes);
         }
     }
 
     fn answered(&mut self, number: CallNumber, outcomes: Vec<PieceOutcome>) {
         let Some(call) = self.calls.swap_remove(&number) else { return };
         let (now, took) = (self.now, self.now.since(call.started));
-        if let Some(maker) = self.makers.get_mut(&call.maker)
-            && maker.call == Some(number)
+        if let Some(worker) = self.workers.get_mut(&call.worker)
+            && worker.call == Some(number)
         {
-            maker.succeeded(now, took, call.expected);
-            if !maker.is_slow(now) {
+            worker.succeeded(now, took, call.expected);
+            if !worker.is_slow(now) {
                 self.time.note(&self.pool, call.items.len(), took);
             }
-            if outcomes.contains(&PieceOutcome::NoRoom) {
-                maker.crowded(now);
+            if outcomes.contains(&PieceOutcome::OutOfMemory) {
+                worker.crowded(now);
             }
         }
-        self.forget_bytes(&call.maker, call.bytes);
+        self.forget_bytes(&call.worker, call.bytes);
         let each = call.bytes.checked_div(call.items.len() as u64).unwrap_or_default();
         let missing = std::iter::repeat(PieceOutcome::Failed);
         let mut unwanted = Vec::new();
@@ -290,19 +290,19 @@
             call.items.into_iter().zip(outcomes.into_iter().chain(missing))
         {
             if let PieceOutcome::Done(handle) = &outcome {
-                self.keep(&call.maker, handle, each);
+                self.keep(&call.worker, handle, each);
             }
             unwanted.extend(self.piece_ended(&id, piece, outcome));
         }
         self.release(unwanted);
     }
 
-    fn keep(&mut self, maker: &TargetName, handle: &Handle, bytes: u64) {
-        let until = self.now + self.pool.keep;
-        if let Some(maker) = self.makers.get_mut(maker) {
-            maker.held += bytes;
+    fn keep(&mut self, worker: &TargetName, handle: &Handle, bytes: u64) {
+        let until = self.now + self.pool.result_ttl;
+        if let Some(worker) = self.workers.get_mut(worker) {
+            worker.held += bytes;
         }
-        self.kept.insert(handle.clone(), Kept { maker: maker.clone(), bytes, until });
+        self.kept.insert(handle.clone(), Kept { worker: worker.clone(), bytes, until });
     }
 
     /// Takes in what came of a piece; returns its result where nobody needs it.
@@ -324,7 +324,7 @@
             }
             PieceOutcome::Late => self.end(id, JobOutcome::Late),
             PieceOutcome::Gone => self.end(id, JobOutcome::Gone),
-            PieceOutcome::NoRoom => {
+            PieceOutcome::OutOfMemory => {
                 self.uncount(id, piece);
                 self.try_again(id, piece);
             }
@@ -350,15 +350,15 @@
     fn failed(&mut self, number: CallNumber, failure: CallFailure) {
         let Some(call) = self.calls.swap_remove(&number) else { return };
         let now = self.now;
-        if let Some(maker) = self.makers.get_mut(&call.maker)
-            && maker.call == Some(number)
+        if let Some(worker) = self.workers.get_mut(&call.worker)
+            && worker.call == Some(number)
         {
             match failure {
-                CallFailure::Refused => maker.refused(now),
-                CallFailure::Unreached | CallFailure::Lost => maker.failed(now),
+                CallFailure::Refused => worker.refused(now),
+                CallFailure::Unreached | CallFailure::Lost => worker.failed(now),
             }
         }
-        self.forget_bytes(&call.maker, call.bytes);
+        self.forget_bytes(&call.worker, call.bytes);
         for (id, piece) in call.items {
             match failure {
                 CallFailure::Refused | CallFailure::Unreached => self.uncount(&id, piece),
@@ -383,7 +383,7 @@
             self.release(entry.pieces.into_iter().filter_map(|p| p.result).collect());
         }
         self.ended.insert(id.clone(), (self.now, outcome.clone()));
-        self.actions.push(Action::Answer { job: id.clone(), outcome });
+        self.actions.push(Action::Reply { job: id.clone(), outcome });
     }
 
     /// Ends jobs whose time has passed, and forgets what is old.
@@ -402,7 +402,7 @@
         let old: Vec<Handle> = old.map(|(h, _)| h.clone()).collect();
         for handle in old {
             if let Some(kept) = self.kept.swap_remove(&handle) {
-                self.forget_bytes(&kept.maker, kept.bytes);
+                self.forget_bytes(&kept.worker, kept.bytes);
             }
         }
     }
@@ -419,9 +419,10 @@
         for number in overdue {
             let Some(call) = self.calls.get_mut(&number) else { continue };
             call.overdue = true;
-            let (items, maker, expected) = (call.items.clone(), call.maker.clone(), call.expected);
-            if let Some(maker) = self.makers.get_mut(&maker) {
-                maker.busy_until = self.now + expected;
+            let (items, worker, expected) =
+                (call.items.clone(), call.worker.clone(), call.expected);
+            if let Some(worker) = self.workers.get_mut(&worker) {
+                worker.busy_until = self.now + expected;
             }
             for (id, piece) in items {
                 self.try_again(&id, piece);
@@ -430,18 +431,18 @@
     }
 
     /// Returns the pool with the time of a piece as it was measured.
-    pub(super) fn usual(&self) -> Pieces {
+    pub(super) fn usual(&self) -> StageWorkload {
         self.time.measured(&self.pool)
     }
 
     fn capacity(&self) -> Capacity {
         let now = self.now;
-        let counted = || self.makers.values().filter(|m| m.counts(now));
+        let counted = || self.workers.values().filter(|m| m.counts(now));
         let count = u32::try_from(counted().count()).unwrap_or(u32::MAX);
         let running: Duration = self.calls.values().map(|c| c.expected).sum();
         Capacity {
             now,
-            makers: counted().map(|m| 1.0 / m.speed.max(0.5)).sum(),
+            workers: counted().map(|m| 1.0 / m.speed.max(0.5)).sum(),
             until_free: counted().map(|m| m.until_free(now)).min().unwrap_or_default(),
             // Calls that began at any time leave their targets evenly over the time of a call.
             turn: running / count.max(1) / count.saturating_add(1),
--- a/hawthornkeel_core/src/stages/maker.rs
+++ b/hawthornkeel_core/src/stages/worker.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::names::CentreName;
-use crate::stages::desk::CallNumber;
+use crate::stages::scheduler::CallNumber;
 use crate::time::Instant;
 
 /// Share of a new measurement in the speed of a maker.
@@ -25,7 +25,7 @@
 
 /// Target that does pieces.
 #[derive(Clone, Debug)]
-pub(super) struct Maker {
+pub(super) struct Worker {
     pub(super) centre: CentreName,
     /// Call in progress.
     pub(super) call: Option<CallNumber>,
@@ -43,7 +43,7 @@
     pub(super) held: u64,
 }
 
-impl Maker {
+impl Worker {
     pub(super) fn new(centre: CentreName) -> Self {
         Self {
             centre,
--- a/hawthornkeel_core/src/table/gate.rs
+++ b/hawthornkeel_core/src/table/access.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use crate::names::WorkspaceName;
-use crate::table::Holder;
+use crate::table::KeyOwner;
 use crate::table::RouteTable;
 use crate::table::route::Route;
 
 /// What a request says of itself.
 #[derive(Clone, Copy, Debug)]
-pub struct Claim<'a> {
+pub struct AccessRequest<'a> {
     /// Host.
     pub host: &'a str,
     /// Path.
@@ -21,24 +21,24 @@
 
 /// How well an entry knows that its document is in force.
 #[derive(Clone, Copy, Debug)]
-pub struct Confirmed {
+pub struct Freshness {
     /// Time since control last confirmed it.
     pub age: Duration,
     /// Longest time for which keys are accepted without a confirmation.
-    pub keys: Duration,
+    pub max_key_age: Duration,
     /// Longest time for which a request is denied without a confirmation.
-    pub denials: Duration,
+    pub max_denial_age: Duration,
 }
 
 /// Request that may pass.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pass {
+pub struct Admitted {
     /// Route.
     pub route: Arc<Route>,
     /// Workspace of the caller, where its key is known.
     pub workspace: Option<WorkspaceName>,
     /// Rank, zero the highest: the workspace's goes before the route's.
-    pub rank: u16,
+    pub priority: u16,
 }
 
 /// Why a request does not pass.
@@ -53,34 +53,39 @@
 }
 
 /// Ranks of routes within one rank of workspaces.
-pub const ROUTE_RANKS: u16 = 16;
+pub const ROUTE_PRIORITIES: u16 = 16;
 
 /// Decides whether a request may pass.
 ///
 /// # Errors
 /// Fails with the reason where it may not. A document that may be outdated denies nothing: the
 /// entry can't tell.
-pub fn admit(table: &RouteTable, claim: &Claim<'_>, confirmed: Confirmed) -> Result<Pass, Denied> {
-    let sure = |denied| if confirmed.age <= confirmed.denials { denied } else { Denied::Unsure };
+pub fn authorize(
+    table: &RouteTable,
+    claim: &AccessRequest<'_>,
+    confirmed: Freshness,
+) -> Result<Admitted, Denied> {
+    let sure =
+        |denied| if confirmed.age <= confirmed.max_denial_age { denied } else { Denied::Unsure };
     let route = table.find(claim.host, claim.path).ok_or_else(|| sure(Denied::NoRoute))?;
     let holder = claim.key.and_then(|k| table.keys.get(k));
-    if table.keyed && !route.public {
+    if table.requires_key && !route.public {
         if holder.is_none() {
             return Err(sure(Denied::NoKey));
         }
         // The key may have been taken away meanwhile.
-        if confirmed.age > confirmed.keys {
+        if confirmed.age > confirmed.max_key_age {
             return Err(Denied::Unsure);
         }
     }
-    Ok(Pass {
-        rank: rank(holder, route),
+    Ok(Admitted {
+        priority: rank(holder, route),
         workspace: holder.map(|h| h.workspace.clone()),
         route: route.clone(),
     })
 }
 
-fn rank(holder: Option<&Holder>, route: &Route) -> u16 {
+fn rank(holder: Option<&KeyOwner>, route: &Route) -> u16 {
     let workspace = holder.map_or(0, |h| u16::from(h.priority));
-    workspace * ROUTE_RANKS + u16::from(route.priority).min(ROUTE_RANKS - 1)
+    workspace * ROUTE_PRIORITIES + u16::from(route.priority).min(ROUTE_PRIORITIES - 1)
 }
--- a/hawthornkeel_core/src/table/mod.rs
+++ b/hawthornkeel_core/src/table/mod.rs
@@ -4,7 +4,7 @@
 //! came; stages may have to run before. A table comes from one version of a document and never
 //! changes.
 
-pub mod gate;
+pub mod access;
 pub mod pool;
 pub mod route;
 
@@ -26,9 +26,9 @@
     /// Pools by name.
     pub pools: IndexMap<PoolName, Arc<Pool>>,
     /// Holders of keys by key; empty where callers need none.
-    pub keys: IndexMap<Arc<str>, Holder>,
+    pub keys: IndexMap<Arc<str>, KeyOwner>,
     /// Whether callers need a key on routes that aren't public.
-    pub keyed: bool,
+    pub requires_key: bool,
     /// Bounds on what callers send.
     pub limits: Limits,
     /// Routes of each host, those with the longest prefix first.
@@ -37,7 +37,7 @@
 
 /// Workspace that holds a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Holder {
+pub struct KeyOwner {
     /// Workspace.
     pub workspace: WorkspaceName,
     /// Rank of its requests, zero the highest.
--- a/hawthornkeel_core/src/table/pool.rs
+++ b/hawthornkeel_core/src/table/pool.rs
@@ -11,57 +11,57 @@
     /// Name.
     pub name: PoolName,
     /// Path of health checks.
-    pub health: Arc<str>,
+    pub health_path: Arc<str>,
     /// Connections that one target accepts from all callers together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// What a cold target bears, where its targets are cold after a start.
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdLimit>,
     /// What the pool's targets do.
-    pub work: Work,
+    pub workload: Workload,
 }
 
 /// What a cold target bears.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdLimit {
     /// Time that a target is cold after its start.
-    pub time: Duration,
+    pub duration: Duration,
     /// Requests a second.
     pub rate: f64,
 }
 
 /// What a pool's targets do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Work {
+pub enum Workload {
     /// Answer requests.
-    Plain,
+    Requests,
     /// Generate text.
-    Engine(Engine),
+    Engine(EngineWorkload),
     /// Do stages before requests, in pieces.
-    Pieces(Pieces),
+    Stages(StageWorkload),
 }
 
 /// Targets that generate text; each value is for one target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Engine {
+pub struct EngineWorkload {
     /// Requests that run together.
     pub slots: u32,
     /// Memory for prompts and generated text, in tokens.
-    pub tokens: u64,
+    pub kv_cache_tokens: u64,
 }
 
 /// Targets that do stages in pieces; each value is for one target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pieces {
+pub struct StageWorkload {
     /// Calls in progress at once.
     pub slots: u32,
     /// Pieces of one call, at most.
-    pub batch: usize,
+    pub batch_size: usize,
     /// Time that a call takes beside its pieces.
-    pub overhead: Duration,
+    pub call_overhead: Duration,
     /// Time that a piece takes, about.
-    pub item: Duration,
+    pub piece_time: Duration,
     /// Memory for results, in bytes.
-    pub room: u64,
+    pub memory: u64,
     /// Time that a result is kept after its call.
-    pub keep: Duration,
+    pub result_ttl: Duration,
 }
--- a/hawthornkeel_core/src/table/route.rs
+++ b/hawthornkeel_core/src/table/route.rs
@@ -24,15 +24,15 @@
     /// Rank, zero the highest.
     pub priority: u8,
     /// Pools with their weights, one at least.
-    pub pools: Vec<Share>,
+    pub pools: Vec<PoolWeight>,
     /// Targets that one request may be sent to, at most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Work that must be done before a request can run.
     pub stages: Vec<Stage>,
     /// Whether callers need no key.
     pub public: bool,
     /// Whether requests share parts of prompts that targets keep.
-    pub affine: bool,
+    pub session_affinity: bool,
 }
 
 /// What may be repeated on a route.
@@ -41,7 +41,7 @@
     /// Requests may run more than once.
     Idempotent,
     /// Requests may run once at most.
-    Unrepeatable,
+    NonIdempotent,
     /// Answers are streams of events.
     Stream {
         /// Whether another target may go on after the last event that was received.
@@ -51,17 +51,17 @@
 
 impl RouteKind {
     /// Tells whether a request may run again after its outcome was lost.
-    pub fn may_repeat(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         match self {
             Self::Idempotent | Self::Stream { resumable: true } => true,
-            Self::Unrepeatable | Self::Stream { resumable: false } => false,
+            Self::NonIdempotent | Self::Stream { resumable: false } => false,
         }
     }
 }
 
 /// Part of a route's requests that goes to one pool.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Share {
+pub struct PoolWeight {
     /// Pool.
     pub pool: PoolName,
     /// Weight among the route's pools.
@@ -76,12 +76,12 @@
     /// Positions of the stages whose results it needs.
     pub after: Vec<u16>,
     /// Size of one result, in bytes, about.
-    pub bytes: u64,
+    pub result_bytes: u64,
 }
 
 impl Route {
     /// Returns the pool for a request, by a number drawn for it.
-    pub fn pool(&self, draw: u64) -> Option<&PoolName> {
+    pub fn pick_pool(&self, draw: u64) -> Option<&PoolName> {
         let total: u64 = self.pools.iter().map(|s| u64::from(s.weight)).sum();
         let mut left = draw.checked_rem(total)?;
         for share in &self.pools {
@@ -95,7 +95,7 @@
     }
 
     /// Returns the positions of the stages that no other stage follows.
-    pub fn last_stages(&self) -> Vec<u16> {
+    pub fn final_stages(&self) -> Vec<u16> {
         let followed = |at: u16| self.stages.iter().any(|s| s.after.contains(&at));
         (0..self.stages.len())
             .filter_map(|at| u16::try_from(at).ok())
--- a/hawthornkeel_core/tests/request_pace.rs
+++ b/hawthornkeel_core/tests/request_admission.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use hawthornkeel_core::stages::admission::Outlook;
-use hawthornkeel_core::stages::admission::Pace;
-use hawthornkeel_core::stages::admission::Step;
+use hawthornkeel_core::stages::admission::StageTiming;
+use hawthornkeel_core::stages::admission::Timeliness;
 use hawthornkeel_core::stages::admission::Times;
-use hawthornkeel_core::stages::admission::fresh_for;
-use hawthornkeel_core::stages::job::Booked;
+use hawthornkeel_core::stages::admission::first_attempt_slack;
+use hawthornkeel_core::stages::job::ReservationEstimate;
 use indexmap::IndexMap;
 use rstest::rstest;
 
@@ -20,17 +20,18 @@
 };
 
 /// Returns two stages, the second after the first.
-fn steps() -> Vec<Step> {
-    let step = |at, after| Step { at, after, usual: Duration::from_millis(300) };
+fn steps() -> Vec<StageTiming> {
+    let step = |at, after| StageTiming { stage: at, after, expected: Duration::from_millis(300) };
     vec![step(0, vec![]), step(1, vec![0])]
 }
 
-fn booked(drain_ms: u64, harm_ms: u64) -> Option<Booked> {
-    Some(Booked { drain_ms, own_ms: 200, harm_ms, turn_ms: 60 })
+fn booked(drain_ms: u64, harm_ms: u64) -> Option<ReservationEstimate> {
+    Some(ReservationEstimate { drain_ms, run_ms: 200, harm_ms, slot_wait_ms: 60 })
 }
 
-fn outlook(bookings: &[Option<Booked>]) -> Outlook {
-    let booked: IndexMap<u16, Option<Booked>> = (0..).zip(bookings.iter().copied()).collect();
+fn outlook(bookings: &[Option<ReservationEstimate>]) -> Outlook {
+    let booked: IndexMap<u16, Option<ReservationEstimate>> =
+        (0..).zip(bookings.iter().copied()).collect();
     Outlook::new(&steps(), &booked, REST)
 }
 
@@ -54,30 +55,30 @@
     #[case] late: bool,
 ) {
     let outlook = outlook(&[booked(50, 0), booked(drain_ms, harm_ms)]);
-    assert_eq!(outlook.allows(Pace::Prompt, &TIMES), prompt);
-    assert_eq!(outlook.allows(Pace::Late, &TIMES), late);
+    assert_eq!(outlook.allows(Timeliness::OnTime, &TIMES), prompt);
+    assert_eq!(outlook.allows(Timeliness::Late, &TIMES), late);
 }
 
 #[test]
 fn lost_stage_begins_nothing() {
     let outlook = outlook(&[booked(50, 0), None]);
-    assert!(!outlook.allows(Pace::Prompt, &TIMES));
-    assert!(!outlook.allows(Pace::Late, &TIMES));
-    assert_eq!(outlook.retry(Pace::Late, &TIMES), Duration::from_secs(5));
+    assert!(!outlook.allows(Timeliness::OnTime, &TIMES));
+    assert!(!outlook.allows(Timeliness::Late, &TIMES));
+    assert_eq!(outlook.retry_after(Timeliness::Late, &TIMES), Duration::from_secs(5));
 }
 
 #[test]
 fn return_is_known() {
     let outlook = outlook(&[booked(50, 0), booked(3_500, 0)]);
     let early = Times { fresh: Duration::from_millis(900), ..TIMES };
-    assert!(outlook.retry(Pace::Late, &TIMES) < early.fresh);
-    assert_eq!(outlook.retry(Pace::Late, &early), early.fresh);
+    assert!(outlook.retry_after(Timeliness::Late, &TIMES) < early.fresh);
+    assert_eq!(outlook.retry_after(Timeliness::Late, &early), early.fresh);
 }
 
 #[test]
 fn late_goes_behind_every_rank() {
-    assert!(Pace::Late.rank(0) > Pace::Prompt.rank(300));
-    assert!(Pace::Late.rank(0) < Pace::Late.rank(1));
+    assert!(Timeliness::Late.priority(0) > Timeliness::OnTime.priority(300));
+    assert!(Timeliness::Late.priority(0) < Timeliness::Late.priority(1));
 }
 
 #[rstest]
@@ -85,6 +86,6 @@
 #[case::impatient(5_120, false)]
 #[case::came_back(4_900, true)]
 fn first_tries_differ(#[case] left_ms: u64, #[case] known: bool) {
-    let fresh = fresh_for(Duration::from_millis(6_000), Duration::from_millis(left_ms));
+    let fresh = first_attempt_slack(Duration::from_millis(6_000), Duration::from_millis(left_ms));
     assert_eq!(fresh.is_zero(), known);
 }
--- a/hawthornkeel_core/tests/route_gate.rs
+++ b/hawthornkeel_core/tests/route_access.rs
@@ -7,16 +7,16 @@
 use hawthornkeel_core::names::PoolName;
 use hawthornkeel_core::names::RouteName;
 use hawthornkeel_core::names::WorkspaceName;
-use hawthornkeel_core::table::Holder;
+use hawthornkeel_core::table::KeyOwner;
 use hawthornkeel_core::table::Limits;
 use hawthornkeel_core::table::RouteTable;
-use hawthornkeel_core::table::gate::Claim;
-use hawthornkeel_core::table::gate::Confirmed;
-use hawthornkeel_core::table::gate::Denied;
-use hawthornkeel_core::table::gate::admit;
+use hawthornkeel_core::table::access::AccessRequest;
+use hawthornkeel_core::table::access::Denied;
+use hawthornkeel_core::table::access::Freshness;
+use hawthornkeel_core::table::access::authorize;
+use hawthornkeel_core::table::route::PoolWeight;
 use hawthornkeel_core::table::route::Route;
 use hawthornkeel_core::table::route::RouteKind;
-use hawthornkeel_core::table::route::Share;
 use rstest::rstest;
 
 fn route(name: &str, prefix: &str, public: bool) -> Route {
@@ -28,11 +28,11 @@
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(100),
         priority: 2,
-        pools: vec![Share { pool: PoolName::new("pool"), weight: 1 }],
-        attempts: 2,
+        pools: vec![PoolWeight { pool: PoolName::new("pool"), weight: 1 }],
+        max_attempts: 2,
         stages: Vec::new(),
         public,
-        affine: false,
+        session_affinity: false,
     }
 }
 
@@ -41,22 +41,22 @@
     assert!(table.add(route("short", "/lots/", false)).is_none());
     assert!(table.add(route("long", "/lots/open/", false)).is_none());
     assert!(table.add(route("public", "/status/", true)).is_none());
-    table.keyed = true;
-    let holder = Holder { workspace: WorkspaceName::new("makers"), priority: 1 };
+    table.requires_key = true;
+    let holder = KeyOwner { workspace: WorkspaceName::new("makers"), priority: 1 };
     table.keys.insert(Arc::from("key"), holder);
     table
 }
 
-fn confirmed(age_ms: u64) -> Confirmed {
-    Confirmed {
+fn confirmed(age_ms: u64) -> Freshness {
+    Freshness {
         age: Duration::from_millis(age_ms),
-        keys: Duration::from_millis(3_000),
-        denials: Duration::from_millis(1_500),
+        max_key_age: Duration::from_millis(3_000),
+        max_denial_age: Duration::from_millis(1_500),
     }
 }
 
-fn claim<'a>(path: &'a str, key: Option<&'a str>) -> Claim<'a> {
-    Claim { host: "a.example", path, key }
+fn claim<'a>(path: &'a str, key: Option<&'a str>) -> AccessRequest<'a> {
+    AccessRequest { host: "a.example", path, key }
 }
 
 #[rstest]
@@ -64,11 +64,11 @@
 #[case::long("/lots/open/1", "long")]
 #[case::exact("/lots/open/", "long")]
 fn longest_prefix(#[case] path: &str, #[case] name: &str) {
-    let pass = admit(&table(), &claim(path, Some("key")), confirmed(0)).unwrap();
+    let pass = authorize(&table(), &claim(path, Some("key")), confirmed(0)).unwrap();
     assert_eq!(pass.route.name.as_str(), name);
     assert_eq!(pass.workspace, Some(WorkspaceName::new("makers")));
     // The workspace's rank goes before the route's.
-    assert_eq!(pass.rank, 18);
+    assert_eq!(pass.priority, 18);
 }
 
 #[rstest]
@@ -84,12 +84,12 @@
     #[case] age_ms: u64,
     #[case] denied: Denied,
 ) {
-    assert_eq!(admit(&table(), &claim(path, key), confirmed(age_ms)), Err(denied));
+    assert_eq!(authorize(&table(), &claim(path, key), confirmed(age_ms)), Err(denied));
 }
 
 #[test]
 fn public_behind_cut() {
-    let pass = admit(&table(), &claim("/status/", None), confirmed(60_000)).unwrap();
+    let pass = authorize(&table(), &claim("/status/", None), confirmed(60_000)).unwrap();
     assert_eq!((pass.route.name.as_str(), pass.workspace), ("public", None));
 }
 
--- a/hawthornkeel_core/tests/stage_site/mod.rs
+++ b/hawthornkeel_core/tests/scheduler_harness/mod.rs
@@ -8,30 +8,30 @@
 
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::TargetName;
-use hawthornkeel_core::stages::desk::Action;
-use hawthornkeel_core::stages::desk::CallFailure;
-use hawthornkeel_core::stages::desk::CallNumber;
-use hawthornkeel_core::stages::desk::Desk;
-use hawthornkeel_core::stages::desk::Input;
-use hawthornkeel_core::stages::desk::Item;
-use hawthornkeel_core::stages::desk::MakerInfo;
-use hawthornkeel_core::stages::desk::PieceOutcome;
-use hawthornkeel_core::stages::job::Booked;
-use hawthornkeel_core::stages::job::Booking;
 use hawthornkeel_core::stages::job::Job;
 use hawthornkeel_core::stages::job::JobId;
 use hawthornkeel_core::stages::job::JobOutcome;
-use hawthornkeel_core::stages::job::Near;
-use hawthornkeel_core::table::pool::Pieces;
+use hawthornkeel_core::stages::job::Locality;
+use hawthornkeel_core::stages::job::Reservation;
+use hawthornkeel_core::stages::job::ReservationEstimate;
+use hawthornkeel_core::stages::scheduler::Action;
+use hawthornkeel_core::stages::scheduler::CallFailure;
+use hawthornkeel_core::stages::scheduler::CallNumber;
+use hawthornkeel_core::stages::scheduler::Input;
+use hawthornkeel_core::stages::scheduler::Item;
+use hawthornkeel_core::stages::scheduler::PieceOutcome;
+use hawthornkeel_core::stages::scheduler::Scheduler;
+use hawthornkeel_core::stages::scheduler::WorkerInfo;
+use hawthornkeel_core::table::pool::StageWorkload;
 use hawthornkeel_core::time::Instant;
 
-pub const POOL: Pieces = Pieces {
+pub const POOL: StageWorkload = StageWorkload {
     slots: 1,
-    batch: 8,
-    overhead: Duration::from_millis(150),
-    item: Duration::from_millis(16),
-    room: 41_000_000,
-    keep: Duration::from_secs(4),
+    batch_size: 8,
+    call_overhead: Duration::from_millis(150),
+    piece_time: Duration::from_millis(16),
+    memory: 41_000_000,
+    result_ttl: Duration::from_secs(4),
 };
 
 /// Work that a test wants done.
@@ -43,7 +43,7 @@
     pub bytes: u64,
     pub due_ms: u64,
     pub end_ms: u64,
-    pub near: Option<Near>,
+    pub near: Option<Locality>,
 }
 
 /// Returns work that nothing is special about.
@@ -61,7 +61,7 @@
 
 /// Desk, its targets and what came of its work.
 pub struct Site {
-    desk: Desk,
+    desk: Scheduler,
     now: u64,
     moods: Vec<Mood>,
     running: BTreeMap<(u64, u64), (CallNumber, String, Vec<Item>)>,
@@ -77,7 +77,7 @@
     /// Creates a site with targets in data centres `c0`, `c1` and so on.
     pub fn new(targets: usize) -> Self {
         let mut site = Self {
-            desk: Desk::new(POOL),
+            desk: Scheduler::new(POOL),
             now: 1_000,
             moods: vec![Mood::Well; targets],
             running: BTreeMap::new(),
@@ -87,11 +87,11 @@
             freed: 0,
             times: 1.0,
         };
-        let info = |n: usize| MakerInfo {
+        let info = |n: usize| WorkerInfo {
             name: TargetName::new(&n.to_string()),
             centre: CentreName::new(&format!("c{n}")),
         };
-        site.input(Input::Makers((0..targets).map(info).collect()));
+        site.input(Input::Workers((0..targets).map(info).collect()));
         site
     }
 
@@ -122,29 +122,29 @@
     }
 
     /// Returns what a booking of work comes to.
-    pub fn booked(&mut self, wanted: &Wanted) -> Booked {
-        let booking = Booking {
+    pub fn booked(&mut self, wanted: &Wanted) -> ReservationEstimate {
+        let booking = Reservation {
             id: id(wanted.number),
             pieces: wanted.pieces,
             priority: wanted.priority,
             due_ms: wanted.due_ms,
         };
-        self.desk.book(self.time(), &booking).unwrap()
+        self.desk.reserve(self.time(), &booking).unwrap()
     }
 
     /// Books work, and gives the booking up where it would be late.
     pub fn book(&mut self, wanted: &Wanted) -> bool {
         let booked = self.booked(wanted);
-        let fits = booked.drain_ms + booked.own_ms <= wanted.due_ms && booked.harm_ms == 0;
+        let fits = booked.drain_ms + booked.run_ms <= wanted.due_ms && booked.harm_ms == 0;
         if !fits {
-            self.input(Input::Withdraw(id(wanted.number)));
+            self.input(Input::Cancel(id(wanted.number)));
         }
         fits
     }
 
     pub fn offer(&mut self, wanted: Wanted) {
         self.offered.insert(wanted.number, self.now);
-        self.input(Input::Offer(Job {
+        self.input(Input::Submit(Job {
             id: id(wanted.number),
             pieces: wanted.pieces,
             priority: wanted.priority,
@@ -158,7 +158,7 @@
     }
 
     pub fn withdraw(&mut self, number: u32) {
-        self.input(Input::Withdraw(id(number)));
+        self.input(Input::Cancel(id(number)));
     }
 
     /// Gives up the results of work that is done.
@@ -184,7 +184,7 @@
                     Mood::Well | Mood::Slow(_) => Input::Answered(call, done(&target, &items)),
                 });
             }
-            if self.desk.deadline().is_some_and(|d| d <= self.time()) {
+            if self.desk.next_tick().is_some_and(|d| d <= self.time()) {
                 self.input(Input::Tick);
             }
         }
@@ -223,7 +223,7 @@
     }
 
     pub fn held(&self) -> u64 {
-        self.desk.summary().held
+        self.desk.summary().held_bytes
     }
 
     fn time(&self) -> Instant {
@@ -233,21 +233,22 @@
     fn input(&mut self, input: Input) {
         for action in self.desk.handle(self.time(), input) {
             match action {
-                Action::Run { call, maker, items, limit } => {
+                Action::Run { call, worker, items, timeout } => {
                     let number = |i: &Item| i.job.request.parse().unwrap();
                     self.calls.push(items.iter().map(number).collect());
-                    let usual = POOL.overhead + POOL.item.mul_f64(self.times) * items.len() as u32;
-                    let took = match self.moods[maker.as_str().parse::<usize>().unwrap()] {
+                    let usual = POOL.call_overhead
+                        + POOL.piece_time.mul_f64(self.times) * items.len() as u32;
+                    let took = match self.moods[worker.as_str().parse::<usize>().unwrap()] {
                         Mood::Well => usual,
-                        Mood::Silent => limit,
+                        Mood::Silent => timeout,
                         Mood::Failing(_) => Duration::from_millis(2),
                         Mood::Slow(times) => usual.mul_f64(times),
                     };
                     let end = self.now + took.as_millis() as u64;
-                    self.running.insert((end, call.0), (call, maker.to_string(), items));
+                    self.running.insert((end, call.0), (call, worker.to_string(), items));
                 }
                 Action::Free { results, .. } => self.freed += results.len(),
-                Action::Answer { job, outcome } => {
+                Action::Reply { job, outcome } => {
                     let number = job.request.parse().unwrap();
                     self.ended.insert(number, (self.now, outcome));
                 }
--- a/hawthornkeel_core/tests/repeat_shares.rs
+++ b/hawthornkeel_core/tests/shared_retries.rs
@@ -2,29 +2,30 @@
 
 use std::time::Duration;
 
-use hawthornkeel_core::place::repeats::Budget;
-use hawthornkeel_core::place::repeats::Repeats;
+use hawthornkeel_core::placement::retries::RetryBucket;
+use hawthornkeel_core::placement::retries::RetryBudget;
 use hawthornkeel_core::time::Instant;
 use rstest::rstest;
 
-const BUDGET: Budget = Budget { ratio: 0.2, slack: 56.0, window: Duration::from_secs(10) };
+const BUDGET: RetryBudget =
+    RetryBudget { ratio: 0.2, slack: 56.0, window: Duration::from_secs(10) };
 
 #[rstest]
 #[case::few(8, 40)]
 #[case::many(69, 5)]
 #[case::idle(8, 0)]
 fn sum_in_window(#[case] entries: usize, #[case] requests_a_window: u64) {
-    let mut all = vec![Repeats::default(); entries];
+    let mut all = vec![RetryBucket::default(); entries];
     let (mut repeats, mut requests) = (Vec::new(), Vec::new());
     for ms in (0..40_000).step_by(20) {
         let now = Instant::from_millis(ms);
         for one in &mut all {
             if requests_a_window > 0 && ms % (10_000 / requests_a_window) < 20 {
-                one.count(&BUDGET, entries);
+                one.record_request(&BUDGET, entries);
                 requests.push(ms);
             }
             // Every entry wants to repeat all the time.
-            if one.take(now, &BUDGET, entries) {
+            if one.try_take(now, &BUDGET, entries) {
                 repeats.push(ms);
             }
         }
--- a/hawthornkeel_core/tests/stage_desk.rs
+++ b/hawthornkeel_core/tests/stage_scheduler.rs
@@ -1,18 +1,18 @@
 //! Desk of a pool's stages on a virtual clock: bursts, slow and lost targets, room and places.
 
-mod stage_site;
+mod scheduler_harness;
 
 use std::time::Duration;
 
 use hawthornkeel_core::names::CentreName;
-use hawthornkeel_core::stages::admission::Pace;
-use hawthornkeel_core::stages::desk::CallFailure;
+use hawthornkeel_core::stages::admission::Timeliness;
 use hawthornkeel_core::stages::job::JobOutcome;
-use hawthornkeel_core::stages::job::Near;
+use hawthornkeel_core::stages::job::Locality;
+use hawthornkeel_core::stages::scheduler::CallFailure;
 use rstest::rstest;
 
-use crate::stage_site::Site;
-use crate::stage_site::job;
+use crate::scheduler_harness::Site;
+use crate::scheduler_harness::job;
 
 #[test]
 fn pieces_share_calls() {
@@ -30,9 +30,9 @@
 fn urgent_goes_first() {
     let mut site = Site::new(1);
     site.offer(job(0, 8));
-    let late = |n| stage_site::Wanted { due_ms: 3_000, ..job(n, 8) };
+    let late = |n| scheduler_harness::Wanted { due_ms: 3_000, ..job(n, 8) };
     site.offer(late(1));
-    site.offer(stage_site::Wanted { due_ms: 700, ..job(2, 8) });
+    site.offer(scheduler_harness::Wanted { due_ms: 700, ..job(2, 8) });
     site.run(2_000);
     assert_eq!(site.order(), [0, 2, 1]);
 }
@@ -43,7 +43,7 @@
     let (mut taken, mut refused) = (Vec::new(), 0);
     // Twice what the four targets can do, for three seconds.
     for number in 0..600 {
-        let wanted = stage_site::Wanted { due_ms: 900, ..job(number, 1) };
+        let wanted = scheduler_harness::Wanted { due_ms: 900, ..job(number, 1) };
         if site.book(&wanted) {
             site.offer(wanted);
             taken.push(number);
@@ -64,7 +64,7 @@
 #[test]
 fn bookings_count() {
     let mut site = Site::new(1);
-    let wanted = |n| stage_site::Wanted { due_ms: 900, ..job(n, 8) };
+    let wanted = |n| scheduler_harness::Wanted { due_ms: 900, ..job(n, 8) };
     let booked = (0..10).filter(|n| site.book(&wanted(*n))).count();
     // Nothing has been offered, and still there is no room for more.
     assert!((2..=4).contains(&booked), "{booked}");
@@ -105,7 +105,7 @@
 fn failing_target_ends_job() {
     let mut site = Site::new(1);
     site.fail(0, CallFailure::Lost);
-    site.offer(stage_site::Wanted { end_ms: 30_000, ..job(0, 1) });
+    site.offer(scheduler_harness::Wanted { end_ms: 30_000, ..job(0, 1) });
     site.run(20_000);
     assert_eq!(site.outcome(0), Some(&JobOutcome::Failed));
 }
@@ -115,7 +115,7 @@
     let mut site = Site::new(1);
     site.silence(0);
     site.offer(job(0, 8));
-    site.offer(stage_site::Wanted { end_ms: 400, ..job(1, 8) });
+    site.offer(scheduler_harness::Wanted { end_ms: 400, ..job(1, 8) });
     // It is told as soon as no call could end in time, not at its end.
     site.run(300);
     assert_eq!(site.outcome(1), Some(&JobOutcome::Late));
@@ -124,7 +124,7 @@
 #[test]
 fn room_is_kept() {
     let mut site = Site::new(1);
-    let large = |n| stage_site::Wanted { bytes: 3_000_000, ..job(n, 5) };
+    let large = |n| scheduler_harness::Wanted { bytes: 3_000_000, ..job(n, 5) };
     for number in 0..3 {
         site.offer(large(number));
         site.run(1);
@@ -141,10 +141,10 @@
 #[test]
 fn waits_for_near() {
     let mut site = Site::new(3);
-    let near = |wait_ms| Some(Near { centre: CentreName::new("c0"), wait_ms });
-    site.offer(stage_site::Wanted { near: near(400), ..job(0, 8) });
-    site.offer(stage_site::Wanted { near: near(400), ..job(1, 8) });
-    site.offer(stage_site::Wanted { near: near(100), ..job(2, 8) });
+    let near = |wait_ms| Some(Locality { centre: CentreName::new("c0"), wait_ms });
+    site.offer(scheduler_harness::Wanted { near: near(400), ..job(0, 8) });
+    site.offer(scheduler_harness::Wanted { near: near(400), ..job(1, 8) });
+    site.offer(scheduler_harness::Wanted { near: near(100), ..job(2, 8) });
     site.run(1_000);
     assert_eq!((site.place(0), site.place(1)), ("c0", "c0"));
     assert_ne!(site.place(2), "c0");
@@ -178,15 +178,23 @@
     let mut site = Site::new(1);
     site.offer(job(0, 8));
     // Late already, and with the earlier due.
-    let late = stage_site::Wanted { due_ms: 0, priority: Pace::Late.rank(0), ..job(1, 8) };
+    let late = scheduler_harness::Wanted {
+        due_ms: 0,
+        priority: Timeliness::Late.priority(0),
+        ..job(1, 8)
+    };
     site.offer(late);
-    site.offer(stage_site::Wanted { due_ms: 1_200, ..job(2, 8) });
+    site.offer(scheduler_harness::Wanted { due_ms: 1_200, ..job(2, 8) });
     site.run(2_000);
     assert_eq!(site.order(), [0, 2, 1]);
     // It makes no new work wait.
     site.offer(job(3, 8));
-    site.offer(stage_site::Wanted { due_ms: 0, priority: Pace::Late.rank(0), ..job(4, 8) });
-    assert!(site.book(&stage_site::Wanted { due_ms: 900, ..job(5, 8) }));
+    site.offer(scheduler_harness::Wanted {
+        due_ms: 0,
+        priority: Timeliness::Late.priority(0),
+        ..job(4, 8)
+    });
+    assert!(site.book(&scheduler_harness::Wanted { due_ms: 900, ..job(5, 8) }));
 }
 
 #[test]
@@ -197,7 +205,8 @@
             site.offer(job(u32::try_from(number).unwrap(), 1));
             site.run(flow_ms.unwrap());
         }
-        let late = stage_site::Wanted { priority: Pace::Late.rank(0), ..job(5_000, 1) };
+        let late =
+            scheduler_harness::Wanted { priority: Timeliness::Late.priority(0), ..job(5_000, 1) };
         site.drain(&late)
     };
     // Work in time that takes nine tenths of the targets leaves late work little.
@@ -215,7 +224,7 @@
     let mut site = Site::new(2);
     let one = |site: &mut Site, number| {
         let booked = site.booked(&job(number, 8));
-        Duration::from_millis(booked.own_ms)
+        Duration::from_millis(booked.run_ms)
     };
     let before = one(&mut site, 9_000);
     assert_eq!(before, Duration::from_millis(278));
@@ -232,12 +241,12 @@
 #[test]
 fn busy_targets_take_turns() {
     let mut site = Site::new(3);
-    assert_eq!(site.booked(&job(900, 8)).turn_ms, 0);
+    assert_eq!(site.booked(&job(900, 8)).slot_wait_ms, 0);
     for number in 0..3 {
         site.offer(job(number, 8));
     }
     // Three calls of 278 ms that end at any time: the first after a quarter, about.
-    assert_eq!(site.booked(&job(901, 8)).turn_ms, 69);
+    assert_eq!(site.booked(&job(901, 8)).slot_wait_ms, 69);
 }
 
 #[rstest]
@@ -247,8 +256,8 @@
 fn higher_ranks_go_first(#[case] high: u16, #[case] low: u16) {
     let mut site = Site::new(1);
     site.offer(job(0, 8));
-    site.offer(stage_site::Wanted { priority: low, ..job(1, 8) });
-    site.offer(stage_site::Wanted { priority: high, due_ms: 2_300, ..job(2, 8) });
+    site.offer(scheduler_harness::Wanted { priority: low, ..job(1, 8) });
+    site.offer(scheduler_harness::Wanted { priority: high, due_ms: 2_300, ..job(2, 8) });
     site.run(2_000);
     assert_eq!(site.order(), [0, 2, 1]);
 }
@@ -261,7 +270,7 @@
         site.offer(job(number, 1));
         site.run(25);
     }
-    let mut drain = |priority| site.drain(&stage_site::Wanted { priority, ..job(5_000, 1) });
+    let mut drain = |priority| site.drain(&scheduler_harness::Wanted { priority, ..job(5_000, 1) });
     let (high, low) = (drain(0), drain(1));
     assert!(low > high * 2, "{high:?} {low:?}");
 }
--- a/hawthornkeel_core/tests/target_choice.rs
+++ b/hawthornkeel_core/tests/target_choice.rs
@@ -2,22 +2,22 @@
 
 use std::time::Duration;
 
-use hawthornkeel_core::fleet::Listed;
-use hawthornkeel_core::fleet::Listing;
+use hawthornkeel_core::fleet::ListedTarget;
+use hawthornkeel_core::fleet::TargetList;
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::PoolName;
 use hawthornkeel_core::names::TargetName;
-use hawthornkeel_core::place::board::Ask;
-use hawthornkeel_core::place::board::Board;
-use hawthornkeel_core::place::board::NoTarget;
-use hawthornkeel_core::place::health::Ended;
-use hawthornkeel_core::table::pool::Cold;
+use hawthornkeel_core::placement::balancer::Balancer;
+use hawthornkeel_core::placement::balancer::NoTarget;
+use hawthornkeel_core::placement::balancer::TargetQuery;
+use hawthornkeel_core::placement::health::TargetOutcome;
+use hawthornkeel_core::table::pool::ColdLimit;
 use hawthornkeel_core::time::Instant;
 
-const COLD: Cold = Cold { time: Duration::from_secs(3), rate: 18.0 };
+const COLD: ColdLimit = ColdLimit { duration: Duration::from_secs(3), rate: 18.0 };
 
-fn listed(number: u16, cold_ms: u64) -> Listed {
-    Listed {
+fn listed(number: u16, cold_ms: u64) -> ListedTarget {
+    ListedTarget {
         name: TargetName::new(&format!("t{number}")),
         pool: PoolName::new("engines"),
         address: ([10, 0, 0, 1], 8000 + number).into(),
@@ -28,10 +28,10 @@
     }
 }
 
-fn board(count: u16) -> Board {
-    let mut board = Board::default();
+fn board(count: u16) -> Balancer {
+    let mut board = Balancer::default();
     let targets = (0..count).map(|n| listed(n, 0)).collect();
-    board.update(at(0), &Listing { targets, mark: 1 });
+    board.update(at(0), &TargetList { targets, mark: 1 });
     board
 }
 
@@ -39,8 +39,8 @@
     Instant::from_millis(1_000_000 + millis)
 }
 
-fn ask(pool: &PoolName, session: u64) -> Ask<'_> {
-    Ask { pool, session, centre: None, tried: &[], cold: Some(COLD), entries: 8 }
+fn ask(pool: &PoolName, session: u64) -> TargetQuery<'_> {
+    TargetQuery { pool, session, centre: None, tried: &[], cold: Some(COLD), entries: 8 }
 }
 
 #[test]
@@ -50,10 +50,10 @@
     let mut loads = [0; 9];
     for session in 0..900 {
         let chosen = one.choose(at(0), &ask(&pool, session)).unwrap();
-        one.ended(at(0), &chosen.name, Ended::Well);
+        one.record_outcome(at(0), &chosen.name, TargetOutcome::Succeeded);
         // Another entry sends the same session to the same target.
         let same = other.choose(at(0), &ask(&pool, session)).unwrap();
-        other.ended(at(0), &same.name, Ended::Well);
+        other.record_outcome(at(0), &same.name, TargetOutcome::Succeeded);
         assert_eq!((&chosen.name, chosen.address), (&same.name, same.address));
         loads[usize::from(chosen.address.port() - 8000)] += 1;
     }
@@ -85,8 +85,9 @@
         let now = at(session * 20);
         let chosen = board.choose(now, &ask(&pool, session)).unwrap();
         sent += u32::from(chosen.name == bad);
-        let ended = if chosen.name == bad { Ended::Badly } else { Ended::Well };
-        board.ended(now, &chosen.name, ended);
+        let ended =
+            if chosen.name == bad { TargetOutcome::Failed } else { TargetOutcome::Succeeded };
+        board.record_outcome(now, &chosen.name, ended);
     }
     // An even share would be 100; some go on being sent, to see when it is well again.
     assert!((3..40).contains(&sent), "{sent}");
@@ -95,9 +96,9 @@
 #[test]
 fn cold_share_kept() {
     let pool = PoolName::new("engines");
-    let mut boards: Vec<Board> = (0..8).map(|_| board(1)).collect();
+    let mut boards: Vec<Balancer> = (0..8).map(|_| board(1)).collect();
     for board in &mut boards {
-        board.update(at(0), &Listing { targets: [listed(0, 3_000)].into(), mark: 2 });
+        board.update(at(0), &TargetList { targets: [listed(0, 3_000)].into(), mark: 2 });
     }
     let mut sent = Vec::new();
     for ms in 0..3_000 {
@@ -119,10 +120,10 @@
     let pool = PoolName::new("engines");
     let mut board = board(1);
     let two = [listed(0, 0), listed(1, 0)].into();
-    board.update(at(100), &Listing { targets: two, mark: 2 });
-    let chosen = |board: &mut Board, now, session| {
+    board.update(at(100), &TargetList { targets: two, mark: 2 });
+    let chosen = |board: &mut Balancer, now, session| {
         let chosen = board.choose(now, &ask(&pool, session)).unwrap();
-        board.ended(now, &chosen.name, Ended::Well);
+        board.record_outcome(now, &chosen.name, TargetOutcome::Succeeded);
         chosen
     };
     let cold = (0..50).filter(|s| chosen(&mut board, at(200 + s), *s).cold).count();
@@ -136,12 +137,16 @@
     let pool = PoolName::new("engines");
     let mut board = board(9);
     for number in [1, 4] {
-        board.ended(at(0), &TargetName::new(&format!("t{number}")), Ended::Unreached);
+        board.record_outcome(
+            at(0),
+            &TargetName::new(&format!("t{number}")),
+            TargetOutcome::Unreached,
+        );
     }
     // The third target of the data centre was not tried, and is avoided with the two.
     let chosen = (0..200).filter(|s| {
         let chosen = board.choose(at(10), &ask(&pool, *s)).unwrap();
-        board.ended(at(10), &chosen.name, Ended::GivenUp);
+        board.record_outcome(at(10), &chosen.name, TargetOutcome::Abandoned);
         chosen.centre.as_str() == "b"
     });
     assert!(chosen.count() < 5);
@@ -151,10 +156,10 @@
 fn taken_out_gets_none() {
     let pool = PoolName::new("engines");
     let mut board = board(3);
-    board.set_out(at(0), vec![CentreName::new("a"), CentreName::new("b")]);
+    board.set_taken_out(at(0), vec![CentreName::new("a"), CentreName::new("b")]);
     for session in 0..50 {
         assert_eq!(board.choose(at(0), &ask(&pool, session)).unwrap().name.as_str(), "t2");
     }
-    board.set_out(at(0), ["a", "b", "c"].map(CentreName::new).to_vec());
+    board.set_taken_out(at(0), ["a", "b", "c"].map(CentreName::new).to_vec());
     assert_eq!(board.choose(at(0), &ask(&pool, 1)).unwrap_err(), NoTarget::Empty);
 }
