--- a/hawthornkeel_core/src/routing/target/grants.rs
+++ b/hawthornkeel_core/src/routing/target/grants.rs
@@ -31,7 +31,7 @@
     /// Tells whether a grant would be of use now.
     pub fn wants_grant(&self, now: Instant) -> bool {
         let proved = self.warmth == Warmth::Warm;
-        self.takes_work() && !proved && now >= self.down_until && self.grants.is_empty()
+        self.accepts_work() && !proved && now >= self.down_until && self.grants.is_empty()
     }
 
     /// Returns the number of a grant request that is due now: a new one, or one sent again.
@@ -47,8 +47,8 @@
         if now < self.ask_after {
             return None;
         }
-        self.ask_after = now + lease.resend;
-        let old = |p: &Pending| now.since(p.sent) >= lease.grant / RENUMBER_PART;
+        self.ask_after = now + lease.resend_timeout;
+        let old = |p: &Pending| now.since(p.sent) >= lease.grant_duration / RENUMBER_PART;
         self.pending.take_if(|p| old(p));
         let pending = self.pending.get_or_insert_with(|| {
             *next += 1;
