--- a/hawthornkeel_core/src/routing/candidate.rs
+++ b/hawthornkeel_core/src/routing/candidate.rs
@@ -1,33 +1,36 @@
-//! What a choice reads of a target.
+//! Per-target data read by target selection.
 
-/// How a target can be chosen now.
+/// Availability class of a target.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) enum Class {
-    /// Not at all.
+    /// Can't be selected now.
     #[default]
-    Closed,
-    /// Warm and of the own data centre.
+    Unavailable,
+    /// Warm, in the entry's own data centre.
     Near,
-    /// Warm and of another data centre.
+    /// Warm, in another data centre.
     Far,
-    /// Cold, with a grant in hand.
+    /// Cold, with an unused grant.
     Cold,
 }
 
-/// What a choice reads of a target: small and kept apart, so that a scan of many is quick.
+/// Summary of a target for selection.
+///
+/// Stored apart from the target's state and kept small, so that a scan of many targets stays in
+/// cache.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Hot {
-    /// Expected time of a call, in microseconds.
+pub(crate) struct Candidate {
+    /// Expected call time in microseconds.
     pub score: f32,
-    /// Calls that the target is expected to bear for this entry.
+    /// Concurrent calls of this entry that the target is expected to sustain.
     pub capacity: u16,
-    /// Number of the data centre in the pool.
+    /// Index of the data centre in the pool.
     pub centre: u16,
     pub class: Class,
     pub near: bool,
-    /// Whether the target takes work and is proved warm.
+    /// Whether the target accepts work and is proved warm.
     pub warm: bool,
-    /// Whether the target takes work and isn't down.
+    /// Whether the target accepts work and isn't down.
     pub usable: bool,
     /// Whether the last call failed.
     pub failing: bool,
--- a/hawthornkeel_core/src/routing/fair_queue.rs
+++ b/hawthornkeel_core/src/routing/fair_queue.rs
@@ -1,4 +1,4 @@
-//! Queue of waiting calls, served by weighted fair shares of their workspaces.
+//! Queue of waiting calls, scheduled by weighted fair queueing over workspaces.
 
 use std::collections::VecDeque;
 
@@ -11,50 +11,50 @@
 
 /// Call that waits for a target.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitingCall {
     pub request: StageRequest,
-    /// Time at which the stage's answer is needed.
-    pub latest: Instant,
-    /// Time at which the wait ends in a refusal.
-    pub until: Instant,
+    /// Time by which the stage must be answered.
+    pub stage_deadline: Instant,
+    /// Time at which the call is refused if it still waits.
+    pub expires: Instant,
 }
 
-/// Calls of a lane that are passed over for one that can be sent, at most.
-const PASSED_MAX: usize = 16;
+/// Maximum number of calls of a flow that are skipped to find one that can be sent.
+const MAX_SKIPPED: usize = 16;
 
-/// Place of a waiting call.
+/// Position of a waiting call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct Place {
-    lane: usize,
-    position: usize,
+pub(crate) struct Position {
+    flow: usize,
+    index: usize,
 }
 
-/// Calls at the head of each lane that can't be sent now.
+/// Calls at the head of each flow that can't be sent now.
 #[derive(Debug, Default)]
-pub(crate) struct Passed {
-    lanes: IndexMap<usize, usize>,
+pub(crate) struct Skipped {
+    flows: IndexMap<usize, usize>,
 }
 
-impl Passed {
-    /// Passes over the call at a place.
-    pub fn add(&mut self, place: Place) {
-        self.lanes.insert(place.lane, place.position + 1);
+impl Skipped {
+    /// Skips the call at a position.
+    pub fn add(&mut self, position: Position) {
+        self.flows.insert(position.flow, position.index + 1);
     }
 }
 
 /// Waiting calls of one workspace.
 #[derive(Debug)]
-struct Lane {
+struct Flow {
     weight: f64,
-    /// Virtual time at which the lane's last served call ends.
-    finish: f64,
-    calls: VecDeque<Waiting>,
+    /// Virtual finish time of the last dequeued call.
+    finish_tag: f64,
+    calls: VecDeque<WaitingCall>,
 }
 
-impl Lane {
-    /// Returns the position of a new call: by priority, then by deadline, then by arrival.
+impl Flow {
+    /// Returns the index of a new call, in order of priority, then deadline, then arrival.
     fn position(&self, request: &StageRequest) -> usize {
-        let before = |w: &Waiting| {
+        let before = |w: &WaitingCall| {
             let other = &w.request;
             other.priority > request.priority
                 || (other.priority == request.priority && other.deadline <= request.deadline)
@@ -63,21 +63,21 @@
     }
 }
 
-/// Returns the lane of a call: its workspace at the first stage, and one for all at later stages.
+/// Returns the flow of a call: its workspace for the first stage, one shared flow for later stages.
 ///
-/// Admission has held workspaces to their shares by then, and work was spent on the request, so
-/// that the earliest deadline goes first.
-fn lane_of(request: &StageRequest) -> WorkspaceName {
+/// Admission has already held workspaces to their shares and work has been spent on the request, so
+/// later stages are ordered by the earliest deadline.
+fn flow_of(request: &StageRequest) -> WorkspaceName {
     if request.call.stage.0 == 0 { request.workspace.clone() } else { WorkspaceName::default() }
 }
 
-/// Start-time fair queue: serves the lane with the lowest start tag.
+/// Start-time fair queue: dequeues from the flow with the lowest start tag.
 #[derive(Debug, Default)]
 pub(crate) struct FairQueue {
-    lanes: IndexMap<WorkspaceName, Lane>,
-    clock: f64,
+    flows: IndexMap<WorkspaceName, Flow>,
+    virtual_time: f64,
     len: usize,
-    expiry: Option<Instant>,
+    next_expiry: Option<Instant>,
 }
 
 impl FairQueue {
@@ -86,97 +86,99 @@
         self.len
     }
 
-    /// Returns the earliest time at which a wait may end.
-    pub fn expiry(&self) -> Option<Instant> {
-        self.expiry
+    /// Returns a lower bound on the time at which the next call expires.
+    pub fn next_expiry(&self) -> Option<Instant> {
+        self.next_expiry
     }
 
-    /// Returns the calls that are served before a new one.
-    pub fn ahead(&self, request: &StageRequest, weight: f64) -> f64 {
-        let key = lane_of(request);
-        let own = self.lanes.get(&key).map_or(0, |l| l.position(request)) as f64;
+    /// Returns the expected number of calls that are dequeued before a new one.
+    pub fn calls_ahead(&self, request: &StageRequest, weight: f64) -> f64 {
+        let key = flow_of(request);
+        let own = self.flows.get(&key).map_or(0, |f| f.position(request)) as f64;
         let rounds = (own + 1.0) / weight;
-        let others = self.lanes.iter().filter(|(name, _)| **name != key);
-        own + others.map(|(_, l)| (l.calls.len() as f64).min(rounds * l.weight)).sum::<f64>()
+        let others = self.flows.iter().filter(|(name, _)| **name != key);
+        own + others.map(|(_, f)| (f.calls.len() as f64).min(rounds * f.weight)).sum::<f64>()
     }
 
-    /// Adds a call to those of its workspace, by priority and then by deadline.
-    pub fn push(&mut self, waiting: Waiting, weight: f64) {
-        let clock = self.clock;
-        self.expiry = Some(self.expiry.map_or(waiting.until, |e| e.min(waiting.until)));
-        let name = lane_of(&waiting.request);
-        let new = || Lane { weight, finish: clock, calls: VecDeque::new() };
-        let lane = self.lanes.entry(name).or_insert_with(new);
-        lane.weight = weight;
-        let position = lane.position(&waiting.request);
-        lane.calls.insert(position, waiting);
+    /// Adds a call to its flow, in order of priority and then deadline.
+    pub fn push(&mut self, waiting: WaitingCall, weight: f64) {
+        let virtual_time = self.virtual_time;
+        self.next_expiry =
+            Some(self.next_expiry.map_or(waiting.expires, |e| e.min(waiting.expires)));
+        let name = flow_of(&waiting.request);
+        let new = || Flow { weight, finish_tag: virtual_time, calls: VecDeque::new() };
+        let flow = self.flows.entry(name).or_insert_with(new);
+        flow.weight = weight;
+        let index = flow.position(&waiting.request);
+        flow.calls.insert(index, waiting);
         self.len += 1;
     }
 
-    /// Returns the place to be served next and its call, but for those passed over.
-    pub fn next(&self, passed: &Passed) -> Option<(Place, &Waiting)> {
-        let mut best: Option<(Place, f64, &Waiting)> = None;
-        for (lane, state) in self.lanes.values().enumerate() {
-            let position = passed.lanes.get(&lane).copied().unwrap_or(0);
-            let Some(call) = state.calls.get(position).filter(|_| position < PASSED_MAX) else {
+    /// Returns the next call to dequeue and its position, ignoring skipped calls.
+    pub fn next(&self, skipped: &Skipped) -> Option<(Position, &WaitingCall)> {
+        let mut best: Option<(Position, f64, &WaitingCall)> = None;
+        for (flow, state) in self.flows.values().enumerate() {
+            let index = skipped.flows.get(&flow).copied().unwrap_or(0);
+            let Some(call) = state.calls.get(index).filter(|_| index < MAX_SKIPPED) else {
                 continue;
             };
-            let start = state.finish.max(self.clock);
+            let start = state.finish_tag.max(self.virtual_time);
             if best.as_ref().is_none_or(|(_, tag, _)| start < *tag) {
-                best = Some((Place { lane, position }, start, call));
+                best = Some((Position { flow, index }, start, call));
             }
         }
-        best.map(|(place, _, waiting)| (place, waiting))
+        best.map(|(position, _, waiting)| (position, waiting))
     }
 
-    /// Returns the call that has most time left, by the ends of the lanes.
-    pub fn latest(&self) -> Option<(Place, &Waiting)> {
-        let ends = self.lanes.values().enumerate().filter_map(|(lane, state)| {
+    /// Returns the call with the latest stage deadline among the last calls of all flows.
+    pub fn latest(&self) -> Option<(Position, &WaitingCall)> {
+        let ends = self.flows.values().enumerate().filter_map(|(flow, state)| {
             let call = state.calls.back()?;
-            Some((Place { lane, position: state.calls.len() - 1 }, call))
+            Some((Position { flow, index: state.calls.len() - 1 }, call))
         });
-        ends.max_by_key(|(_, waiting)| waiting.latest)
+        ends.max_by_key(|(_, waiting)| waiting.stage_deadline)
     }
 
-    /// Removes the call at a place and charges its lane.
-    pub fn serve(&mut self, place: Place) -> Option<Waiting> {
-        let (_, lane) = self.lanes.get_index_mut(place.lane)?;
-        let waiting = lane.calls.remove(place.position)?;
-        let start = lane.finish.max(self.clock);
-        lane.finish = start + 1.0 / lane.weight;
-        self.clock = start;
+    /// Removes the call at a position and charges its flow.
+    pub fn dequeue(&mut self, position: Position) -> Option<WaitingCall> {
+        let (_, flow) = self.flows.get_index_mut(position.flow)?;
+        let waiting = flow.calls.remove(position.index)?;
+        let start = flow.finish_tag.max(self.virtual_time);
+        flow.finish_tag = start + 1.0 / flow.weight;
+        self.virtual_time = start;
         self.len -= 1;
         Some(waiting)
     }
 
-    /// Removes a call, without a charge.
-    pub fn remove(&mut self, call: CallId) -> Option<Waiting> {
-        for lane in self.lanes.values_mut() {
-            let Some(at) = lane.calls.iter().position(|w| w.request.call == call) else {
+    /// Removes a call without charging its flow.
+    pub fn remove(&mut self, call: CallId) -> Option<WaitingCall> {
+        for flow in self.flows.values_mut() {
+            let Some(at) = flow.calls.iter().position(|w| w.request.call == call) else {
                 continue;
             };
             self.len -= 1;
-            return lane.calls.remove(at);
+            return flow.calls.remove(at);
         }
         None
     }
 
-    /// Removes and returns the calls whose wait has ended, and lanes that are no longer needed.
-    pub fn expire(&mut self, now: Instant) -> Vec<Waiting> {
-        if self.expiry.is_none_or(|e| now < e) {
+    /// Removes and returns expired calls, and drops idle flows.
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<WaitingCall> {
+        if self.next_expiry.is_none_or(|e| now < e) {
             return Vec::new();
         }
         let mut expired = Vec::new();
-        for lane in self.lanes.values_mut() {
-            let (old, kept) = lane.calls.drain(..).partition(|w| w.until <= now);
-            lane.calls = kept;
-            let old: VecDeque<Waiting> = old;
+        for flow in self.flows.values_mut() {
+            let (old, kept) = flow.calls.drain(..).partition(|w| w.expires <= now);
+            flow.calls = kept;
+            let old: VecDeque<WaitingCall> = old;
             expired.extend(old);
         }
         self.len -= expired.len();
-        let clock = self.clock;
-        self.lanes.retain(|_, l| !l.calls.is_empty() || l.finish > clock);
-        self.expiry = self.lanes.values().flat_map(|l| l.calls.iter().map(|w| w.until)).min();
+        let virtual_time = self.virtual_time;
+        self.flows.retain(|_, f| !f.calls.is_empty() || f.finish_tag > virtual_time);
+        self.next_expiry =
+            self.flows.values().flat_map(|f| f.calls.iter().map(|w| w.expires)).min();
         expired
     }
 }
--- a/hawthornkeel_core/src/routing/grants.rs
+++ b/hawthornkeel_core/src/routing/grants.rs
@@ -1,4 +1,4 @@
-//! Grants for calls to cold targets, as an entry asks for them, holds them and gives them back.
+//! Grants for calls to cold targets: how an entry requests, holds and releases them.
 
 use std::time::Duration;
 
@@ -22,61 +22,67 @@
 use crate::routing::target::Warmth;
 use crate::time::Instant;
 
-/// Time for which a pool counts as wanted after its last call.
-const WANTED: Duration = Duration::from_secs(2);
-/// Time between two looks at the cold targets.
-const SCAN_PAUSE: Duration = Duration::from_millis(10);
+/// Time after a pool's last call during which grants are requested for it.
+const DEMAND_WINDOW: Duration = Duration::from_secs(2);
+/// Interval between scans of the cold targets.
+const SCAN_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Router {
-    /// Takes a message of an issuer.
+    /// Handles a message of an issuer.
     pub fn handle_message(&mut self, now: Instant, message: &GrantMessage) {
         match message {
             GrantMessage::Announce { centre, issuer, term } => {
-                self.take_issuer(now, centre, issuer, *term);
+                self.update_issuer(now, centre, issuer, *term);
             }
             GrantMessage::Granted { number, grant, target, lasts } => {
-                self.take_grant(now, target, *number, grant, *lasts);
+                self.accept_grant(now, target, *number, grant, *lasts);
             }
             GrantMessage::Warm { grant, target, incarnation } => {
-                self.take_warm(now, target, grant, *incarnation);
+                self.confirm_warm(now, target, grant, *incarnation);
             }
             GrantMessage::Suspect { target, doubt, .. } => {
-                self.suspect(now, target, *doubt, false);
+                self.mark_suspect(now, target, *doubt, false);
             }
             _ => {}
         }
     }
 
-    /// Returns the messages for issuers.
+    /// Returns the messages to send to issuers.
     pub fn take_messages(&mut self, now: Instant) -> Vec<GrantOutput> {
         if now >= self.next_scan {
-            self.next_scan = now + SCAN_PAUSE;
-            self.give_back_unused(now);
-            self.ask_for_grants(now);
+            self.next_scan = now + SCAN_INTERVAL;
+            self.release_unused(now);
+            self.request_grants(now);
         }
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes a target for possibly cold, and tells its issuer where `tell` says so.
-    pub(crate) fn suspect(&mut self, now: Instant, target: &TargetName, doubt: Doubt, tell: bool) {
+    /// Marks a target as possibly cold, and notifies its issuer if `notify` is set.
+    pub(crate) fn mark_suspect(
+        &mut self,
+        now: Instant,
+        target: &TargetName,
+        doubt: Doubt,
+        notify: bool,
+    ) {
         let Some(mut found) = self.find(target) else {
             return;
         };
         let Some(state) = found.target() else {
             return;
         };
-        let known = if doubt == Doubt::Overload { state.named.present } else { None };
-        let was_warm = state.suspect();
+        let current = if doubt == Doubt::Overload { state.incarnations.current } else { None };
+        let was_warm = state.mark_suspect();
         let centre = state.info.centre.clone();
         found.refresh(now);
-        if tell && was_warm {
-            let (target, incarnation) = (target.clone(), known);
+        if notify && was_warm {
+            let (target, incarnation) = (target.clone(), current);
             let message = GrantMessage::Suspect { target, incarnation, doubt };
-            self.tell(&centre, message);
+            self.send_to_issuer(&centre, message);
         }
     }
 
-    /// Gives a grant back to its issuer.
+    /// Releases a grant to its issuer.
     pub(crate) fn release(&mut self, target: &TargetName, grant: GrantId, outcome: GrantOutcome) {
         let found = self.issuers.iter().find(|(_, i)| i.id == grant.issuer);
         let Some((centre, issuer)) = found.map(|(c, i)| (c.clone(), i.id.clone())) else {
@@ -88,8 +94,8 @@
         self.next_scan = Instant::ZERO;
     }
 
-    /// Takes a grant, unless its request was given up.
-    fn take_grant(
+    /// Stores a grant, unless its request is no longer pending.
+    fn accept_grant(
         &mut self,
         now: Instant,
         target: &TargetName,
@@ -106,13 +112,13 @@
         let Some(pending) = state.pending.take_if(|p| p.number == number) else {
             return;
         };
-        let (use_by, until) = (pending.sent + lasts / 2, pending.sent + lasts);
-        state.grants.push(Grant { id: grant.clone(), got: now, use_by, until });
+        let (use_by, expires) = (pending.first_sent + lasts / 2, pending.first_sent + lasts);
+        state.grants.push(Grant { id: grant.clone(), received: now, use_by, expires });
         found.refresh(now);
     }
 
-    /// Takes the issuer's word that a target is warm, where the own last answer agrees with it.
-    fn take_warm(
+    /// Marks a target as warm, as confirmed by its issuer, if the last own answer agrees.
+    fn confirm_warm(
         &mut self,
         now: Instant,
         target: &TargetName,
@@ -125,16 +131,16 @@
         let Some(state) = found.target() else {
             return;
         };
-        let same = incarnation.is_none() || state.named.present == incarnation;
-        if state.proof.as_ref() == Some(grant) && same {
+        let same = incarnation.is_none() || state.incarnations.current == incarnation;
+        if state.answered_grant.as_ref() == Some(grant) && same {
             state.warmth = Warmth::Warm;
-            state.limit.restart();
+            state.limit.reset();
             found.refresh(now);
         }
     }
 
-    /// Takes a data centre's issuer; a new one is told which targets are known to be warm.
-    fn take_issuer(&mut self, now: Instant, centre: &CentreName, issuer: &MemberId, term: u64) {
+    /// Updates a data centre's issuer. A new one is told which targets are known to be warm.
+    fn update_issuer(&mut self, now: Instant, centre: &CentreName, issuer: &MemberId, term: u64) {
         let known = self.issuers.get(centre);
         if known.is_some_and(|k| k.id == *issuer && k.term >= term) {
             return;
@@ -146,28 +152,29 @@
                 continue;
             }
             target.pending = None;
-            if let (Warmth::Warm, Some(incarnation)) = (target.warmth, target.named.present) {
+            if let (Warmth::Warm, Some(incarnation)) = (target.warmth, target.incarnations.current)
+            {
                 warm.push(GrantMessage::Vouch { target: target.info.name.clone(), incarnation });
             }
         }
         for message in warm {
-            self.tell(centre, message);
+            self.send_to_issuer(centre, message);
         }
         self.next_scan = now;
     }
 
-    /// Queues a message for the issuer of a data centre, where one is known.
-    fn tell(&mut self, centre: &CentreName, message: GrantMessage) {
+    /// Queues a message to the issuer of a data centre, if one is known.
+    fn send_to_issuer(&mut self, centre: &CentreName, message: GrantMessage) {
         if let Some(known) = self.issuers.get(centre) {
             let (centre, issuer) = (centre.clone(), known.id.clone());
             self.outputs.push(GrantOutput { centre, issuer, message });
         }
     }
 
-    /// Gives back grants that no call has used.
-    fn give_back_unused(&mut self, now: Instant) {
+    /// Releases grants that remained unused for `LeaseSettings::unused`.
+    fn release_unused(&mut self, now: Instant) {
         let unused = self.lease.unused;
-        let mut back = Vec::new();
+        let mut released = Vec::new();
         for pool in self.pools.values_mut() {
             for index in 0..pool.targets.len() {
                 let Some((name, target)) = pool.targets.get_index_mut(index) else {
@@ -177,60 +184,61 @@
                     continue;
                 }
                 let (old, kept) =
-                    target.grants.drain(..).partition(|g: &Grant| now.since(g.got) >= unused);
+                    target.grants.drain(..).partition(|g: &Grant| now.since(g.received) >= unused);
                 target.grants = kept;
                 let old: Vec<Grant> = old;
-                back.extend(old.into_iter().map(|g| (name.clone(), g.id)));
+                released.extend(old.into_iter().map(|g| (name.clone(), g.id)));
                 pool.refresh(now, index, &self.settings);
             }
         }
-        for (target, grant) in back {
+        for (target, grant) in released {
             self.release(&target, grant, GrantOutcome::Unused);
         }
     }
 
-    /// Asks for grants for the cold targets of pools that are wanted.
-    fn ask_for_grants(&mut self, now: Instant) {
-        let mut asks = Vec::new();
+    /// Requests grants for the cold targets of pools that are in demand.
+    fn request_grants(&mut self, now: Instant) {
+        let mut requests = Vec::new();
         for pool in self.pools.values_mut() {
-            let recent = pool.wanted.is_some_and(|at| now.since(at) < WANTED);
+            let recent = pool.last_request.is_some_and(|at| now.since(at) < DEMAND_WINDOW);
             if recent || pool.queue.len() > 0 {
-                asks.extend(wanted_grants(pool, now, &self.lease, &mut self.next_request));
+                requests.extend(due_requests(pool, now, &self.lease, &mut self.request_counter));
             }
         }
-        for (centre, pool, target, number) in asks {
+        for (centre, pool, target, number) in requests {
             let entry = self.own.id.clone();
-            self.tell(&centre, GrantMessage::Request { entry, number, target, pool });
+            self.send_to_issuer(&centre, GrantMessage::Request { entry, number, target, pool });
         }
     }
 }
 
-/// Grant request that is due: data centre, pool, target and number.
-type Ask = (CentreName, PoolName, TargetName, u64);
+/// Grant request to send: data centre, pool, target and number.
+type GrantRequest = (CentreName, PoolName, TargetName, u64);
 
-/// Returns the grant requests that are due for a pool.
+/// Returns the grant requests to send now for a pool.
 ///
-/// Near targets are asked for all at once; far ones one at a time while near ones have room.
-fn wanted_grants(
+/// Grants for near targets are requested all at once, those for far ones one at a time while a
+/// near target is available.
+fn due_requests(
     pool: &mut PoolState,
     now: Instant,
     lease: &LeaseSettings,
-    next: &mut u64,
-) -> Vec<Ask> {
-    let mut asks = Vec::new();
-    let near_room = pool.hot.iter().any(|h| h.near && h.class != Class::Closed);
-    let in_hand = |t: &Target| !t.near && (t.pending.is_some() || !t.grants.is_empty());
-    let mut far_busy = near_room && pool.targets.values().any(in_hand);
+    counter: &mut u64,
+) -> Vec<GrantRequest> {
+    let mut requests = Vec::new();
+    let near_available = pool.candidates.iter().any(|c| c.near && c.class != Class::Unavailable);
+    let in_use = |t: &Target| !t.near && (t.pending.is_some() || !t.grants.is_empty());
+    let mut far_busy = near_available && pool.targets.values().any(in_use);
     for target in pool.targets.values_mut() {
         let far = !target.near;
-        if !target.wants_grant(now) || (far && far_busy && target.pending.is_none()) {
+        if !target.needs_grant(now) || (far && far_busy && target.pending.is_none()) {
             continue;
         }
-        far_busy |= far && near_room;
-        if let Some(number) = target.due_request(now, lease, next) {
+        far_busy |= far && near_available;
+        if let Some(number) = target.due_request(now, lease, counter) {
             let info = &target.info;
-            asks.push((info.centre.clone(), info.pool.clone(), info.name.clone(), number));
+            requests.push((info.centre.clone(), info.pool.clone(), info.name.clone(), number));
         }
     }
-    asks
+    requests
 }
--- a/hawthornkeel_core/src/routing/incarnation.rs
+++ b/hawthornkeel_core/src/routing/incarnation.rs
@@ -1,59 +1,64 @@
-//! What an entry knows of the incarnations of one target.
+//! Tracking of a target's incarnations.
 
 use crate::ids::Incarnation;
 use crate::time::Instant;
 
-/// What an incarnation that a target named is beside the known one.
+/// Relation of an observed incarnation to the current one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Word {
-    /// The known one, or the first one heard of.
-    Same,
-    /// An earlier one: the answer is late.
-    Late,
+pub(crate) enum Observation {
+    /// The current one, or the first one observed.
+    Current,
+    /// An earlier one: the answer or report is late.
+    Stale,
     /// A new one: the target has restarted.
-    New,
+    Restarted,
 }
 
-/// Incarnations of a target, as it has named them.
+/// Incarnations that a target has reported.
 #[derive(Debug)]
-pub(crate) struct Named {
-    pub present: Option<Incarnation>,
-    /// Incarnation before the present one, whose late reports don't count.
-    retired: Option<Incarnation>,
-    /// When the present incarnation was first heard of.
-    since: Instant,
+pub(crate) struct IncarnationTracker {
+    pub current: Option<Incarnation>,
+    /// Incarnation before the current one. Late reports of it are ignored.
+    previous: Option<Incarnation>,
+    /// When the current incarnation was first observed.
+    current_since: Instant,
 }
 
-impl Named {
-    /// Creates the state of a target that has named none.
+impl IncarnationTracker {
+    /// Creates a tracker without any observed incarnation.
     pub fn new(now: Instant) -> Self {
-        Self { present: None, retired: None, since: now }
+        Self { current: None, previous: None, current_since: now }
     }
 
-    /// Takes the incarnation named in answer to a call that was given at `given`.
+    /// Records the incarnation named by the answer to a call that was issued at `issued`.
     ///
-    /// A call given after the present incarnation was first heard of can't meet an earlier one.
-    pub fn answer(&mut self, now: Instant, given: Instant, incarnation: Incarnation) -> Word {
-        match self.present {
-            Some(known) if known == incarnation => Word::Same,
-            Some(_) if given < self.since => Word::Late,
-            _ => self.take(now, incarnation),
+    /// A call issued after the current incarnation was first observed can't reach an earlier one.
+    pub fn observe_answer(
+        &mut self,
+        now: Instant,
+        issued: Instant,
+        incarnation: Incarnation,
+    ) -> Observation {
+        match self.current {
+            Some(known) if known == incarnation => Observation::Current,
+            Some(_) if issued < self.current_since => Observation::Stale,
+            _ => self.replace(now, incarnation),
         }
     }
 
-    /// Takes the incarnation named by a load report, which may lag.
-    pub fn report(&mut self, now: Instant, incarnation: Incarnation) -> Word {
+    /// Records the incarnation named by a load report, which may lag.
+    pub fn observe_report(&mut self, now: Instant, incarnation: Incarnation) -> Observation {
         match Some(incarnation) {
-            named if named == self.present => Word::Same,
-            named if named == self.retired => Word::Late,
-            _ => self.take(now, incarnation),
+            reported if reported == self.current => Observation::Current,
+            reported if reported == self.previous => Observation::Stale,
+            _ => self.replace(now, incarnation),
         }
     }
 
-    fn take(&mut self, now: Instant, incarnation: Incarnation) -> Word {
-        let first = self.present.is_none();
-        self.retired = self.present.replace(incarnation);
-        self.since = now;
-        if first { Word::Same } else { Word::New }
+    fn replace(&mut self, now: Instant, incarnation: Incarnation) -> Observation {
+        let first = self.current.is_none();
+        self.previous = self.current.replace(incarnation);
+        self.current_since = now;
+        if first { Observation::Current } else { Observation::Restarted }
     }
 }
--- a/hawthornkeel_core/src/routing/mod.rs
+++ b/hawthornkeel_core/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Choice of a target for a stage: load, limits, cold targets, data centres, retries.
+//! Target selection for stages: load, limits, cold targets, data centres and retries.
 
 pub(crate) mod admission;
 pub(crate) mod candidate;
--- a/hawthornkeel_core/src/routing/outcome.rs
+++ b/hawthornkeel_core/src/routing/outcome.rs
@@ -1,118 +1,122 @@
-//! What the end of a call tells about its target.
+//! Evaluation of call outcomes.
 
 use crate::ids::Incarnation;
 use crate::lease::Doubt;
 use crate::lease::message::GrantOutcome;
 use crate::names::TargetName;
-use crate::routing::incarnation::Word;
-use crate::routing::router::Found;
+use crate::routing::incarnation::Observation;
 use crate::routing::router::Router;
+use crate::routing::router::TargetRef;
 use crate::routing::target::Warmth;
 use crate::routing::types::CallOutcome;
 use crate::routing::types::Permit;
 use crate::time::Instant;
 
 impl Router {
-    /// Takes back the permit of a call that has ended.
+    /// Takes back the permit of an ended call and records its outcome.
     pub fn finish_call(&mut self, now: Instant, permit: Permit, outcome: CallOutcome) {
         if let CallOutcome::Answered { .. } = outcome {
-            self.stage_done(permit.call.request, usize::from(permit.call.stage.0));
+            self.finish_stage(permit.call.request, usize::from(permit.call.stage.0));
         }
-        let doubt = self.take_outcome(now, &permit, outcome);
+        let doubt = self.apply_outcome(now, &permit, outcome);
         if let Some(grant) = permit.grant {
-            let losses = self.losses(&permit.target);
-            self.release(&permit.target, grant, grant_outcome(outcome, losses));
+            let suspect_count = self.suspect_count(&permit.target);
+            self.release(&permit.target, grant, grant_outcome(outcome, suspect_count));
         }
         if let Some(doubt) = doubt {
-            self.suspect(now, &permit.target, doubt, true);
+            self.mark_suspect(now, &permit.target, doubt, true);
         }
         if let Some(mut found) = self.find(&permit.target) {
             found.refresh(now);
         }
     }
 
-    /// Returns how often a target was suspected.
-    fn losses(&mut self, target: &TargetName) -> u32 {
-        self.find(target).and_then(|mut f| f.target().map(|t| t.losses)).unwrap_or_default()
+    /// Returns how often a target became suspect.
+    fn suspect_count(&mut self, target: &TargetName) -> u32 {
+        self.find(target).and_then(|mut f| f.target().map(|t| t.suspect_count)).unwrap_or_default()
     }
 
-    /// Notes that the target closed or broke a connection outside of a call.
+    /// Records that the target closed or broke a connection outside of a call.
     pub fn connection_lost(&mut self, now: Instant, target: &TargetName) {
         self.suspect_restart(now, target);
     }
 
-    /// Takes the incarnation that the target named on a call, which need not have ended.
+    /// Records the incarnation that the target named on a call, which may still be in progress.
     pub fn report_incarnation(&mut self, now: Instant, permit: &Permit, incarnation: Incarnation) {
         let Some(mut found) = self.find(&permit.target) else {
             return;
         };
-        let word = found.target().map(|t| t.named.answer(now, permit.issued, incarnation));
-        if word == Some(Word::New) {
+        let observed =
+            found.target().map(|t| t.incarnations.observe_answer(now, permit.issued, incarnation));
+        if observed == Some(Observation::Restarted) {
             self.suspect_restart(now, &permit.target);
         }
     }
 
-    /// Takes a target for restarted and so possibly cold.
+    /// Marks a target as suspect because it may have restarted.
     pub(crate) fn suspect_restart(&mut self, now: Instant, target: &TargetName) {
-        self.suspect(now, target, Doubt::Restart, true);
+        self.mark_suspect(now, target, Doubt::Restart, true);
     }
 
-    /// Takes the outcome into the target's and the pool's state; returns a doubt, if it raises one.
-    fn take_outcome(
+    /// Applies the outcome to the target and its pool.
+    ///
+    /// Returns why the target becomes suspect, if it does.
+    fn apply_outcome(
         &mut self,
         now: Instant,
         permit: &Permit,
         outcome: CallOutcome,
     ) -> Option<Doubt> {
-        let Found { pool, index, settings: set } = self.find(&permit.target)?;
-        let most = f64::from(pool.config.warm_limit);
-        let usual = pool.recent;
+        let TargetRef { pool, index, settings: set } = self.find(&permit.target)?;
+        let max_calls = f64::from(pool.config.warm_limit);
+        let pool_average = pool.average_micros;
         let (_, target) = pool.targets.get_index_mut(index)?;
         let running = target.running;
         target.running = running.saturating_sub(1);
         match outcome {
             CallOutcome::Answered { latency, incarnation, .. } => {
-                if permit.grant.is_none() || pool.times.median().is_none() {
-                    pool.times.record(latency);
+                if permit.grant.is_none() || pool.latencies.median().is_none() {
+                    pool.latencies.record(latency);
                 }
-                let step = target.measure(latency, usual);
-                target.limit.answered(running);
-                target.answered(now);
-                let word = incarnation.map(|i| target.named.answer(now, permit.issued, i));
-                if word != Some(Word::Late) {
-                    target.proof = permit.grant.clone();
+                let slowed = target.record_latency(latency, pool_average);
+                target.limit.record_answer(running);
+                target.record_answer(now);
+                let observed =
+                    incarnation.map(|i| target.incarnations.observe_answer(now, permit.issued, i));
+                if observed != Some(Observation::Stale) {
+                    target.answered_grant = permit.grant.clone();
                 }
                 if permit.grant.is_some() {
-                    target.ask_again(now);
+                    target.request_now(now);
                 }
-                let doubt = doubt(target.warmth, word, step);
-                pool.answered(latency);
+                let doubt = doubt(target.warmth, observed, slowed);
+                pool.record_answer(latency);
                 if let Some(prefix) = permit.prefix_hash {
-                    pool.remember(prefix, &permit.target, 0);
+                    pool.record_prefix(prefix, &permit.target, 0);
                 }
                 doubt
             }
             CallOutcome::Refused => {
-                let light = target.refused(now, most);
-                (light && target.warmth == Warmth::Warm).then_some(Doubt::Overload)
+                let cold = target.record_refusal(now, max_calls);
+                (cold && target.warmth == Warmth::Warm).then_some(Doubt::Overload)
             }
             CallOutcome::ConnectFailed | CallOutcome::Reset => {
-                target.limit.failed(now);
-                target.failed(now, true, set);
-                pool.failed(now);
+                target.limit.record_failure(now);
+                target.record_failure(now, true, set);
+                pool.record_failure(now);
                 Some(Doubt::Restart)
             }
             CallOutcome::TimedOut => {
-                pool.times.record(now.since(permit.issued));
-                target.limit.failed(now);
-                target.failed(now, false, set);
-                pool.failed(now);
+                pool.latencies.record(now.since(permit.issued));
+                target.limit.record_failure(now);
+                target.record_failure(now, false, set);
+                pool.record_failure(now);
                 None
             }
             CallOutcome::Truncated | CallOutcome::Failed => {
-                target.limit.failed(now);
-                target.failed(now, false, set);
-                pool.failed(now);
+                target.limit.record_failure(now);
+                target.record_failure(now, false, set);
+                pool.record_failure(now);
                 None
             }
             CallOutcome::Cancelled => None,
@@ -120,22 +124,24 @@
     }
 }
 
-/// Returns the doubt that an answer raises.
-fn doubt(warmth: Warmth, word: Option<Word>, step: bool) -> Option<Doubt> {
-    match (warmth, word, step) {
-        (Warmth::Warm, Some(Word::New), _) => Some(Doubt::Restart),
+/// Returns why an answer makes a warm target suspect, if it does.
+fn doubt(warmth: Warmth, observed: Option<Observation>, slowed: bool) -> Option<Doubt> {
+    match (warmth, observed, slowed) {
+        (Warmth::Warm, Some(Observation::Restarted), _) => Some(Doubt::Restart),
         (Warmth::Warm, _, true) => Some(Doubt::Overload),
         _ => None,
     }
 }
 
-/// Returns what the issuer is told of a call.
+/// Returns the outcome that is reported to the issuer.
 ///
-/// After a reset the target's process is gone or has dropped the call. After a time-out or a
-/// cancellation the call may still run, so its slot stays taken until the grant expires.
-fn grant_outcome(outcome: CallOutcome, losses: u32) -> GrantOutcome {
+/// After a reset the target's process is gone or has dropped the call. After a timeout or a
+/// cancellation the call may still be running, so its slot stays in use until the grant expires.
+fn grant_outcome(outcome: CallOutcome, suspect_count: u32) -> GrantOutcome {
     match outcome {
-        CallOutcome::Answered { incarnation, .. } => GrantOutcome::Answered { incarnation, losses },
+        CallOutcome::Answered { incarnation, .. } => {
+            GrantOutcome::Answered { incarnation, losses: suspect_count }
+        }
         CallOutcome::Refused => GrantOutcome::Unused,
         CallOutcome::ConnectFailed => GrantOutcome::Failed,
         CallOutcome::Reset | CallOutcome::Truncated | CallOutcome::Failed => GrantOutcome::Failed,
--- a/hawthornkeel_core/src/routing/pick.rs
+++ b/hawthornkeel_core/src/routing/pick.rs
@@ -1,7 +1,7 @@
 //! Comparison of a pool's targets for a call.
 
+use crate::routing::candidate::Candidate;
 use crate::routing::candidate::Class;
-use crate::routing::candidate::Hot;
 use crate::routing::pool::PoolState;
 use crate::routing::settings::RouterSettings;
 use crate::routing::types::AttemptKind;
@@ -13,42 +13,42 @@
 
 /// Factor by which a far target must be expected to be faster than the best near one.
 const FAR_ADVANTAGE: f32 = 1.5;
-/// Factor of the best expected time up to which the target with the prompt's prefix is taken.
+/// Multiple of the best expected time up to which the target with the cached prefix is preferred.
 const PREFIX_FACTOR: f32 = 2.0;
-/// Factor of the usual high call time that a cold call must have left.
-const COLD_SLACK: u32 = 3;
-/// Target that was picked, by its position in the pool.
+/// Multiple of the pool's 95th percentile that must be left for a call to a cold target.
+const COLD_TIME_FACTOR: u32 = 3;
+/// Selected target, by its index in the pool.
 #[derive(Clone, Copy, Debug)]
 struct Pick {
     index: usize,
     reason: Reason,
 }
 
-/// What a call may use of its pool.
+/// Constraints of a call on the choice of its target.
 #[derive(Clone, Copy, Debug)]
-struct View<'a> {
+struct Constraints<'a> {
     now: Instant,
-    /// Positions of targets that were tried before.
+    /// Indices of targets that were tried before.
     tried: &'a [usize],
-    /// Position at which the scan starts, by its remainder.
-    turn: usize,
-    /// Whether cold targets may be chosen.
+    /// Round-robin offset: the scan starts at its remainder by the number of targets.
+    rotation: usize,
+    /// Whether cold targets are allowed.
     cold: bool,
-    repeat: AttemptKind,
+    kind: AttemptKind,
 }
 
-/// Which targets a pass leaves out, for a call that was tried before.
+/// Targets that a scan considers for a call that was tried before.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Tier {
-    /// Those in data centres of tried targets.
+    /// Targets in data centres without a tried target.
     OtherCentre,
-    /// Tried targets.
+    /// Targets that weren't tried.
     OtherTarget,
-    /// None.
+    /// All targets.
     Any,
 }
 
-/// Best open targets of a pass.
+/// Best available targets found by a scan, each with its index and score.
 #[derive(Clone, Copy, Debug)]
 struct Scan {
     near: (usize, f32),
@@ -68,71 +68,71 @@
 }
 
 impl Scan {
-    /// Compares a part of the targets, the first of which is at position `from`.
+    /// Adds a slice of the targets, which starts at index `from`.
     ///
-    /// Targets that are not to be kept are left out as if they were not there; those that are
-    /// barred take work, but not this call now.
+    /// Targets that aren't included are ignored entirely. Blocked ones count as usable, but aren't
+    /// selected for this call.
     fn add(
         &mut self,
-        part: &[Hot],
+        part: &[Candidate],
         from: usize,
-        keep: impl Fn(usize, &Hot) -> bool,
-        bar: impl Fn(usize, &Hot) -> bool,
+        include: impl Fn(usize, &Candidate) -> bool,
+        block: impl Fn(usize, &Candidate) -> bool,
     ) {
-        for (offset, hot) in part.iter().enumerate() {
+        for (offset, candidate) in part.iter().enumerate() {
             let index = from + offset;
-            if !keep(index, hot) {
+            if !include(index, candidate) {
                 continue;
             }
-            self.any_near |= hot.near & hot.usable;
-            self.usable |= hot.usable;
-            if bar(index, hot) {
+            self.any_near |= candidate.near & candidate.usable;
+            self.usable |= candidate.usable;
+            if block(index, candidate) {
                 continue;
             }
-            let best = match hot.class {
-                Class::Closed => continue,
+            let best = match candidate.class {
+                Class::Unavailable => continue,
                 Class::Near => &mut self.near,
                 Class::Far => &mut self.far,
                 Class::Cold => &mut self.cold,
             };
             self.candidates += 1;
-            if hot.score < best.1 {
-                *best = (index, hot.score);
+            if candidate.score < best.1 {
+                *best = (index, candidate.score);
             }
         }
     }
 }
 
-/// Sends a call to the best open target; `None` where there is none.
-pub(crate) fn send(
+/// Sends a call to the best available target. Returns `None` if there is none.
+pub(crate) fn try_send(
     pool: &mut PoolState,
     now: Instant,
     request: &StageRequest,
-    latest: Instant,
-    turn: usize,
+    stage_deadline: Instant,
+    rotation: usize,
     set: &RouterSettings,
 ) -> Option<Decision> {
     let retry = request.kind == AttemptKind::Retry;
-    if retry && (now < pool.retry_at || !pool.retries.has_token()) {
+    if retry && (now < pool.retry_at || !pool.retry_budget.has_token()) {
         return None;
     }
     let names = request.excluded.iter();
     let tried: Vec<usize> = names.filter_map(|t| pool.targets.get_index_of(t)).collect();
-    let cold = may_use_cold(pool, now, request, latest);
-    let view = View { now, tried: &tried, turn, cold, repeat: request.kind };
-    let scan = scan(pool, &view);
+    let cold = allows_cold(pool, now, request, stage_deadline);
+    let constraints = Constraints { now, tried: &tried, rotation, cold, kind: request.kind };
+    let scan = scan(pool, &constraints);
     let pick = pick(pool, request, &scan, &tried)?;
     let (_, target) = pool.targets.get_index_mut(pick.index)?;
-    let (mut until, mut grant, mut grant_expiry) = (latest, None, None);
+    let (mut deadline, mut grant, mut grant_expiry) = (stage_deadline, None, None);
     if pick.reason == Reason::ColdGrant {
-        let held = target.grants.iter().position(|g| now < g.use_by)?;
-        let used = target.grants.swap_remove(held);
-        until = until.min(used.until);
+        let unused = target.grants.iter().position(|g| now < g.use_by)?;
+        let used = target.grants.swap_remove(unused);
+        deadline = deadline.min(used.expires);
         grant = Some(used.id);
-        grant_expiry = Some(used.until);
+        grant_expiry = Some(used.expires);
     }
     let reason = if target.is_down() { Reason::Probe } else { pick.reason };
-    let incarnation = target.named.present.filter(|_| grant.is_none());
+    let incarnation = target.incarnations.current.filter(|_| grant.is_none());
     target.running += 1;
     let (name, address) = (target.info.name.clone(), target.info.address.clone());
     let permit = Permit {
@@ -140,55 +140,58 @@
         pool: request.pool.clone(),
         call: request.call,
         issued: now,
-        deadline: until,
+        deadline,
         grant,
         grant_expiry,
         incarnation,
         prefix_hash: request.prefix_hash,
     };
     if retry {
-        pool.retries.withdraw();
+        pool.retry_budget.withdraw();
     }
     pool.refresh(now, pick.index, set);
     Some(Decision::Send { target: name, address, permit, reason, candidates: scan.candidates })
 }
 
-/// Tells whether a call has time enough for a cold target.
-pub(crate) fn may_use_cold(
+/// Returns whether a call has enough time left for a cold target.
+pub(crate) fn allows_cold(
     pool: &PoolState,
     now: Instant,
     request: &StageRequest,
-    latest: Instant,
+    stage_deadline: Instant,
 ) -> bool {
     if request.kind == AttemptKind::Hedge {
         return false;
     }
-    let needed = match pool.times.p95() {
-        Some(high) if pool.warm > 0 => high * COLD_SLACK,
+    let needed = match pool.latencies.p95() {
+        Some(p95) if pool.warm_targets > 0 => p95 * COLD_TIME_FACTOR,
         _ => pool.median(),
     };
-    now + needed.max(request.floor) <= latest
+    now + needed.max(request.floor) <= stage_deadline
 }
 
-/// Finds the best open targets of the first tier that has any which take work.
-fn scan(pool: &PoolState, view: &View<'_>) -> Scan {
-    let quick = quick_scan(pool, view);
-    if view.tried.is_empty() && matches!(view.repeat, AttemptKind::First | AttemptKind::SafeRetry) {
-        return quick;
+/// Finds the best available targets of the first tier that contains a usable target.
+fn scan(pool: &PoolState, constraints: &Constraints<'_>) -> Scan {
+    let all = scan_all(pool, constraints);
+    if constraints.tried.is_empty()
+        && matches!(constraints.kind, AttemptKind::First | AttemptKind::SafeRetry)
+    {
+        return all;
     }
-    let bests = [quick.near.0, quick.far.0, quick.cold.0];
-    let mut found = bests.into_iter().filter_map(|i| pool.hot.get(i).map(|h| (i, h))).peekable();
-    if found.peek().is_some() && found.all(|(i, h)| is_fresh(pool, view, i, h)) {
-        return quick;
+    let bests = [all.near.0, all.far.0, all.cold.0];
+    let mut found =
+        bests.into_iter().filter_map(|i| pool.candidates.get(i).map(|c| (i, c))).peekable();
+    if found.peek().is_some() && found.all(|(i, c)| is_unrestricted(pool, constraints, i, c)) {
+        return all;
     }
-    let tiers: &[Tier] = match view.repeat {
+    let tiers: &[Tier] = match constraints.kind {
         AttemptKind::Retry => &[Tier::OtherCentre, Tier::OtherTarget, Tier::Any],
         AttemptKind::First | AttemptKind::SafeRetry => &[Tier::OtherTarget, Tier::Any],
         AttemptKind::Hedge => &[Tier::OtherTarget],
     };
     let mut last = Scan::default();
     for tier in tiers {
-        last = pass(pool, view, *tier);
+        last = scan_tier(pool, constraints, *tier);
         if last.usable {
             return last;
         }
@@ -196,62 +199,67 @@
     last
 }
 
-/// Tells whether no tier leaves a target out and nothing bars it.
-fn is_fresh(pool: &PoolState, view: &View<'_>, index: usize, hot: &Hot) -> bool {
-    let centre = |i: &usize| pool.hot.get(*i).map(|h| h.centre);
-    let retry = view.repeat == AttemptKind::Retry;
-    let hedge = view.repeat == AttemptKind::Hedge;
-    let same = |i: &usize| *i == index || (retry && centre(i) == Some(hot.centre));
-    let barred = (retry || hedge) && hot.failing;
-    !barred && !view.tried.iter().any(same)
+/// Returns whether a target is in every tier and nothing blocks it.
+fn is_unrestricted(
+    pool: &PoolState,
+    constraints: &Constraints<'_>,
+    index: usize,
+    candidate: &Candidate,
+) -> bool {
+    let centre = |i: &usize| pool.candidates.get(*i).map(|c| c.centre);
+    let retry = constraints.kind == AttemptKind::Retry;
+    let hedge = constraints.kind == AttemptKind::Hedge;
+    let same = |i: &usize| *i == index || (retry && centre(i) == Some(candidate.centre));
+    let blocked = (retry || hedge) && candidate.failing;
+    !blocked && !constraints.tried.iter().any(same)
 }
 
-/// Finds the best open targets of all.
-fn quick_scan(pool: &PoolState, view: &View<'_>) -> Scan {
-    let start = view.turn.checked_rem(pool.hot.len()).unwrap_or(0);
+/// Finds the best available targets among all, regardless of tiers.
+fn scan_all(pool: &PoolState, constraints: &Constraints<'_>) -> Scan {
+    let start = constraints.rotation.checked_rem(pool.candidates.len()).unwrap_or(0);
     let scores = &pool.scores;
     let none = Scan::default();
     Scan {
         near: scores.near.lowest(start).unwrap_or(none.near),
         far: scores.far.lowest(start).unwrap_or(none.far),
-        cold: scores.cold.lowest(start).filter(|_| view.cold).unwrap_or(none.cold),
+        cold: scores.cold.lowest(start).filter(|_| constraints.cold).unwrap_or(none.cold),
         any_near: pool.near_usable > 0,
         usable: true,
-        candidates: scores.open(),
+        candidates: scores.available(),
     }
 }
 
-/// Finds the best open targets of a tier, starting at a position that changes from call to call.
-fn pass(pool: &PoolState, view: &View<'_>, tier: Tier) -> Scan {
+/// Finds the best available targets of a tier, starting at the round-robin offset.
+fn scan_tier(pool: &PoolState, constraints: &Constraints<'_>, tier: Tier) -> Scan {
     let mut scan = Scan::default();
-    let split = view.turn.checked_rem(pool.hot.len()).unwrap_or(0);
-    let (head, tail) = pool.hot.split_at(split);
-    let centre = |i: &usize| pool.hot.get(*i).map(|h| h.centre);
-    let centres: Vec<u16> = view.tried.iter().filter_map(centre).collect();
-    let keep = |index: usize, hot: &Hot| match tier {
-        Tier::OtherCentre => !centres.contains(&hot.centre),
-        Tier::OtherTarget => !view.tried.contains(&index),
+    let split = constraints.rotation.checked_rem(pool.candidates.len()).unwrap_or(0);
+    let (head, tail) = pool.candidates.split_at(split);
+    let centre = |i: &usize| pool.candidates.get(*i).map(|c| c.centre);
+    let centres: Vec<u16> = constraints.tried.iter().filter_map(centre).collect();
+    let include = |index: usize, candidate: &Candidate| match tier {
+        Tier::OtherCentre => !centres.contains(&candidate.centre),
+        Tier::OtherTarget => !constraints.tried.contains(&index),
         Tier::Any => true,
     };
-    let retry = view.repeat == AttemptKind::Retry;
-    let hedge = view.repeat == AttemptKind::Hedge;
-    let bar = |index: usize, hot: &Hot| {
-        (hot.class == Class::Cold && !view.cold)
-            || (hedge && hot.failing)
-            || (retry && hot.failing && rests(pool, view, index))
+    let retry = constraints.kind == AttemptKind::Retry;
+    let hedge = constraints.kind == AttemptKind::Hedge;
+    let block = |index: usize, candidate: &Candidate| {
+        (candidate.class == Class::Cold && !constraints.cold)
+            || (hedge && candidate.failing)
+            || (retry && candidate.failing && in_holdoff(pool, constraints, index))
     };
-    scan.add(tail, split, keep, bar);
-    scan.add(head, 0, keep, bar);
+    scan.add(tail, split, include, block);
+    scan.add(head, 0, include, block);
     scan
 }
 
-/// Tells whether a failing target is left to first calls.
-fn rests(pool: &PoolState, view: &View<'_>, index: usize) -> bool {
+/// Returns whether a target that failed last accepts only first attempts for now.
+fn in_holdoff(pool: &PoolState, constraints: &Constraints<'_>, index: usize) -> bool {
     let target = pool.targets.get_index(index);
-    target.is_some_and(|(_, t)| view.now < t.retry_at)
+    target.is_some_and(|(_, t)| constraints.now < t.retry_at)
 }
 
-/// Picks one of the best open targets: cold ones first, since a grant is short-lived.
+/// Picks one of the best available targets. Cold ones come first, as grants are short-lived.
 fn pick(pool: &PoolState, request: &StageRequest, scan: &Scan, tried: &[usize]) -> Option<Pick> {
     let found = |best: (usize, f32)| best.0 != usize::MAX;
     if found(scan.cold) {
@@ -269,16 +277,17 @@
     } else {
         (far, far_score, Reason::NearGone)
     };
-    let place = request.prefix_hash.and_then(|p| pool.place(p)).filter(|i| !tried.contains(i));
+    let location =
+        request.prefix_hash.and_then(|p| pool.prefix_target(p)).filter(|i| !tried.contains(i));
     let hedge = request.kind == AttemptKind::Hedge;
-    let held = place.and_then(|i| pool.hot.get(i).map(|h| (i, h)));
-    let held = held.filter(|(_, h)| !(hedge && h.failing));
-    match held {
-        Some((place, hot))
-            if matches!(hot.class, Class::Near | Class::Far)
-                && hot.score <= score * PREFIX_FACTOR =>
+    let cached = location.and_then(|i| pool.candidates.get(i).map(|c| (i, c)));
+    let cached = cached.filter(|(_, c)| !(hedge && c.failing));
+    match cached {
+        Some((cached, candidate))
+            if matches!(candidate.class, Class::Near | Class::Far)
+                && candidate.score <= score * PREFIX_FACTOR =>
         {
-            Some(Pick { index: place, reason: Reason::Prefix })
+            Some(Pick { index: cached, reason: Reason::Prefix })
         }
         _ => Some(Pick { index, reason }),
     }
--- a/hawthornkeel_core/src/routing/reachability.rs
+++ b/hawthornkeel_core/src/routing/reachability.rs
@@ -1,4 +1,4 @@
-//! Data centres to which contact is lost, and what that leaves to the entries of others.
+//! Unreachable data centres, and the shares of targets' limits that the remaining entries get.
 
 use indexmap::IndexMap;
 
@@ -6,39 +6,39 @@
 use crate::routing::router::Router;
 use crate::time::Instant;
 
-/// What is known of the contact to a data centre's targets.
+/// Observed state of a data centre's targets.
 #[derive(Clone, Copy, Debug, Default)]
-struct Contact {
+struct Reachability {
     /// Whether any target is down.
     down: bool,
-    /// Whether any target is heard.
-    heard: bool,
+    /// Whether any target is responsive.
+    responsive: bool,
 }
 
 impl Router {
-    /// Works out the own shares of the targets' limits.
+    /// Recomputes the own shares of the targets' limits.
     ///
-    /// Entries of a lost data centre are as cut off from this entry's targets as its targets are
-    /// from this entry, so that they need no shares.
-    pub(crate) fn bound_limits(&mut self) {
-        let places = self.settings.target_entries;
+    /// Entries of an unreachable data centre get no shares: they are as cut off from the targets
+    /// that this entry reaches as this entry is from theirs.
+    pub(crate) fn update_shares(&mut self) {
+        let target_entries = self.settings.target_entries;
         let mut entries = self.entries.clone();
-        entries.retain(|e| e.centre == self.own.centre || !self.lost.contains(&e.centre));
+        entries.retain(|e| e.centre == self.own.centre || !self.unreachable.contains(&e.centre));
         for pool in self.pools.values_mut() {
-            pool.share_out(&self.own, &entries, places);
+            pool.assign_shares(&self.own, &entries, target_entries);
         }
     }
 
-    /// Returns the data centres to which contact is lost: targets are down and none is heard.
-    pub(crate) fn lost_centres(&self, now: Instant) -> Vec<CentreName> {
+    /// Returns the data centres in which targets are down and none is responsive.
+    pub(crate) fn unreachable_centres(&self, now: Instant) -> Vec<CentreName> {
         let age = self.settings.report_age;
-        let mut contacts: IndexMap<&CentreName, Contact> = IndexMap::new();
-        for target in self.pools.values().flat_map(|p| p.targets.values()).filter(|t| t.known) {
-            let contact = contacts.entry(&target.info.centre).or_default();
-            contact.down |= target.is_down();
-            contact.heard |= target.is_heard(now, age);
+        let mut centres: IndexMap<&CentreName, Reachability> = IndexMap::new();
+        for target in self.pools.values().flat_map(|p| p.targets.values()).filter(|t| t.in_subset) {
+            let centre = centres.entry(&target.info.centre).or_default();
+            centre.down |= target.is_down();
+            centre.responsive |= target.is_responsive(now, age);
         }
-        let lost = contacts.into_iter().filter(|(_, c)| c.down && !c.heard);
-        lost.map(|(centre, _)| centre.clone()).collect()
+        let unreachable = centres.into_iter().filter(|(_, r)| r.down && !r.responsive);
+        unreachable.map(|(centre, _)| centre.clone()).collect()
     }
 }
--- a/hawthornkeel_core/src/routing/refusals.rs
+++ b/hawthornkeel_core/src/routing/refusals.rs
@@ -1,50 +1,50 @@
-//! Runs of refusals, which may show that a target has turned cold.
+//! Detection of runs of refusals, which can mean that a target has turned cold.
 //!
-//! Single refusals are usual at a full target whose reports lag; only a dense run of them, during
-//! which all reports show light load, is a sign.
+//! Single refusals are normal at a full target whose load reports lag. Only a dense run of them,
+//! during which every report shows light load, is evidence.
 
 use std::time::Duration;
 
 use crate::time::Instant;
 
-/// Length of a run of refusals, at light load, after which a target is taken for cold.
-const REFUSED_SPAN: Duration = Duration::from_secs(2);
-/// Refusals of such a run, at least.
-const REFUSED_COUNT: u32 = 10;
+/// Minimum duration of a run at light load after which a target counts as cold.
+const MIN_RUN_TIME: Duration = Duration::from_secs(2);
+/// Minimum number of refusals in such a run.
+const MIN_RUN_REFUSALS: u32 = 10;
 /// Time without a refusal that ends a run.
-const REFUSED_GAP: Duration = Duration::from_millis(500);
+const MAX_GAP: Duration = Duration::from_millis(500);
 
-/// Run of refusals without an answer.
+/// Run of refusals without an answer in between.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Refusals {
+pub(crate) struct RefusalRun {
     first: Instant,
     last: Instant,
     count: u32,
-    /// Highest load that was reported meanwhile, in calls.
-    busiest: f64,
+    /// Highest load reported during the run, in calls.
+    peak_load: f64,
     reports: u32,
 }
 
-impl Refusals {
+impl RefusalRun {
     /// Starts a run.
     pub fn new(now: Instant) -> Self {
-        Self { first: now, last: now, count: 0, busiest: 0.0, reports: 0 }
+        Self { first: now, last: now, count: 0, peak_load: 0.0, reports: 0 }
     }
 
-    /// Takes a refusal; returns whether the run shows that the target bears less than it did.
-    pub fn refused(&mut self, now: Instant, most: f64) -> bool {
-        if now.since(self.last) > REFUSED_GAP {
+    /// Records a refusal. Returns whether the run shows that the target sustains less than before.
+    pub fn record_refusal(&mut self, now: Instant, max_calls: f64) -> bool {
+        if now.since(self.last) > MAX_GAP {
             *self = Self::new(now);
         }
         self.last = now;
         self.count = self.count.saturating_add(1);
-        let long = self.count >= REFUSED_COUNT && now.since(self.first) >= REFUSED_SPAN;
-        long && self.reports > 0 && self.busiest < most / 2.0
+        let long = self.count >= MIN_RUN_REFUSALS && now.since(self.first) >= MIN_RUN_TIME;
+        long && self.reports > 0 && self.peak_load < max_calls / 2.0
     }
 
-    /// Takes a load that was reported during the run, in calls.
-    pub fn reported(&mut self, load: f64) {
-        self.busiest = self.busiest.max(load);
+    /// Records the load of a report that arrived during the run, in calls.
+    pub fn record_load(&mut self, load: f64) {
+        self.peak_load = self.peak_load.max(load);
         self.reports = self.reports.saturating_add(1);
     }
 }
--- a/hawthornkeel_core/src/routing/router.rs
+++ b/hawthornkeel_core/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! Router of one entry instance: its state and what changes it from outside.
+//! Router of one entry instance: its state and the updates from outside.
 
 use indexmap::IndexMap;
 
@@ -13,7 +13,7 @@
 use crate::names::PoolName;
 use crate::names::TargetName;
 use crate::names::WorkspaceName;
-use crate::routing::admission::Admitted;
+use crate::routing::admission::AdmittedRequest;
 use crate::routing::admission::WorkspaceState;
 use crate::routing::pool::PoolState;
 use crate::routing::settings::RouterSettings;
@@ -25,70 +25,70 @@
 use crate::routing::types::TargetInfo;
 use crate::time::Instant;
 
-/// Entry instance of the fleet, for the subsets of targets.
+/// Entry instance of the fleet, as used for subsetting.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EntryInfo {
     /// Identity of the entry.
     pub id: MemberId,
-    /// Data centre that it runs in.
+    /// Data centre that the entry runs in.
     pub centre: CentreName,
 }
 
-/// Message for the issuer of a data centre.
+/// Message to the issuer of a data centre.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct GrantOutput {
-    /// Data centre whose issuer the message goes to.
+    /// Data centre of the issuer.
     pub centre: CentreName,
-    /// Member that is known to issue.
+    /// Last known issuer.
     pub issuer: MemberId,
     /// Message to send.
     pub message: GrantMessage,
 }
 
-/// Member that issues grants for a data centre.
+/// Issuer of grants for a data centre.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownIssuer {
     pub id: MemberId,
     pub term: u64,
 }
 
-/// Target that was found by its name.
-pub(crate) struct Found<'a> {
+/// Reference to a target within its pool.
+pub(crate) struct TargetRef<'a> {
     pub pool: &'a mut PoolState,
     pub index: usize,
     pub settings: &'a RouterSettings,
 }
 
-impl Found<'_> {
+impl TargetRef<'_> {
     /// Returns the target's state.
     pub fn target(&mut self) -> Option<&mut Target> {
         self.pool.targets.get_index_mut(self.index).map(|(_, target)| target)
     }
 
-    /// Brings what choices read of the target up to date.
+    /// Updates the selection data of the target.
     pub fn refresh(&mut self, now: Instant) {
         self.pool.refresh(now, self.index, self.settings);
     }
 }
 
-/// State of a target as operators see it.
+/// State of a target for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetStatus {
-    /// Whether there is proof that the target bears full load.
+    /// Whether the target is proved to sustain full load.
     pub warmth: Warmth,
     /// Calls of this entry in flight.
     pub running: u32,
-    /// Calls of this entry allowed at once while the target is warm.
+    /// Concurrent calls allowed to this entry while the target is warm.
     pub limit: u32,
-    /// Whether the target may get new work.
+    /// Whether this entry may send new work to the target.
     pub accepts_work: bool,
-    /// Whether the target fails and gets nothing but probes.
+    /// Whether the target fails repeatedly and gets only probes.
     pub down: bool,
-    /// Incarnation that the target named last, if it named any.
+    /// Last incarnation that the target reported, if any.
     pub incarnation: Option<Incarnation>,
 }
 
-/// Router of one entry instance: chooses targets, keeps limits, budgets and waiting calls.
+/// Router of one entry instance: selects targets and keeps limits, budgets and waiting calls.
 #[derive(Debug)]
 pub struct Router {
     pub(crate) settings: RouterSettings,
@@ -97,61 +97,62 @@
     pub(crate) entries: Vec<EntryInfo>,
     pub(crate) pools: IndexMap<PoolName, PoolState>,
     /// Pool of each target.
-    pub(crate) homes: IndexMap<TargetName, PoolName>,
+    pub(crate) target_pools: IndexMap<TargetName, PoolName>,
     pub(crate) taken_out: Vec<CentreName>,
-    /// Data centres to which contact is lost.
-    pub(crate) lost: Vec<CentreName>,
+    /// Data centres whose targets can't be reached.
+    pub(crate) unreachable: Vec<CentreName>,
     pub(crate) workspaces: IndexMap<WorkspaceName, WorkspaceState>,
     /// Sum of the weights of the document's workspaces.
-    pub(crate) weights: f64,
-    pub(crate) requests: IndexMap<RequestId, Admitted>,
+    pub(crate) total_weight: f64,
+    pub(crate) requests: IndexMap<RequestId, AdmittedRequest>,
     pub(crate) issuers: IndexMap<CentreName, KnownIssuer>,
     pub(crate) outputs: Vec<GrantOutput>,
-    pub(crate) next_request: u64,
+    /// Number of the last grant request.
+    pub(crate) request_counter: u64,
     pub(crate) next_scan: Instant,
-    /// Rises with each choice, so that equal targets take turns.
-    pub(crate) turn: u64,
+    /// Round-robin offset among targets with equal scores; advances with each choice.
+    pub(crate) rotation: u64,
 }
 
 impl Router {
-    /// Creates a router that knows no target.
+    /// Creates a router without targets.
     pub fn new(settings: RouterSettings, lease: LeaseSettings, own: EntryInfo) -> Self {
         Self {
-            turn: settings.seed,
+            rotation: settings.seed,
             settings,
             lease,
             entries: vec![own.clone()],
             own,
             pools: IndexMap::new(),
-            homes: IndexMap::new(),
+            target_pools: IndexMap::new(),
             taken_out: Vec::new(),
-            lost: Vec::new(),
+            unreachable: Vec::new(),
             workspaces: IndexMap::new(),
-            weights: 0.0,
+            total_weight: 0.0,
             requests: IndexMap::new(),
             issuers: IndexMap::new(),
             outputs: Vec::new(),
-            next_request: 0,
+            request_counter: 0,
             next_scan: Instant::ZERO,
         }
     }
 
-    /// Takes the document's pools and workspaces; what was measured of pools that stay is kept.
+    /// Applies the document's pools and workspaces. Measurements of remaining pools are kept.
     ///
-    /// Targets of pools that are new are known from the next list on. A removed pool goes on
-    /// serving the requests that were admitted before.
+    /// Targets of new pools are added with the next list. A removed pool continues to serve
+    /// requests that were admitted before.
     pub fn apply_document(&mut self, document: &Document) {
         for (name, pool) in &mut self.pools {
             pool.removed = document.pool(name.as_str()).is_none();
         }
-        self.drop_removed();
+        self.drop_obsolete();
         for pool in &document.pools {
             let settings = &self.settings;
             let new = || PoolState::new(pool.clone(), settings);
             let state = self.pools.entry(pool.name.clone()).or_insert_with(new);
             state.config = pool.clone();
         }
-        self.weights = document.workspaces.iter().map(|w| f64::from(w.weight.max(1))).sum();
+        self.total_weight = document.workspaces.iter().map(|w| f64::from(w.weight.max(1))).sum();
         for state in self.workspaces.values_mut() {
             state.apply(&Workspace::default());
         }
@@ -159,35 +160,37 @@
             let state = self.workspaces.entry(workspace.name.clone()).or_default();
             state.apply(workspace);
         }
-        self.bound_limits();
+        self.update_shares();
     }
 
-    /// Takes the platform's list of targets, which lags: absence alone stops nothing.
+    /// Applies the platform's list of targets.
+    ///
+    /// The list lags, so a target that is absent from it still gets calls as long as it is seen.
     pub fn update_targets(&mut self, now: Instant, list: &[TargetInfo]) {
         for target in self.pools.values_mut().flat_map(|p| p.targets.values_mut()) {
             target.listed = false;
         }
         for info in list {
-            self.take_listed(now, info);
+            self.apply_listed(now, info);
         }
         self.drop_absent(now);
-        self.lost = self.lost_centres(now);
+        self.unreachable = self.unreachable_centres(now);
         self.choose_subset();
         self.refresh_all(now);
     }
 
-    /// Takes the live entries of the fleet, this one among them or not.
+    /// Sets the live entries of the fleet, which may or may not include this one.
     pub fn set_entries(&mut self, now: Instant, entries: &[EntryInfo]) {
         self.entries = entries.to_vec();
         if !entries.iter().any(|e| e.id.name == self.own.id.name) {
             self.entries.push(self.own.clone());
         }
-        self.lost = self.lost_centres(now);
+        self.unreachable = self.unreachable_centres(now);
         self.choose_subset();
         self.refresh_all(now);
     }
 
-    /// Takes the data centres that get no new work.
+    /// Sets the data centres that get no new work.
     pub fn set_taken_out(&mut self, now: Instant, centres: &[CentreName]) {
         self.taken_out = centres.to_vec();
         for target in self.pools.values_mut().flat_map(|p| p.targets.values_mut()) {
@@ -196,113 +199,114 @@
         self.refresh_all(now);
     }
 
-    /// Takes a target's load report.
+    /// Applies a target's load report.
     pub fn report_load(&mut self, now: Instant, target: &TargetName, report: LoadReport) {
         let Some(mut found) = self.find(target) else {
             return;
         };
-        let most = f64::from(found.pool.config.warm_limit);
+        let max_calls = f64::from(found.pool.config.warm_limit);
         let age = found.settings.report_age;
-        let restarted = found.target().is_some_and(|t| t.take_report(now, &report, most, age));
+        let restarted =
+            found.target().is_some_and(|t| t.apply_report(now, &report, max_calls, age));
         found.refresh(now);
         if restarted {
             self.suspect_restart(now, target);
         }
     }
 
-    /// Takes a hint that a target may have a prompt prefix in its cache; hints may be late.
+    /// Records a hint that a target may have a prompt prefix in its cache. Hints may be late.
     pub fn cache_hint(&mut self, _now: Instant, target: &TargetName, prefix: u64, sequence: u64) {
         if let Some(found) = self.find(target) {
-            found.pool.remember(prefix, target, sequence);
+            found.pool.record_prefix(prefix, target, sequence);
         }
     }
 
-    /// Returns the state of a target as operators see it.
+    /// Returns the state of a target for operators.
     pub fn status(&self, target: &TargetName) -> Option<TargetStatus> {
-        let state = self.pools.get(self.homes.get(target)?)?.targets.get(target)?;
+        let state = self.pools.get(self.target_pools.get(target)?)?.targets.get(target)?;
         Some(TargetStatus {
             warmth: state.warmth,
             running: state.running,
             limit: state.limit.calls(),
             accepts_work: state.accepts_work(),
             down: state.is_down(),
-            incarnation: state.named.present,
+            incarnation: state.incarnations.current,
         })
     }
 
-    /// Tells whether any data centre's issuer of grants is known.
+    /// Returns whether the issuer of any data centre is known.
     pub fn has_issuer(&self) -> bool {
         !self.issuers.is_empty()
     }
 
-    /// Tells whether this entry sends to a target.
+    /// Returns whether this entry sends to a target.
     pub fn in_subset(&self, target: &TargetName) -> bool {
-        let pool = self.homes.get(target).and_then(|p| self.pools.get(p));
-        pool.and_then(|p| p.targets.get(target)).is_some_and(|t| t.known)
+        let pool = self.target_pools.get(target).and_then(|p| self.pools.get(p));
+        pool.and_then(|p| p.targets.get(target)).is_some_and(|t| t.in_subset)
     }
 
     /// Returns the number of targets of a pool that this entry sends to.
     pub fn subset_size(&self, pool: &PoolName) -> usize {
-        self.pools.get(pool).map_or(0, |p| p.targets.values().filter(|t| t.known).count())
+        self.pools.get(pool).map_or(0, |p| p.targets.values().filter(|t| t.in_subset).count())
     }
 
-    /// Returns the pool of a target, its position there and the settings.
-    pub(crate) fn find(&mut self, target: &TargetName) -> Option<Found<'_>> {
-        let pool = self.pools.get_mut(self.homes.get(target)?)?;
+    /// Finds a target by name.
+    pub(crate) fn find(&mut self, target: &TargetName) -> Option<TargetRef<'_>> {
+        let pool = self.pools.get_mut(self.target_pools.get(target)?)?;
         let index = pool.targets.get_index_of(target)?;
-        Some(Found { pool, index, settings: &self.settings })
+        Some(TargetRef { pool, index, settings: &self.settings })
     }
 
-    /// Takes one target of the list.
-    fn take_listed(&mut self, now: Instant, info: &TargetInfo) {
+    /// Applies one target of the platform's list.
+    fn apply_listed(&mut self, now: Instant, info: &TargetInfo) {
         let near = info.centre == self.own.centre;
         let taken_out = self.taken_out.contains(&info.centre);
-        let moved = |f: Found<'_>| {
+        let moved = |f: TargetRef<'_>| {
             let known = f.pool.targets.get(&info.name);
             known.is_some_and(|t| t.info.pool != info.pool || t.info.centre != info.centre)
         };
         if self.find(&info.name).is_some_and(moved) {
-            self.forget(&info.name);
+            self.remove_target(&info.name);
         }
         let Some(pool) = self.pools.get_mut(&info.pool) else {
             return;
         };
-        self.homes.insert(info.name.clone(), info.pool.clone());
+        self.target_pools.insert(info.name.clone(), info.pool.clone());
         if !pool.targets.contains_key(&info.name) {
             pool.insert(Target::new(now, info.clone(), near));
         }
         if let Some(target) = pool.targets.get_mut(&info.name) {
-            target.take_info(now, info, near);
+            target.update_info(now, info, near);
             target.taken_out = taken_out;
         }
     }
 
-    /// Drops the pools that the document no longer names and that no request needs.
-    pub(crate) fn drop_removed(&mut self) {
-        self.pools.retain(|_, pool| !pool.is_over());
-        self.homes.retain(|_, pool| self.pools.contains_key(pool));
+    /// Drops pools that neither the document names nor a request needs.
+    pub(crate) fn drop_obsolete(&mut self) {
+        self.pools.retain(|_, pool| !pool.is_obsolete());
+        self.target_pools.retain(|_, pool| self.pools.contains_key(pool));
     }
 
-    /// Drops targets that are neither listed nor heard for long.
+    /// Drops idle targets that have been neither listed nor seen for `RouterSettings::drop_after`.
     fn drop_absent(&mut self, now: Instant) {
         let age = self.settings.drop_after;
         let all = self.pools.values().flat_map(|p| p.targets.values());
-        let gone = all.filter(|t| !t.listed && t.running == 0 && now.since(t.heard) >= age);
+        let gone = all.filter(|t| !t.listed && t.running == 0 && now.since(t.last_seen) >= age);
         let names: Vec<TargetName> = gone.map(|t| t.info.name.clone()).collect();
         for name in names {
-            self.forget(&name);
+            self.remove_target(&name);
         }
     }
 
     /// Removes a target.
-    fn forget(&mut self, name: &TargetName) {
+    fn remove_target(&mut self, name: &TargetName) {
         if let Some(found) = self.find(name) {
             found.pool.remove(found.index);
         }
-        self.homes.swap_remove(name);
+        self.target_pools.swap_remove(name);
     }
 
-    /// Chooses which targets this entry sends to.
+    /// Chooses the targets that this entry sends to.
     fn choose_subset(&mut self) {
         let own_hash = subset::name_hash(self.own.id.name.as_str());
         let mut centres: IndexMap<CentreName, Vec<RankedEntry>> = IndexMap::new();
@@ -310,19 +314,20 @@
             for target in pool.targets.values_mut() {
                 let centre = &target.info.centre;
                 if !centres.contains_key(centre) {
-                    centres.insert(centre.clone(), ranked(&self.entries, centre));
+                    centres.insert(centre.clone(), ranked_entries(&self.entries, centre));
                 }
                 let entries = centres.get(centre).map_or(&[][..], |e| e.as_slice());
                 let own = RankedEntry { hash: own_hash, near: target.near };
                 let hash = subset::name_hash(target.info.name.as_str());
-                target.known = subset::contains(own, hash, entries, self.settings.target_entries);
+                target.in_subset =
+                    subset::contains(own, hash, entries, self.settings.target_entries);
             }
-            pool.top_up(own_hash, self.settings.pool_targets);
+            pool.fill_subset(own_hash, self.settings.pool_targets);
         }
-        self.bound_limits();
+        self.update_shares();
     }
 
-    /// Brings what choices read of all targets up to date.
+    /// Updates the selection data of all targets.
     pub(crate) fn refresh_all(&mut self, now: Instant) {
         for pool in self.pools.values_mut() {
             pool.refresh_all(now, &self.settings);
@@ -330,8 +335,8 @@
     }
 }
 
-/// Returns the entries as the ranking for targets of `centre` sees them.
-fn ranked(entries: &[EntryInfo], centre: &CentreName) -> Vec<RankedEntry> {
+/// Returns the entries as ranked for targets of `centre`.
+fn ranked_entries(entries: &[EntryInfo], centre: &CentreName) -> Vec<RankedEntry> {
     let one = |e: &EntryInfo| RankedEntry {
         hash: subset::name_hash(e.id.name.as_str()),
         near: e.centre == *centre,
--- a/hawthornkeel_core/src/routing/scores.rs
+++ b/hawthornkeel_core/src/routing/scores.rs
@@ -1,21 +1,21 @@
-//! Expected call times of a pool's open targets by class, laid out for a quick search of the lowest.
+//! Expected call times of a pool's available targets by class, laid out for a vectorised minimum.
 
+use crate::routing::candidate::Candidate;
 use crate::routing::candidate::Class;
-use crate::routing::candidate::Hot;
 
-/// Values that are compared at once.
+/// Number of values compared per step of the vectorised minimum.
 const LANES: usize = 16;
 
-/// Scores of one class by position of the target; infinite where a target is not of the class.
+/// Scores of one class by index of the target; infinite for targets of other classes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassScores {
     scores: Vec<f32>,
-    /// Targets of the class.
+    /// Number of targets in the class.
     pub count: u32,
 }
 
 impl ClassScores {
-    /// Sets the score of a position.
+    /// Sets the score at an index.
     fn set(&mut self, index: usize, score: Option<f32>) {
         let Some(old) = self.scores.get_mut(index) else {
             return;
@@ -25,7 +25,7 @@
         *old = score.unwrap_or(f32::INFINITY);
     }
 
-    /// Returns the position and value of the lowest score, the first from `start` on if equal.
+    /// Returns the index and value of the lowest score; of equal ones, the first from `start` on.
     pub fn lowest(&self, start: usize) -> Option<(usize, f32)> {
         if self.count == 0 {
             return None;
@@ -38,7 +38,7 @@
     }
 }
 
-/// Returns the lowest value, comparing several at once.
+/// Returns the lowest value, comparing `LANES` values per step.
 fn lowest(scores: &[f32]) -> f32 {
     let mut lanes = [f32::INFINITY; LANES];
     let chunks = scores.chunks_exact(LANES);
@@ -60,14 +60,14 @@
 }
 
 impl Scores {
-    /// Adds a closed target at the end.
+    /// Appends an unavailable target.
     pub fn push(&mut self) {
         for class in [&mut self.near, &mut self.far, &mut self.cold] {
             class.scores.push(f32::INFINITY);
         }
     }
 
-    /// Removes a target and puts the last one in its place.
+    /// Removes a target and moves the last one to its index.
     pub fn swap_remove(&mut self, index: usize) {
         for class in [&mut self.near, &mut self.far, &mut self.cold] {
             class.set(index, None);
@@ -77,16 +77,16 @@
         }
     }
 
-    /// Takes what a choice reads of a target.
-    pub fn set(&mut self, index: usize, hot: &Hot) {
-        let score = |class: Class| (hot.class == class).then_some(hot.score);
+    /// Updates the scores of the target at `index`.
+    pub fn set(&mut self, index: usize, candidate: &Candidate) {
+        let score = |class: Class| (candidate.class == class).then_some(candidate.score);
         self.near.set(index, score(Class::Near));
         self.far.set(index, score(Class::Far));
         self.cold.set(index, score(Class::Cold));
     }
 
-    /// Returns the number of targets that can be chosen now.
-    pub fn open(&self) -> u32 {
+    /// Returns the number of available targets.
+    pub fn available(&self) -> u32 {
         self.near.count + self.far.count + self.cold.count
     }
 }
--- a/hawthornkeel_core/src/routing/selection.rs
+++ b/hawthornkeel_core/src/routing/selection.rs
@@ -1,13 +1,13 @@
-//! Choice of a target for a call, and the queue of calls that wait for one.
+//! Choice of a target for a call, and the queues of calls that wait for one.
 
 use std::time::Duration;
 
 use crate::ids::CallId;
 use crate::routing::fair_queue::FairQueue;
-use crate::routing::fair_queue::Passed;
-use crate::routing::fair_queue::Waiting;
-use crate::routing::pick::may_use_cold;
-use crate::routing::pick::send;
+use crate::routing::fair_queue::Skipped;
+use crate::routing::fair_queue::WaitingCall;
+use crate::routing::pick::allows_cold;
+use crate::routing::pick::try_send;
 use crate::routing::pool::PoolState;
 use crate::routing::router::Router;
 use crate::routing::settings::RouterSettings;
@@ -19,192 +19,206 @@
 use crate::routing::types::StageRequest;
 use crate::time::Instant;
 
-/// Shortest time that a refused caller is told to wait.
+/// Minimum retry delay returned with a refusal.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
-/// Multiple of the time within which 95 in 100 calls are answered, after which a hedge is worth it.
+/// Multiple of the pool's 95th percentile after which a call is hedged.
 const HEDGE_FACTOR: u32 = 2;
-/// Longest time until a waiting call is looked at again.
-const WAKE_MAX: Duration = Duration::from_millis(50);
+/// Maximum time between two checks of the waiting calls.
+const MAX_WAKE_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Router {
     /// Chooses a target for a call.
     pub fn choose(&mut self, now: Instant, request: &StageRequest) -> Decision {
-        let later = self.later_time(request);
+        let later = self.later_stages_time(request);
         let weight = self.weight(&request.workspace);
-        self.turn = self.turn.wrapping_add(1);
-        let (turn, set) = (self.turn as usize, &self.settings);
+        self.rotation = self.rotation.wrapping_add(1);
+        let (rotation, set) = (self.rotation as usize, &self.settings);
         let Some(pool) = self.pools.get_mut(&request.pool) else {
             return refuse(Reason::UnknownPool, RETRY_AFTER_MIN, 0);
         };
-        pool.reopen(now, set);
-        pool.wanted = Some(now);
-        let latest = before(request.deadline, later);
+        pool.refresh_after_backoff(now, set);
+        pool.last_request = Some(now);
+        let stage_deadline = subtract(request.deadline, later);
         match request.kind {
-            AttemptKind::First => pool.earn(),
+            AttemptKind::First => pool.record_first_attempt(),
             AttemptKind::SafeRetry | AttemptKind::Retry => {}
-            AttemptKind::Hedge => return hedge(pool, now, request, latest, turn, set),
+            AttemptKind::Hedge => return hedge(pool, now, request, stage_deadline, rotation, set),
         }
         let work = pool.median().max(request.floor);
-        if now + request.floor > latest || (now + work > latest && !pool.may_try(now)) {
+        if now + request.floor > stage_deadline
+            || (now + work > stage_deadline && !pool.allow_measurement(now))
+        {
             return refuse(Reason::Deadline, work, 0);
         }
-        let waiting = if request.kind == AttemptKind::Retry { &pool.repeats } else { &pool.queue };
+        let waiting =
+            if request.kind == AttemptKind::Retry { &pool.retry_queue } else { &pool.queue };
         if waiting.len() == 0
-            && let Some(sent) = send(pool, now, request, latest, turn, set)
+            && let Some(sent) = try_send(pool, now, request, stage_deadline, rotation, set)
         {
             return sent;
         }
-        enqueue(pool, now, request, latest, weight, work)
+        enqueue(pool, now, request, stage_deadline, weight, work)
     }
 
-    /// Removes a waiting call; returns whether it waited.
+    /// Removes a waiting call. Returns whether it was waiting.
     pub fn cancel(&mut self, _now: Instant, call: CallId) -> bool {
-        let mut queues = self.pools.values_mut().flat_map(|p| [&mut p.repeats, &mut p.queue]);
+        let mut queues = self.pools.values_mut().flat_map(|p| [&mut p.retry_queue, &mut p.queue]);
         queues.any(|q| q.remove(call).is_some())
     }
 
-    /// Returns the waiting calls that can be sent, or are refused, by now.
+    /// Returns the decisions about waiting calls that can be sent or must be refused now.
     pub fn take_ready(&mut self, now: Instant) -> Vec<QueuedDecision> {
         let mut ready = Vec::new();
         for index in 0..self.pools.len() {
-            self.drain(now, index, &mut ready);
+            self.serve_pool(now, index, &mut ready);
         }
         ready
     }
 
-    /// Returns the time at which `take_ready` and `take_messages` are to be called at the latest.
+    /// Returns the latest time for the next call of `take_ready` and `take_messages`.
     pub fn next_wake(&self, now: Instant) -> Instant {
-        let waits = self.pools.values().filter(|p| p.queue.len() + p.repeats.len() > 0);
-        let times = waits.flat_map(|p| [p.queue.expiry(), p.repeats.expiry(), p.reopen]).flatten();
-        times.min().unwrap_or(now + WAKE_MAX).max(now).min(now + WAKE_MAX)
+        let waiting = self.pools.values().filter(|p| p.queue.len() + p.retry_queue.len() > 0);
+        let times = waiting
+            .flat_map(|p| [p.queue.next_expiry(), p.retry_queue.next_expiry(), p.backoff_end])
+            .flatten();
+        times.min().unwrap_or(now + MAX_WAKE_INTERVAL).max(now).min(now + MAX_WAKE_INTERVAL)
     }
 
-    /// Returns the time after which a hedge of a call under `permit` is worth it, once measured.
+    /// Returns the delay after which a call under `permit` is hedged, or `None` before the pool's
+    /// first measurement.
     ///
-    /// A call to a cold target has none: cancelled, it would neither warm the target nor free its
-    /// grant.
+    /// A call to a cold target is never hedged: if cancelled, it would neither warm up the target
+    /// nor free its grant.
     pub fn hedge_delay(&self, permit: &Permit) -> Option<Duration> {
         let pool = self.pools.get(&permit.pool).filter(|_| permit.grant.is_none())?;
-        pool.times.p95().map(|t| t * HEDGE_FACTOR)
+        pool.latencies.p95().map(|t| t * HEDGE_FACTOR)
     }
 
-    /// Sends and refuses waiting calls of one pool; repeated calls first, since they are older.
-    fn drain(&mut self, now: Instant, index: usize, ready: &mut Vec<QueuedDecision>) {
+    /// Sends and refuses waiting calls of one pool. Retries come first, as they are older.
+    fn serve_pool(&mut self, now: Instant, index: usize, ready: &mut Vec<QueuedDecision>) {
         let Some((_, pool)) = self.pools.get_index_mut(index) else {
             return;
         };
-        pool.reopen(now, &self.settings);
-        let mut repeats = std::mem::take(&mut pool.repeats);
+        pool.refresh_after_backoff(now, &self.settings);
+        let mut retry_queue = std::mem::take(&mut pool.retry_queue);
         let mut queue = std::mem::take(&mut pool.queue);
-        for waiting in [&mut repeats, &mut queue] {
-            expire(pool, now, waiting, ready);
-            serve_cold(pool, now, waiting, ready, &self.settings);
-            serve(pool, now, waiting, ready, &mut self.turn, &self.settings);
+        for waiting in [&mut retry_queue, &mut queue] {
+            refuse_expired(pool, now, waiting, ready);
+            serve_cold_targets(pool, now, waiting, ready, &self.settings);
+            serve_queue(pool, now, waiting, ready, &mut self.rotation, &self.settings);
         }
-        pool.repeats = repeats;
+        pool.retry_queue = retry_queue;
         pool.queue = queue;
     }
 
-    /// Returns the time that the later stages take, by measure.
-    fn later_time(&self, request: &StageRequest) -> Duration {
+    /// Returns the time needed by the later stages, from measurements and floors.
+    fn later_stages_time(&self, request: &StageRequest) -> Duration {
         let pools = request.later_pools.iter().filter_map(|p| self.pools.get(p));
         pools.map(|p| p.median()).sum::<Duration>().max(request.later_floor)
     }
 }
 
-/// Refuses the calls whose wait has ended.
-fn expire(pool: &PoolState, now: Instant, queue: &mut FairQueue, ready: &mut Vec<QueuedDecision>) {
-    for waiting in queue.expire(now) {
-        let unpaid = waiting.request.kind == AttemptKind::Retry && !pool.retries.has_token();
-        let reason = if unpaid { Reason::RetryBudget } else { Reason::Deadline };
+/// Refuses expired calls.
+fn refuse_expired(
+    pool: &PoolState,
+    now: Instant,
+    queue: &mut FairQueue,
+    ready: &mut Vec<QueuedDecision>,
+) {
+    for waiting in queue.remove_expired(now) {
+        let no_budget =
+            waiting.request.kind == AttemptKind::Retry && !pool.retry_budget.has_token();
+        let reason = if no_budget { Reason::RetryBudget } else { Reason::Deadline };
         let decision = refuse(reason, pool.median(), 0);
         ready.push(QueuedDecision { call: waiting.request.call, decision });
     }
 }
 
-/// Sends the calls that have most time left to cold targets that there are grants for.
-fn serve_cold(
+/// Sends the calls with the most time left to cold targets that have unused grants.
+fn serve_cold_targets(
     pool: &mut PoolState,
     now: Instant,
     queue: &mut FairQueue,
     ready: &mut Vec<QueuedDecision>,
     set: &RouterSettings,
 ) {
-    while let Some((place, waiting)) = queue.latest() {
+    while let Some((position, waiting)) = queue.latest() {
         if pool.scores.cold.count == 0 {
             return;
         }
         let call = waiting.request.call;
-        if !may_use_cold(pool, now, &waiting.request, waiting.latest) {
+        if !allows_cold(pool, now, &waiting.request, waiting.stage_deadline) {
             return;
         }
-        let Some(decision) = send(pool, now, &waiting.request, waiting.latest, 0, set) else {
+        let Some(decision) = try_send(pool, now, &waiting.request, waiting.stage_deadline, 0, set)
+        else {
             return;
         };
-        queue.serve(place);
+        queue.dequeue(position);
         ready.push(QueuedDecision { call, decision });
     }
 }
 
-/// Sends waiting calls as long as targets are open.
-fn serve(
+/// Sends waiting calls while targets are available.
+fn serve_queue(
     pool: &mut PoolState,
     now: Instant,
     queue: &mut FairQueue,
     ready: &mut Vec<QueuedDecision>,
-    turn: &mut u64,
+    rotation: &mut u64,
     set: &RouterSettings,
 ) {
-    let mut passed = Passed::default();
-    while let Some((place, waiting)) = queue.next(&passed) {
-        if pool.scores.open() == 0 {
+    let mut skipped = Skipped::default();
+    while let Some((position, waiting)) = queue.next(&skipped) {
+        if pool.scores.available() == 0 {
             return;
         }
-        *turn = turn.wrapping_add(1);
+        *rotation = rotation.wrapping_add(1);
         let call = waiting.request.call;
-        let sent = send(pool, now, &waiting.request, waiting.latest, *turn as usize, set);
+        let sent =
+            try_send(pool, now, &waiting.request, waiting.stage_deadline, *rotation as usize, set);
         let Some(decision) = sent else {
-            passed.add(place);
+            skipped.add(position);
             continue;
         };
-        queue.serve(place);
+        queue.dequeue(position);
         ready.push(QueuedDecision { call, decision });
     }
 }
 
-/// Sends a hedge where the budget allows it and another target is free at once.
+/// Sends a hedge if the budget allows it and another target is available immediately.
 ///
-/// None is sent while calls wait or the pool as a whole fails: it would add load to a slow stage.
+/// None is sent while calls wait or the whole pool is failing: it would add load to a slow stage.
 fn hedge(
     pool: &mut PoolState,
     now: Instant,
     request: &StageRequest,
-    latest: Instant,
-    turn: usize,
+    stage_deadline: Instant,
+    rotation: usize,
     set: &RouterSettings,
 ) -> Decision {
-    let timely = now + pool.median().max(request.floor) <= latest;
-    let busy = pool.queue.len() + pool.repeats.len() > 0 || now < pool.retry_at;
+    let timely = now + pool.median().max(request.floor) <= stage_deadline;
+    let busy = pool.queue.len() + pool.retry_queue.len() > 0 || now < pool.retry_at;
     if timely
         && !busy
-        && pool.hedges.has_token()
-        && let Some(sent) = send(pool, now, request, latest, turn, set)
+        && pool.hedge_budget.has_token()
+        && let Some(sent) = try_send(pool, now, request, stage_deadline, rotation, set)
     {
-        pool.hedges.withdraw();
+        pool.hedge_budget.withdraw();
         return sent;
     }
     refuse(Reason::HedgeBudget, RETRY_AFTER_MIN, 0)
 }
 
-/// Lets a call wait, or refuses it where it can't be served in time.
+/// Queues a call, or refuses it if it can't be served in time.
 ///
-/// A request that has passed its first stage isn't refused by an estimate: work was spent on it,
+/// A request past its first stage isn't refused based on an estimate: work has been spent on it,
 /// and a short slowdown may end before its deadline.
 fn enqueue(
     pool: &mut PoolState,
     now: Instant,
     request: &StageRequest,
-    latest: Instant,
+    stage_deadline: Instant,
     weight: f64,
     work: Duration,
 ) -> Decision {
@@ -212,26 +226,26 @@
     if pool.targets.is_empty() {
         return refuse(Reason::NoTarget, RETRY_AFTER_MIN, 0);
     }
-    let ahead = pool.queue.ahead(request, weight);
-    let wait = pool.wait_for(ahead);
-    let until = before(latest, work);
+    let ahead = pool.queue.calls_ahead(request, weight);
+    let wait = pool.queue_delay(ahead);
+    let expires = subtract(stage_deadline, work);
     let first_stage = request.call.stage.0 == 0;
-    if first_stage && now + wait > until {
+    if first_stage && now + wait > expires {
         return refuse(Reason::Deadline, wait, candidates);
     }
-    let repeated = request.kind == AttemptKind::Retry;
-    let queue = if repeated { &mut pool.repeats } else { &mut pool.queue };
-    queue.push(Waiting { request: request.clone(), latest, until }, weight);
-    Decision::Wait { until, reason: Reason::FairQueue, candidates }
+    let retry = request.kind == AttemptKind::Retry;
+    let queue = if retry { &mut pool.retry_queue } else { &mut pool.queue };
+    queue.push(WaitingCall { request: request.clone(), stage_deadline, expires }, weight);
+    Decision::Wait { until: expires, reason: Reason::FairQueue, candidates }
 }
 
-/// Returns the point `span` before `at`.
-fn before(at: Instant, span: Duration) -> Instant {
+/// Returns the instant `span` before `at`, saturating at zero.
+fn subtract(at: Instant, span: Duration) -> Instant {
     let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
     Instant::from_micros(at.as_micros().saturating_sub(micros))
 }
 
-/// Returns a refusal with a time to come back.
+/// Returns a refusal with a retry delay of at least `RETRY_AFTER_MIN`.
 fn refuse(reason: Reason, after: Duration, candidates: u32) -> Decision {
     Decision::Refuse { reason, retry_after: after.max(RETRY_AFTER_MIN), candidates }
 }
--- a/hawthornkeel_core/src/routing/settings.rs
+++ b/hawthornkeel_core/src/routing/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the router.
+//! Router settings.
 
 use std::time::Duration;
 
@@ -9,33 +9,33 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RouterSettings {
-    /// Seed of the router's pseudo-random choices.
+    /// Seed of the round-robin offset that breaks ties between targets.
     pub seed: u64,
-    /// Time after which a target that is neither listed nor heard is dropped.
+    /// Time after which a target that is neither listed nor seen is dropped.
     pub drop_after: Duration,
-    /// Time that a call to another data centre takes longer than a near one.
+    /// Extra time of a call to another data centre.
     pub far_penalty: Duration,
-    /// Retries allowed for each first attempt.
+    /// Retries allowed per first attempt.
     pub retry_share: f64,
-    /// Retries allowed beyond the share after a quiet time.
+    /// Capacity of the retry budget: the retries allowed in one burst.
     pub retry_burst: f64,
-    /// Hedges allowed for each first attempt.
+    /// Hedges allowed per first attempt.
     pub hedge_share: f64,
-    /// Hedges allowed beyond the share after a quiet time.
+    /// Capacity of the hedge budget: the hedges allowed in one burst.
     pub hedge_burst: f64,
-    /// Entries of a data centre that know a target, at most.
+    /// Number of entries in a target's subset, over all data centres. `pool_targets` may add more.
     pub target_entries: usize,
-    /// Targets of a pool that an entry knows, at least, as far as there are as many.
+    /// Minimum number of targets of a pool that an entry sends to, if the pool has as many.
     pub pool_targets: usize,
-    /// Targets compared for a call, at most.
+    /// Maximum number of targets compared for a call.
     pub sample: usize,
-    /// Shortest time before a failed target is tried again; doubles with each failure.
+    /// Initial delay before a failed target is tried again. Doubles with each further failure.
     pub probe_min: Duration,
-    /// Longest time before a failed target is tried again.
+    /// Maximum delay before a failed target is tried again.
     pub probe_max: Duration,
-    /// Share of the remaining time that a wait may fill, given measured stage times.
+    /// Fraction of the spare time that waiting may take, given measured stage times.
     pub wait_share: f64,
-    /// Time for which a load report counts.
+    /// Age at which a load report expires.
     pub report_age: Duration,
 }
 
--- a/hawthornkeel_core/src/routing/target/grants.rs
+++ b/hawthornkeel_core/src/routing/target/grants.rs
@@ -1,4 +1,4 @@
-//! Grants in hand for a target, and when the next one is asked for.
+//! Grants held for a target, and when the next one is requested.
 
 use crate::lease::LeaseSettings;
 use crate::lease::message::GrantId;
@@ -6,63 +6,64 @@
 use crate::routing::target::Warmth;
 use crate::time::Instant;
 
-/// Part of a grant's time after which a request for one gets a new number.
-const RENUMBER_PART: u32 = 4;
+/// A request that stays pending for this fraction of a grant's duration gets a new number.
+const RENUMBER_DIVISOR: u32 = 4;
 
-/// Grant in hand.
+/// Unused grant.
 #[derive(Clone, Debug)]
 pub(crate) struct Grant {
     pub id: GrantId,
-    pub got: Instant,
-    /// Time until which a call may be sent: half of the grant's time is left for it then.
+    pub received: Instant,
+    /// Time until which a call may be sent; half of the grant's duration is left for the call then.
     pub use_by: Instant,
     /// Time at which the call must have ended.
-    pub until: Instant,
+    pub expires: Instant,
 }
 
-/// Grant request that was sent.
+/// Grant request that awaits a reply.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pending {
+pub(crate) struct PendingRequest {
     pub number: u64,
-    pub sent: Instant,
+    pub first_sent: Instant,
 }
 
 impl Target {
-    /// Tells whether a grant would be of use now.
-    pub fn wants_grant(&self, now: Instant) -> bool {
+    /// Returns whether a grant could be used now.
+    pub fn needs_grant(&self, now: Instant) -> bool {
         let proved = self.warmth == Warmth::Warm;
-        self.accepts_work() && !proved && now >= self.down_until && self.grants.is_empty()
+        self.accepts_work() && !proved && now >= self.backoff_until && self.grants.is_empty()
     }
 
-    /// Returns the number of a grant request that is due now: a new one, or one sent again.
+    /// Returns the number of a grant request to send now, either a new request or a resend.
     ///
-    /// A request that is sent again keeps its number and the time of its first sending, from which
-    /// the grant's time counts.
+    /// A resend keeps the number and the time of the first transmission, from which the grant's
+    /// duration is counted.
     pub fn due_request(
         &mut self,
         now: Instant,
         lease: &LeaseSettings,
-        next: &mut u64,
+        counter: &mut u64,
     ) -> Option<u64> {
-        if now < self.ask_after {
+        if now < self.next_request {
             return None;
         }
-        self.ask_after = now + lease.resend;
-        let old = |p: &Pending| now.since(p.sent) >= lease.grant / RENUMBER_PART;
+        self.next_request = now + lease.resend;
+        let old = |p: &PendingRequest| now.since(p.first_sent) >= lease.grant / RENUMBER_DIVISOR;
         self.pending.take_if(|p| old(p));
         let pending = self.pending.get_or_insert_with(|| {
-            *next += 1;
-            Pending { number: *next, sent: now }
+            *counter += 1;
+            PendingRequest { number: *counter, first_sent: now }
         });
         Some(pending.number)
     }
 
-    /// Lets the next grant be asked for at once, after a call under the last one was answered.
+    /// Allows the next grant request at once, after a call under the last grant was answered.
     ///
-    /// After a failed call the pause stands: grants of calls that may still run stay used up.
-    pub fn ask_again(&mut self, now: Instant) {
+    /// The resend interval still applies after a failed call, as grants of calls that may still be
+    /// running remain in use.
+    pub fn request_now(&mut self, now: Instant) {
         if self.pending.is_none() {
-            self.ask_after = now;
+            self.next_request = now;
         }
     }
 }
--- a/hawthornkeel_core/src/routing/target/health.rs
+++ b/hawthornkeel_core/src/routing/target/health.rs
@@ -1,78 +1,80 @@
-//! Whether a target answers: its failures, refusals and signs of itself.
+//! Health of a target: failures, refusals and responsiveness.
 
 use std::time::Duration;
 
-use crate::routing::refusals::Refusals;
+use crate::routing::refusals::RefusalRun;
 use crate::routing::settings::RouterSettings;
 use crate::routing::target::Target;
 use crate::time::Instant;
 
-/// Consecutive failures after which a target gets nothing but probes.
-const DOWN_AFTER: u32 = 2;
-/// Time for which a target that refused a call is left alone.
-const REFUSED_PAUSE: Duration = Duration::from_millis(20);
-/// Time after a failure or a pause during which only first calls probe a target.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Number of consecutive failures after which a target gets only probes.
+const DOWN_FAILURES: u32 = 2;
+/// Time without new calls to a target after a refusal.
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(20);
+/// Time after a failure or a backoff in which only first attempts are sent to a target.
+const RETRY_HOLDOFF: Duration = Duration::from_millis(500);
 
 impl Target {
-    /// Tells whether no load report came for `age`.
-    pub(super) fn is_silent(&self, now: Instant, age: Duration) -> bool {
-        self.reported.is_none_or(|at| now.since(at) >= age)
+    /// Returns whether no load report arrived for `age`.
+    pub(super) fn lacks_reports(&self, now: Instant, age: Duration) -> bool {
+        self.last_report.is_none_or(|at| now.since(at) >= age)
     }
 
-    /// Tells whether the target gives signs of itself: reports, or answers where it never reported.
-    pub fn is_heard(&self, now: Instant, age: Duration) -> bool {
-        match self.reported {
-            Some(_) => !self.is_silent(now, age),
+    /// Returns whether the target sends load reports or, if it never sent one, isn't down.
+    pub fn is_responsive(&self, now: Instant, age: Duration) -> bool {
+        match self.last_report {
+            Some(_) => !self.lacks_reports(now, age),
             None => !self.is_down(),
         }
     }
 
-    /// Notes that the target is heard again after a silence: one that is down may be tried at once.
+    /// Ends the backoff of a target that is down, after its first load report in a while.
     ///
-    /// One more failure brings it down again.
-    pub(super) fn reached(&mut self, now: Instant) {
+    /// One more failure marks it down again.
+    pub(super) fn reset_backoff(&mut self, now: Instant) {
         if self.is_down() {
-            self.failures = DOWN_AFTER - 1;
-            self.down_until = now;
+            self.failures = DOWN_FAILURES - 1;
+            self.backoff_until = now;
             self.retry_at = now;
         }
     }
 
-    /// Tells whether the target fails and gets nothing but probes.
+    /// Returns whether the target fails repeatedly and gets only probes.
     pub fn is_down(&self) -> bool {
-        self.failures >= DOWN_AFTER
+        self.failures >= DOWN_FAILURES
     }
 
-    /// Takes an answer.
-    pub fn answered(&mut self, now: Instant) {
-        self.heard = now;
+    /// Records an answer.
+    pub fn record_answer(&mut self, now: Instant) {
+        self.last_seen = now;
         self.failures = 0;
-        self.refusals = None;
-        self.down_until = Instant::ZERO;
+        self.refusal_run = None;
+        self.backoff_until = Instant::ZERO;
         self.retry_at = Instant::ZERO;
     }
 
-    /// Takes a failure; once there are `DOWN_AFTER` in a row, the target is left alone a while.
-    pub fn failed(&mut self, now: Instant, at_once: bool, set: &RouterSettings) {
+    /// Records a failure; from `DOWN_FAILURES` in a row on, the target backs off exponentially.
+    ///
+    /// `at_once` marks the target down on the first failure.
+    pub fn record_failure(&mut self, now: Instant, at_once: bool, set: &RouterSettings) {
         self.failures = self.failures.saturating_add(1);
         if at_once {
-            self.failures = self.failures.max(DOWN_AFTER);
+            self.failures = self.failures.max(DOWN_FAILURES);
         }
         if self.is_down() {
-            let doublings = (self.failures - DOWN_AFTER).min(16);
-            let pause = set.probe_min.saturating_mul(1 << doublings).min(set.probe_max);
-            self.down_until = now + pause;
+            let doublings = (self.failures - DOWN_FAILURES).min(16);
+            let backoff = set.probe_min.saturating_mul(1 << doublings).min(set.probe_max);
+            self.backoff_until = now + backoff;
         }
-        self.retry_at = self.down_until.max(now) + RETRY_PAUSE;
+        self.retry_at = self.backoff_until.max(now) + RETRY_HOLDOFF;
     }
 
-    /// Takes a refusal; returns whether it shows that the target bears less than it did.
-    pub fn refused(&mut self, now: Instant, most: f64) -> bool {
-        self.heard = now;
-        self.limit.refused(now);
-        self.down_until = self.down_until.max(now + REFUSED_PAUSE);
-        let run = self.refusals.get_or_insert(Refusals::new(now));
-        run.refused(now, most)
+    /// Records a refusal. Returns whether it shows that the target sustains less than before.
+    pub fn record_refusal(&mut self, now: Instant, max_calls: f64) -> bool {
+        self.last_seen = now;
+        self.limit.record_refusal(now);
+        self.backoff_until = self.backoff_until.max(now + REFUSAL_BACKOFF);
+        let run = self.refusal_run.get_or_insert(RefusalRun::new(now));
+        run.record_refusal(now, max_calls)
     }
 }
--- a/hawthornkeel_core/src/routing/target/mod.rs
+++ b/hawthornkeel_core/src/routing/target/mod.rs
@@ -1,4 +1,4 @@
-//! State that an entry keeps of one target.
+//! State that an entry keeps per target.
 
 mod grants;
 mod health;
@@ -7,12 +7,12 @@
 
 use crate::document::Pool;
 use crate::lease::message::GrantId;
+use crate::routing::candidate::Candidate;
 use crate::routing::candidate::Class;
-use crate::routing::candidate::Hot;
-use crate::routing::incarnation::Named;
-use crate::routing::incarnation::Word;
+use crate::routing::incarnation::IncarnationTracker;
+use crate::routing::incarnation::Observation;
 use crate::routing::limit::ConcurrencyLimit;
-use crate::routing::refusals::Refusals;
+use crate::routing::refusals::RefusalRun;
 use crate::routing::settings::RouterSettings;
 use crate::routing::types::Lifecycle;
 use crate::routing::types::LoadReport;
@@ -20,180 +20,182 @@
 use crate::time::Instant;
 
 pub(crate) use self::grants::Grant;
-pub(crate) use self::grants::Pending;
+pub(crate) use self::grants::PendingRequest;
 
-/// Weight of a new sample in the short average of call times.
+/// Weight of a new sample in the short-term average of call times.
 const SHORT_WEIGHT: f64 = 0.3;
-/// Weight of a new sample in the long average of call times.
+/// Weight of a new sample in the long-term average of call times.
 const LONG_WEIGHT: f64 = 0.03;
-/// Ratio of the short average to the long one, and to the pool's, that counts as a step.
+/// Ratio of the short-term average to the long-term one, and to the pool's, that counts as a step.
 const STEP_RATIO: f64 = 4.0;
-/// Part of what a target bears that entries above their own shares leave to others.
-const FULL_SHARE: f64 = 1.0;
-/// Factor on the own use above the share at a target that is reported full.
+/// Fraction of a target's limit up to which entries may exceed their own shares.
+const FILL_FRACTION: f64 = 1.0;
+/// Factor on the calls in flight above the own share while a target reports that it is full.
 const YIELD_FACTOR: f64 = 0.9;
-/// Multiple of the own share that a limit may reach at a target that reports no load.
+/// Multiple of the own share that the limit may reach for a target without load reports.
 const UNREPORTED_FACTOR: f64 = 2.0;
-/// Share of a call's time that an idle target is expected to take.
-const IDLE_SHARE: f64 = 0.5;
+/// Fraction of the average call time expected at an idle target.
+const IDLE_FACTOR: f64 = 0.5;
 
-/// Whether a target bears full load, as far as this entry has proof.
+/// Whether a target is proved to sustain full load, as seen by this entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Warmth {
-    /// No proof yet: calls need grants.
+    /// Never proved; calls require grants.
     Cold,
-    /// There was proof, but the target may have turned cold since: calls need grants.
+    /// Proved before, but the target may have turned cold since; calls require grants.
     Suspect,
-    /// Proved by an own call and the issuer: calls need no grant.
+    /// Proved by an own call and confirmed by the issuer; calls require no grant.
     Warm,
 }
 
-/// State that an entry keeps of one target.
+/// State that an entry keeps per target.
 #[derive(Debug)]
 pub(crate) struct Target {
     pub info: TargetInfo,
-    /// Number of the data centre in the pool.
+    /// Index of the data centre in the pool.
     pub centre: u16,
     pub near: bool,
-    /// Whether this entry is among those that send to the target.
-    pub known: bool,
-    /// Whether the platform's list has the target.
+    /// Whether this entry sends to the target.
+    pub in_subset: bool,
+    /// Whether the platform's list contains the target.
     pub listed: bool,
-    /// Last time that the target was listed or gave a sign of itself.
-    pub heard: Instant,
-    /// Whether the target itself said that it is leaving.
-    pub leaving: bool,
+    /// When the target was last listed, answered, refused a call or sent a load report.
+    pub last_seen: Instant,
+    /// Whether the target itself reported that it is draining.
+    pub draining: bool,
     /// Whether operators have taken out the target's data centre.
     pub taken_out: bool,
     pub warmth: Warmth,
-    pub named: Named,
-    pub sequence: Option<u64>,
-    /// Grant of the last answered call, until the target is suspected.
-    pub proof: Option<GrantId>,
-    /// Times that the target was suspected.
-    pub losses: u32,
+    pub incarnations: IncarnationTracker,
+    pub last_sequence: Option<u64>,
+    /// Grant of the last answered call; cleared when the target becomes suspect.
+    pub answered_grant: Option<GrantId>,
+    /// Number of times that the target became suspect.
+    pub suspect_count: u32,
     pub running: u32,
     pub limit: ConcurrencyLimit,
-    /// Own share of the target's limit.
+    /// Own share of the target's limit, in calls.
     pub share: f64,
-    pub short: f64,
-    pub long: f64,
-    /// Calls of other entries, by the last load report.
-    pub others: f64,
-    pub reported: Option<Instant>,
+    /// Short-term average call time in microseconds, zero before the first answer.
+    pub short_average: f64,
+    /// Long-term average call time in microseconds, zero before the first answer.
+    pub long_average: f64,
+    /// Calls of other entries, according to the last load report.
+    pub other_calls: f64,
+    pub last_report: Option<Instant>,
     pub failures: u32,
     /// Refusals since the last answer.
-    pub refusals: Option<Refusals>,
-    pub down_until: Instant,
-    /// Time from which a repeated call may go, where the target failed last.
+    pub refusal_run: Option<RefusalRun>,
+    pub backoff_until: Instant,
+    /// Time from which retries may be sent, after a failure.
     pub retry_at: Instant,
     pub grants: Vec<Grant>,
-    pub pending: Option<Pending>,
-    pub ask_after: Instant,
+    pub pending: Option<PendingRequest>,
+    pub next_request: Instant,
 }
 
 impl Target {
-    /// Creates the state of a target that is not yet proved warm.
+    /// Creates the state of a target that isn't proved warm.
     pub fn new(now: Instant, info: TargetInfo, near: bool) -> Self {
         Self {
             info,
             centre: 0,
             near,
-            known: true,
+            in_subset: true,
             listed: true,
-            heard: now,
-            leaving: false,
+            last_seen: now,
+            draining: false,
             taken_out: false,
             warmth: Warmth::Cold,
-            named: Named::new(now),
-            sequence: None,
-            proof: None,
-            losses: 0,
+            incarnations: IncarnationTracker::new(now),
+            last_sequence: None,
+            answered_grant: None,
+            suspect_count: 0,
             running: 0,
             limit: ConcurrencyLimit::new(1.0, 1.0),
             share: 1.0,
-            short: 0.0,
-            long: 0.0,
-            others: 0.0,
-            reported: None,
+            short_average: 0.0,
+            long_average: 0.0,
+            other_calls: 0.0,
+            last_report: None,
             failures: 0,
-            refusals: None,
-            down_until: Instant::ZERO,
+            refusal_run: None,
+            backoff_until: Instant::ZERO,
             retry_at: Instant::ZERO,
             grants: Vec::new(),
             pending: None,
-            ask_after: Instant::ZERO,
+            next_request: Instant::ZERO,
         }
     }
 
-    /// Takes what the platform's list says of the target.
-    pub fn take_info(&mut self, now: Instant, info: &TargetInfo, near: bool) {
+    /// Updates the target from the platform's list.
+    pub fn update_info(&mut self, now: Instant, info: &TargetInfo, near: bool) {
         self.info = info.clone();
         self.near = near;
         self.listed = true;
-        self.heard = now;
+        self.last_seen = now;
     }
 
-    /// Takes a load report; returns whether it shows that the target has restarted.
+    /// Applies a load report. Returns whether it shows that the target has restarted.
     ///
-    /// A report is the first after a silence where none came for `age`.
-    pub fn take_report(
+    /// If none arrived for `age`, the report also ends a backoff.
+    pub fn apply_report(
         &mut self,
         now: Instant,
         report: &LoadReport,
-        most: f64,
+        max_calls: f64,
         age: Duration,
     ) -> bool {
-        self.heard = now;
-        let word = report.incarnation.map(|i| self.named.report(now, i));
-        if word == Some(Word::Late) {
+        self.last_seen = now;
+        let observed = report.incarnation.map(|i| self.incarnations.observe_report(now, i));
+        if observed == Some(Observation::Stale) {
             return false;
         }
-        let new = word == Some(Word::New);
-        let lower = report.sequence.is_some() && report.sequence < self.sequence;
-        self.sequence = report.sequence;
-        self.leaving = report.draining || (self.leaving && !new);
+        let new = observed == Some(Observation::Restarted);
+        let lower = report.sequence.is_some() && report.sequence < self.last_sequence;
+        self.last_sequence = report.sequence;
+        self.draining = report.draining || (self.draining && !new);
         let all = f64::from(report.running) + f64::from(report.waiting);
-        self.others = (all - f64::from(self.running)).max(0.0);
-        if self.is_silent(now, age) {
-            self.reached(now);
+        self.other_calls = (all - f64::from(self.running)).max(0.0);
+        if self.lacks_reports(now, age) {
+            self.reset_backoff(now);
         }
-        self.reported = Some(now);
-        if let Some(run) = &mut self.refusals {
-            run.reported(all);
+        self.last_report = Some(now);
+        if let Some(run) = &mut self.refusal_run {
+            run.record_load(all);
         }
-        self.bound(most);
+        self.update_limit(max_calls);
         new || (lower && report.incarnation.is_none())
     }
 
-    /// Bounds the own limit by what the target bears in all and others are known to use.
-    pub fn bound(&mut self, most: f64) {
+    /// Bounds the own limit by the target's limit less the calls of other entries.
+    pub fn update_limit(&mut self, max_calls: f64) {
         let own = f64::from(self.running);
-        let spare = most * FULL_SHARE - self.others - own;
-        let cap = match self.reported {
+        let spare = max_calls * FILL_FRACTION - self.other_calls - own;
+        let cap = match self.last_report {
             Some(_) if spare > 0.0 => own + spare,
-            Some(_) if self.others == 0.0 => own,
+            Some(_) if self.other_calls == 0.0 => own,
             Some(_) => own * YIELD_FACTOR,
             None => (self.share * UNREPORTED_FACTOR).max(1.0),
         };
-        self.limit.set_bounds(self.share, cap.min(most));
+        self.limit.set_bounds(self.share, cap.min(max_calls));
     }
 
-    /// Tells whether the target may get new work at all.
+    /// Returns whether this entry may send new work to the target at all.
     pub fn accepts_work(&self) -> bool {
-        let leaving = self.leaving || self.info.lifecycle == Lifecycle::Draining;
-        self.known && !leaving && !self.taken_out
+        let draining = self.draining || self.info.lifecycle == Lifecycle::Draining;
+        self.in_subset && !draining && !self.taken_out
     }
 
-    /// Tells whether the target takes work and answers, whichever entry it is known to.
-    pub fn serves(&self) -> bool {
-        let leaving = self.leaving || self.info.lifecycle == Lifecycle::Draining;
-        !leaving && !self.taken_out && !self.is_down()
+    /// Returns whether the target accepts work and isn't down, regardless of the subset.
+    pub fn is_serving(&self) -> bool {
+        let draining = self.draining || self.info.lifecycle == Lifecycle::Draining;
+        !draining && !self.taken_out && !self.is_down()
     }
 
-    /// Tells whether a call can be sent now.
-    pub fn is_open(&self, now: Instant) -> bool {
-        if !self.accepts_work() || now < self.down_until {
+    /// Returns whether a call can be sent now.
+    pub fn is_available(&self, now: Instant) -> bool {
+        if !self.accepts_work() || now < self.backoff_until {
             return false;
         }
         match self.warmth {
@@ -203,15 +205,21 @@
         }
     }
 
-    /// Returns what a choice reads of the target.
-    pub fn hot(&self, now: Instant, pool: &Pool, latency: f64, set: &RouterSettings) -> Hot {
-        let latency = if self.short > 0.0 { self.short } else { latency };
-        let fresh = self.reported.is_some_and(|at| now.since(at) < set.report_age);
-        let others = if fresh { self.others } else { 0.0 };
+    /// Returns the summary used for selection. `latency` stands in until a call was answered.
+    pub fn candidate(
+        &self,
+        now: Instant,
+        pool: &Pool,
+        latency: f64,
+        set: &RouterSettings,
+    ) -> Candidate {
+        let latency = if self.short_average > 0.0 { self.short_average } else { latency };
+        let fresh = self.last_report.is_some_and(|at| now.since(at) < set.report_age);
+        let others = if fresh { self.other_calls } else { 0.0 };
         let load = (f64::from(self.running) + others) / f64::from(pool.warm_limit.max(1));
         let far = if self.near { 0.0 } else { set.far_penalty.as_micros() as f64 };
-        Hot {
-            score: (latency * (IDLE_SHARE + load) + far) as f32,
+        Candidate {
+            score: (latency * (IDLE_FACTOR + load) + far) as f32,
             capacity: u16::try_from(self.capacity()).unwrap_or(u16::MAX),
             centre: self.centre,
             class: self.class(now),
@@ -222,17 +230,17 @@
         }
     }
 
-    /// Returns how the target can be chosen now.
+    /// Returns the availability class.
     fn class(&self, now: Instant) -> Class {
-        match (self.is_open(now), self.warmth, self.near) {
-            (false, _, _) => Class::Closed,
+        match (self.is_available(now), self.warmth, self.near) {
+            (false, _, _) => Class::Unavailable,
             (true, Warmth::Warm, true) => Class::Near,
             (true, Warmth::Warm, false) => Class::Far,
             (true, Warmth::Cold | Warmth::Suspect, _) => Class::Cold,
         }
     }
 
-    /// Returns the calls that the target is expected to bear for this entry, also when down.
+    /// Returns the calls that the target is expected to sustain for this entry, even while down.
     fn capacity(&self) -> u32 {
         let proved = self.warmth == Warmth::Warm && !self.is_down();
         match (self.accepts_work(), proved) {
@@ -242,28 +250,32 @@
         }
     }
 
-    /// Takes the time of an answered call; returns whether it shows a step against the pool.
-    pub fn measure(&mut self, latency: Duration, pool_micros: f64) -> bool {
+    /// Records the time of an answered call. Returns whether the target has slowed down abruptly.
+    ///
+    /// `pool_micros` is the average over the pool: a target that slows down with the whole pool
+    /// doesn't count.
+    pub fn record_latency(&mut self, latency: Duration, pool_micros: f64) -> bool {
         let micros = latency.as_micros() as f64;
-        if self.long == 0.0 {
-            self.short = micros;
-            self.long = micros;
+        if self.long_average == 0.0 {
+            self.short_average = micros;
+            self.long_average = micros;
             return false;
         }
-        self.short += (micros - self.short) * SHORT_WEIGHT;
-        self.long += (micros - self.long) * LONG_WEIGHT;
-        self.short > self.long * STEP_RATIO && self.short > pool_micros * STEP_RATIO
+        self.short_average += (micros - self.short_average) * SHORT_WEIGHT;
+        self.long_average += (micros - self.long_average) * LONG_WEIGHT;
+        self.short_average > self.long_average * STEP_RATIO
+            && self.short_average > pool_micros * STEP_RATIO
     }
 
-    /// Takes the target for possibly cold; returns whether it was taken for warm before.
-    pub fn suspect(&mut self) -> bool {
-        self.losses = self.losses.wrapping_add(1);
+    /// Marks a target as possibly cold. Returns whether it was warm before.
+    pub fn mark_suspect(&mut self) -> bool {
+        self.suspect_count = self.suspect_count.wrapping_add(1);
         let was_warm = self.warmth == Warmth::Warm;
         if was_warm {
             self.warmth = Warmth::Suspect;
         }
-        self.proof = None;
-        self.limit.restart();
+        self.answered_grant = None;
+        self.limit.reset();
         was_warm
     }
 }
--- a/hawthornkeel_core/src/routing/token_bucket.rs
+++ b/hawthornkeel_core/src/routing/token_bucket.rs
@@ -1,35 +1,35 @@
-//! Budget of repeated calls, as a share of first calls.
+//! Token bucket for retry and hedge budgets.
 
-/// Token bucket that first calls fill and repeated calls empty.
+/// Token bucket that first attempts fill and retries or hedges drain.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    share: f64,
-    burst: f64,
+    ratio: f64,
+    capacity: f64,
     tokens: f64,
 }
 
 impl TokenBucket {
-    /// Creates a full budget of `burst` calls that gains `share` with each first call.
-    pub fn new(share: f64, burst: f64) -> Self {
-        Self { share, burst, tokens: burst }
+    /// Creates a full bucket of `capacity` tokens that gains `ratio` tokens per first attempt.
+    pub fn new(ratio: f64, capacity: f64) -> Self {
+        Self { ratio, capacity, tokens: capacity }
     }
 
-    /// Takes note of a first call.
+    /// Adds the tokens earned by one first attempt, up to the capacity.
     pub fn deposit(&mut self) {
-        self.tokens = (self.tokens + self.share).min(self.burst);
+        self.tokens = (self.tokens + self.ratio).min(self.capacity);
     }
 
-    /// Tells whether a repeated call is allowed now.
+    /// Returns whether a whole token is available.
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Spends a repeated call; returns whether the budget allows it.
+    /// Removes one token. Returns `false` if none is available.
     pub fn withdraw(&mut self) -> bool {
-        let allowed = self.has_token();
-        if allowed {
+        let available = self.has_token();
+        if available {
             self.tokens -= 1.0;
         }
-        allowed
+        available
     }
 }
--- a/hawthornkeel_core/src/routing/types.rs
+++ b/hawthornkeel_core/src/routing/types.rs
@@ -1,4 +1,4 @@
-//! Values that the router takes and returns.
+//! Inputs and outputs of the router.
 
 use std::fmt;
 use std::sync::Arc;
@@ -17,19 +17,19 @@
 use crate::names::WorkspaceName;
 use crate::time::Instant;
 
-/// Whether a target takes new work.
+/// Lifecycle state of a target.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Lifecycle {
-    /// The target takes work.
+    /// Accepts work.
     #[default]
     Live,
-    /// The target finishes its work and takes no new work.
+    /// Finishes its work and accepts no new work.
     #[serde(rename = "leaving")]
     Draining,
 }
 
-/// Target as the platform's list shows it.
+/// Target in the platform's list.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct TargetInfo {
     /// Unique name.
@@ -40,72 +40,73 @@
     pub pool: PoolName,
     /// Data centre that the target runs in.
     pub centre: CentreName,
-    /// Whether the target takes new work.
+    /// Lifecycle state according to the list.
     #[serde(rename = "liveness")]
     pub lifecycle: Lifecycle,
 }
 
-/// Load that a target reports about itself, some time after the fact.
+/// Load reported by a target, which lags behind the actual load.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LoadReport {
     /// Incarnation of the target's process.
     pub incarnation: Option<Incarnation>,
-    /// Number of the report at its incarnation; a lower one than before means a restart.
+    /// Sequence number of the report within the incarnation. A lower one than before means a
+    /// restart.
     pub sequence: Option<u64>,
-    /// Calls that run.
+    /// Number of running calls.
     pub running: u32,
-    /// Calls that wait at the target.
+    /// Number of calls queued at the target.
     pub waiting: u32,
     /// Whether the target reports that it is draining.
     #[serde(rename = "leaving")]
     pub draining: bool,
 }
 
-/// Whether and how a call repeats an earlier one for the same stage.
+/// Kind of an attempt at a stage.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum AttemptKind {
-    /// First call for the stage.
+    /// First attempt.
     #[default]
     First,
-    /// Earlier calls are known not to have run: costs no retry budget.
+    /// Retry after attempts that are known not to have run; free of the retry budget.
     SafeRetry,
-    /// An earlier call may have run: costs retry budget.
+    /// Retry after an attempt that may have run; charged to the retry budget.
     Retry,
-    /// An earlier call still runs: costs hedge budget.
+    /// Second call while the first is still running; charged to the hedge budget.
     Hedge,
 }
 
-/// Request's way through its pipeline, for admission.
+/// Request to be admitted.
 #[derive(Clone, Debug, Default)]
 pub struct RequestPlan {
     /// Identity of the request.
     pub request: RequestId,
     /// Workspace that the request belongs to.
     pub workspace: WorkspaceName,
-    /// Pools of the stages, in the order they run.
+    /// Pools of the stages, in execution order.
     pub pools: Vec<PoolName>,
-    /// Time at which the whole answer must have been given.
+    /// Time by which the whole request must be answered.
     pub deadline: Instant,
-    /// Shortest time that all stages take together.
+    /// Minimum time of all stages together.
     pub floor: Duration,
 }
 
-/// Decision about a request's admission.
+/// Decision about the admission of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// The request may run; `Router::finish_request` ends it.
+    /// The request may run and must be ended by `Router::finish_request`.
     Admitted,
-    /// The request is refused at once and nothing of it has run.
+    /// The request is refused and nothing of it has run.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
-        /// Time after which the caller may try again.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
 }
 
-/// Call for a stage that needs a target.
+/// Call of a stage that needs a target.
 #[derive(Clone, Debug, Default)]
 pub struct StageRequest {
     /// Identity of the call.
@@ -114,61 +115,61 @@
     pub workspace: WorkspaceName,
     /// Pool that runs the stage.
     pub pool: PoolName,
-    /// Priority: higher goes first within the workspace.
+    /// Priority within the workspace; higher values go first.
     pub priority: u8,
-    /// Time at which the whole answer must have been given.
+    /// Time by which the whole request must be answered.
     pub deadline: Instant,
-    /// Shortest time that this stage takes.
+    /// Minimum time of this stage.
     pub floor: Duration,
-    /// Shortest time that the stages after this one take together.
+    /// Minimum time of the later stages together.
     pub later_floor: Duration,
-    /// Pools of the stages after this one.
+    /// Pools of the later stages.
     pub later_pools: Vec<PoolName>,
-    /// Hash of the prompt's prefix, where the stage has one.
+    /// Hash of the prompt prefix, if the stage has one.
     pub prefix_hash: Option<u64>,
-    /// Targets not to be chosen, such as those tried before.
+    /// Targets to avoid, such as those tried before.
     pub excluded: Vec<TargetName>,
-    /// Whether the call repeats an earlier one.
+    /// Kind of the attempt.
     pub kind: AttemptKind,
 }
 
-/// Why a decision was taken: part of its log line.
+/// Reason of a decision, as logged.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reason {
-    /// Lowest expected time among the near targets.
+    /// Near target with the lowest expected time.
     Near,
-    /// Target that probably has the prompt's prefix in its cache.
+    /// Target that probably has the prompt prefix in its cache.
     Prefix,
-    /// Target of another data centre, since it is expected to be faster.
+    /// Target in another data centre that is expected to be faster.
     FarBetter,
-    /// Target of another data centre, since no near target has room.
+    /// Target in another data centre, as no near target is available.
     NearFull,
-    /// Target of another data centre, since there is no near target at all.
+    /// Target in another data centre, as no near target is usable.
     NearGone,
     /// Cold or suspected target, under a grant.
     ColdGrant,
-    /// Probe of a target that failed before.
+    /// Probe of a target that is down.
     Probe,
-    /// Waits for its fair share of the targets.
+    /// Waiting for its fair share of the targets.
     FairQueue,
-    /// The document names no such pool.
+    /// The pool isn't in the document.
     UnknownPool,
-    /// No target of the pool may take work before the deadline.
+    /// The pool has no targets.
     NoTarget,
     /// The deadline can't be met.
     Deadline,
     /// A later stage can't finish before the deadline.
     LaterStage,
-    /// The retry budget of the pool is used up.
+    /// The retry budget of the pool is exhausted.
     RetryBudget,
-    /// The hedge budget of the pool is used up, or no other target has room.
+    /// The hedge budget of the pool is exhausted, or no other target is available.
     HedgeBudget,
     /// The workspace has too many requests in progress.
     WorkspaceLimit,
 }
 
 impl Reason {
-    /// Returns the reason as a word for logs and metrics.
+    /// Returns the name for logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Near => "near",
@@ -196,7 +197,7 @@
     }
 }
 
-/// Right to make one call; given back by `Router::finish_call`, exactly once.
+/// Permission for one call, to be returned exactly once by `Router::finish_call`.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Permit {
     /// Target to call.
@@ -205,89 +206,89 @@
     pub pool: PoolName,
     /// Call that the permit is for.
     pub call: CallId,
-    /// Time at which the permit was given.
+    /// Time at which the permit was issued.
     pub issued: Instant,
-    /// Time at which the call must have ended; the caller of the router cancels it then.
+    /// Time at which the call must have ended. The caller of the router cancels it then.
     pub deadline: Instant,
-    /// Grant that the call is made under, where the target is cold.
+    /// Grant for the call, if the target is cold.
     pub grant: Option<GrantId>,
-    /// Time at which that grant ends, which may be after `deadline`.
+    /// Time at which the grant expires, which may be after `deadline`.
     pub grant_expiry: Option<Instant>,
-    /// Incarnation that was proved warm, which alone may get the call; any where absent.
+    /// Incarnation that is proved warm and the only one allowed to run the call; any if absent.
     pub incarnation: Option<Incarnation>,
-    /// Hash of the prompt's prefix, where the stage has one.
+    /// Hash of the prompt prefix, if the stage has one.
     pub(crate) prefix_hash: Option<u64>,
 }
 
 /// Decision about a call.
 #[derive(Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// The call goes to a target now.
+    /// The call can be sent now.
     Send {
         /// Target to call.
         target: TargetName,
-        /// Its address as `ip:port`.
+        /// Address of the target as `ip:port`.
         address: Arc<str>,
-        /// Right to make the call.
+        /// Permission for the call.
         permit: Permit,
-        /// Why this target.
+        /// Reason of the choice.
         reason: Reason,
-        /// Targets that were compared.
+        /// Number of targets that were compared.
         candidates: u32,
     },
-    /// The call waits: `Router::take_ready` returns its decision, at `until` at the latest.
+    /// The call waits. `Router::take_ready` returns its decision, at `until` at the latest.
     Wait {
-        /// Time at which the wait ends in a refusal.
+        /// Time at which the call is refused if it still waits.
         until: Instant,
-        /// Why it waits.
+        /// Reason of the wait.
         reason: Reason,
-        /// Targets that could take it once they have room.
+        /// Number of the pool's targets.
         candidates: u32,
     },
-    /// The call is refused: no target saw it.
+    /// The call is refused. No target has received it.
     Refuse {
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
-        /// Time after which the caller may try again.
+        /// Time after which the caller may retry.
         retry_after: Duration,
-        /// Targets that were compared.
+        /// Number of targets that were compared.
         candidates: u32,
     },
 }
 
-/// Decision about a call that had to wait.
+/// Decision about a call that was waiting.
 #[derive(Debug, Eq, PartialEq)]
 pub struct QueuedDecision {
-    /// Call that waited.
+    /// Call that was waiting.
     pub call: CallId,
     /// `Send` or `Refuse`.
     pub decision: Decision,
 }
 
-/// How a call to a target ended.
+/// Outcome of a call to a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallOutcome {
-    /// The whole answer came.
+    /// The answer was received completely.
     Answered {
-        /// Time from the sending of the call to the end of the answer.
+        /// Time from sending the call to the end of the answer.
         latency: Duration,
-        /// Tokens generated, or zero.
+        /// Number of generated tokens, or zero.
         tokens: u32,
-        /// Incarnation that the answer named, if any.
+        /// Incarnation named by the answer, if any.
         incarnation: Option<Incarnation>,
     },
-    /// The target answered that it takes no more work; the call did not run.
+    /// The target refused the call as it accepts no more work. The call did not run.
     Refused,
-    /// No connection could be made; the call did not run.
+    /// No connection could be established. The call did not run.
     ConnectFailed,
     /// The connection broke after the call was sent.
     Reset,
-    /// The answer did not come in time; the call may still run.
+    /// The answer did not arrive in time. The call may still be running.
     TimedOut,
-    /// The answer ended early or failed its check.
+    /// The answer ended early or failed validation.
     Truncated,
-    /// The target answered with an error of its own.
+    /// The target answered with an error.
     Failed,
-    /// The call was cancelled, since the caller left or another attempt won.
+    /// The call was cancelled, as the caller disconnected or another attempt was answered first.
     Cancelled,
 }
