--- a/hawthornkeel_core/tests/adaptive_limit.rs
+++ b/hawthornkeel_core/tests/adaptive_limit.rs
@@ -1,4 +1,4 @@
-//! An entry's limit at a target grows on answers, yields to others and falls on refusals.
+//! An entry's limit for a target grows on answers, yields to other entries and falls on refusals.
 
 mod common;
 
@@ -20,7 +20,7 @@
 use common::target;
 use common::warm_router;
 
-/// Creates a router that shares a warm target of 16 calls with another entry.
+/// Creates a router that shares a warm target with a limit of 16 calls with another entry.
 fn shared() -> Router {
     let mut router =
         warm_router(&document(16, &[("w", 1)]), &[target("t", "a")], RouterSettings::default());
@@ -29,7 +29,7 @@
     router
 }
 
-/// Makes as many calls as the target's limit allows.
+/// Sends as many calls as the target's limit allows.
 fn fill(router: &mut Router, millis: u64) -> Vec<Permit> {
     let mut permits = Vec::new();
     for number in 0..100 {
@@ -46,7 +46,9 @@
     permits
 }
 
-/// Fills the target and answers all, `rounds` times, under the same load by others.
+/// Fills the target and answers all calls, `rounds` times, while other entries run `others` calls.
+///
+/// Returns the number of calls of the last round.
 fn rounds(router: &mut Router, rounds: u64, others: u32) -> usize {
     let mut most = 0;
     for round in 1..=rounds {
@@ -63,15 +65,15 @@
 }
 
 #[test]
-fn spare_room_is_used() {
-    assert_eq!(rounds(&mut shared(), 150, 0), 16, "nobody else calls the target");
+fn spare_capacity_is_used() {
+    assert_eq!(rounds(&mut shared(), 150, 0), 16, "no other entry calls the target");
 }
 
 #[test]
-fn limit_yields_to_the_own_share_at_a_full_target() {
+fn limit_falls_to_the_own_share_at_a_full_target() {
     let mut router = shared();
     rounds(&mut router, 60, 0);
-    assert_eq!(rounds(&mut router, 30, 12), 8, "half of what the target bears");
+    assert_eq!(rounds(&mut router, 30, 12), 8, "half of the target's limit");
 }
 
 #[test]
@@ -88,7 +90,7 @@
 }
 
 #[test]
-fn one_target_that_turns_slow_is_taken_for_cold() {
+fn target_that_slows_down_alone_becomes_suspect() {
     let targets = [target("t", "a"), target("u", "a")];
     let mut router = warm_router(&document(4, &[("w", 1)]), &targets, RouterSettings::default());
     for round in 0..200_u64 {
@@ -110,7 +112,7 @@
 }
 
 #[test]
-fn new_entry_knows_no_target_as_warm() {
+fn new_entry_has_no_warm_targets() {
     let own = EntryInfo { id: member("e9"), centre: "a".into() };
     let mut router = Router::new(RouterSettings::default(), LeaseSettings::default(), own);
     router.apply_document(&document(16, &[]));
--- a/hawthornkeel_core/tests/centre_recovery.rs
+++ b/hawthornkeel_core/tests/centre_recovery.rs
@@ -1,4 +1,5 @@
-//! Lost data centre: the rest share its part, and its targets are tried as soon as they are heard.
+//! Unreachable data centre: its entries lose their shares, and its targets are tried again with
+//! their first load report.
 
 mod common;
 
@@ -18,10 +19,10 @@
 use common::target;
 use common::warm_router;
 
-/// Time between two load reports, in milliseconds.
+/// Interval between load reports, in milliseconds.
 const REPORT_MILLIS: u64 = 500;
 
-/// Creates a router whose only target, in another data centre, is warm and reported.
+/// Creates a router with one warm target in another data centre, which has sent a load report.
 fn router() -> Router {
     let targets = [target("t", "b")];
     let mut router = warm_router(&document(16, &[("w", 1)]), &targets, RouterSettings::default());
@@ -29,13 +30,13 @@
     router
 }
 
-/// Reports an idle target.
+/// Applies a load report of the idle target.
 fn report(router: &mut Router, millis: u64) {
     router.report_load(at(millis), &"t".into(), LoadReport::default());
 }
 
-/// Sends probes that time out until `end`, and returns the time at which the last one ended.
-fn lose(router: &mut Router, end: u64, reported: bool) -> u64 {
+/// Sends probes that time out until `end`. Returns the time at which the last one ended.
+fn time_out_probes(router: &mut Router, end: u64, reported: bool) -> u64 {
     let mut last = 0;
     for step in 1..=end / REPORT_MILLIS {
         let millis = step * REPORT_MILLIS;
@@ -50,7 +51,7 @@
     last
 }
 
-/// Asks for the target once.
+/// Requests the target once, without waiting.
 fn probe(router: &mut Router, millis: u64) -> Option<Permit> {
     let mut call = request(1, "w");
     call.deadline = at(millis + 60_000);
@@ -64,36 +65,39 @@
 }
 
 #[test]
-fn target_heard_after_a_silence_is_tried_at_once() {
+fn target_is_tried_with_its_first_report_after_a_gap() {
     let mut router = router();
-    let last = lose(&mut router, 10_000, false);
-    assert!(probe(&mut router, last + 10).is_none(), "left alone after a failed probe");
+    let last = time_out_probes(&mut router, 10_000, false);
+    assert!(probe(&mut router, last + 10).is_none(), "backs off after a failed probe");
     report(&mut router, last + 20);
-    let permit = probe(&mut router, last + 20).expect("tried once it is heard");
+    let permit = probe(&mut router, last + 20).expect("tried after its report");
     router.finish_call(at(last + 120), permit, answered());
     assert!(!router.status(&"t".into()).expect("known").down);
 }
 
 #[test]
-fn target_that_fails_after_its_return_is_left_alone_again() {
+fn target_that_fails_after_its_return_backs_off_again() {
     let mut router = router();
-    let last = lose(&mut router, 10_000, false);
+    let last = time_out_probes(&mut router, 10_000, false);
     report(&mut router, last + 20);
-    let permit = probe(&mut router, last + 20).expect("tried once it is heard");
+    let permit = probe(&mut router, last + 20).expect("tried after its report");
     router.finish_call(at(last + 20), permit, CallOutcome::TimedOut);
     report(&mut router, last + 30);
-    assert!(probe(&mut router, last + 30).is_none(), "one report after a silence, one try");
+    assert!(probe(&mut router, last + 30).is_none(), "one report after a gap allows one probe");
 }
 
 #[test]
-fn target_that_reports_all_along_but_fails_is_not_tried_sooner() {
+fn failing_target_with_regular_reports_keeps_its_backoff() {
     let mut router = router();
-    let last = lose(&mut router, 10_000, true);
+    let last = time_out_probes(&mut router, 10_000, true);
     report(&mut router, last + 20);
-    assert!(probe(&mut router, last + 20).is_none(), "heard all along, so nothing has changed");
+    assert!(
+        probe(&mut router, last + 20).is_none(),
+        "reports never stopped, so nothing has changed"
+    );
 }
 
-/// Creates an entry that shares its data centre's target with three entries of another one.
+/// Creates a router that shares the target of its data centre with three entries of another one.
 fn shared() -> Router {
     let targets = [target("own", "a"), target("t", "b")];
     let mut router = warm_router(&document(16, &[("w", 1)]), &targets, RouterSettings::default());
@@ -105,7 +109,7 @@
     router
 }
 
-/// Returns the calls allowed at once at the own target, which others fill, after `t` failed.
+/// Returns the limit for the own target, which other entries keep full, after `t` failed.
 fn limit_after_failures(router: &mut Router, reported: bool) -> u32 {
     for millis in (0..10_000).step_by(REPORT_MILLIS as usize) {
         if reported {
@@ -126,12 +130,12 @@
 }
 
 #[test]
-fn entries_of_a_lost_data_centre_get_no_share() {
-    assert_eq!(limit_after_failures(&mut shared(), false), 16, "nobody else reaches the target");
+fn entries_of_an_unreachable_data_centre_get_no_share() {
+    assert_eq!(limit_after_failures(&mut shared(), false), 16, "no other entry reaches the target");
 }
 
 #[test]
-fn entries_keep_their_share_where_targets_fail_but_are_heard() {
+fn entries_keep_their_share_while_failing_targets_report() {
     let limit = limit_after_failures(&mut shared(), true);
     assert!(limit <= 8, "{limit}: the other entries can still reach the target");
 }
--- a/hawthornkeel_core/tests/cold_simulation/entry.rs
+++ b/hawthornkeel_core/tests/cold_simulation/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the cold-target tests.
+//! Entries of the cold target simulation.
 
 use std::time::Duration;
 
@@ -25,18 +25,19 @@
 use super::WARM_AFTER;
 use super::WARM_LIMIT;
 
-/// Entry with its part in the lease.
+/// Entry with its lease holder, issuer and voter.
 pub struct Entry {
     pub id: MemberId,
     pub router: Router,
     pub holder: Holder,
     pub issuer: Issuer,
     pub voter: Voter,
+    /// Offset of the entry's clock, in milliseconds.
     pub offset: u64,
     pub frozen_until: u64,
     pub dead_until: u64,
-    pub cut_until: u64,
-    /// Incarnation that the entry's connections lead to.
+    pub partitioned_until: u64,
+    /// Incarnation of the target that the entry is connected to.
     pub connected: Option<u64>,
     pub permits: IndexMap<u64, Permit>,
 }
@@ -68,7 +69,7 @@
     InstanceName::new(&format!("e{index}"))
 }
 
-/// Starts an entry whose clock shows `offset` more than the site's.
+/// Starts an entry whose clock is `offset` milliseconds ahead of the simulation's.
 pub fn start(index: usize, boot: u64, offset: u64, millis: u64) -> Entry {
     let now = Instant::from_millis(offset + millis);
     let id = MemberId { name: name(index), boot };
@@ -77,8 +78,8 @@
     let mut router = Router::new(RouterSettings::default(), settings(), own);
     router.apply_document(&document());
     router.set_entries(now, &(0..ENTRIES).map(info).collect::<Vec<_>>());
-    let (name_, pool, centre) = (TARGET.into(), "p".into(), "a".into());
-    let target = TargetInfo { name: name_, pool, centre, ..TargetInfo::default() };
+    let (target_name, pool, centre) = (TARGET.into(), "p".into(), "a".into());
+    let target = TargetInfo { name: target_name, pool, centre, ..TargetInfo::default() };
     router.update_targets(now, &[target]);
     let mut issuer = Issuer::new("a".into());
     issuer.apply_document(&document());
@@ -91,7 +92,7 @@
         offset,
         frozen_until: 0,
         dead_until: 0,
-        cut_until: 0,
+        partitioned_until: 0,
         connected: None,
         permits: IndexMap::new(),
     }
--- a/hawthornkeel_core/tests/cold_simulation/mod.rs
+++ b/hawthornkeel_core/tests/cold_simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Small site of the cold-target tests: entries with lossy links before one target.
+//! Simulation of one cold target and entries with lossy links, on a virtual clock.
 #![allow(dead_code)]
 
 mod entry;
@@ -30,26 +30,27 @@
 pub const COLD_LIMIT: u32 = 2;
 pub const WARM_AFTER: u32 = 12;
 pub const WARM_LIMIT: u32 = 8;
-const STEP: u64 = 2;
+/// Simulated time per step, in milliseconds.
+const STEP_MILLIS: u64 = 2;
 const TARGET: &str = "t";
 
-/// Share of messages that are lost, doubled and late, in a hundred.
+/// Percentages of messages that are lost, duplicated and delayed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Links {
     pub lost: u32,
-    pub doubled: u32,
-    pub late: u32,
+    pub duplicated: u32,
+    pub delayed: u32,
 }
 
-/// What goes wrong, as one in so many steps; zero for never.
+/// Faults to inject, each with a mean interval in steps; zero disables it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     pub links: Links,
     pub kill: u32,
     pub freeze: u32,
-    pub cut: u32,
+    pub partition: u32,
     pub restart: u32,
-    /// Calls that their callers give up while the target goes on, as one in so many.
+    /// Cancels one in so many calls while the target continues to run them.
     pub cancel: u32,
     /// Whether answers name the target's incarnation.
     pub named: bool,
@@ -58,38 +59,41 @@
 enum Message {
     Vote(usize, VoteMessage),
     Grant(MemberId, GrantMessage),
-    Lost,
-    End(u64, CallOutcome),
+    ConnectionLost,
+    CallEnded(u64, CallOutcome),
 }
 
-struct Flight {
+/// Message in transit.
+struct Delivery {
     due: u64,
     to: usize,
+    /// Boot of the receiver that the message is for; any if absent.
     boot: Option<u64>,
     message: Message,
 }
 
-/// Simulation at one point in time, in milliseconds.
+/// State of the simulation. Times are in milliseconds.
 pub struct Simulation {
     pub now: u64,
     pub faults: Faults,
     rng: ChaCha8Rng,
     entries: Vec<Entry>,
-    flights: Vec<Flight>,
-    /// Calls at the target: number, end, and whether they count as answers.
+    deliveries: Vec<Delivery>,
+    /// Running calls of the target: end time by call number.
     running: IndexMap<u64, u64>,
     pub incarnation: u64,
     pub answers: u32,
-    pub most_cold: u32,
+    /// Highest number of concurrent calls while the target was cold.
+    pub max_cold: u32,
     pub restarts: u32,
-    pub total: u64,
-    /// Time that a call takes at the target.
-    pub length: Range<u64>,
-    next: u64,
+    pub total_calls: u64,
+    /// Range of call durations at the target.
+    pub call_millis: Range<u64>,
+    call_counter: u64,
 }
 
 impl Simulation {
-    /// Creates a site whose entries have just started and whose target is cold.
+    /// Creates a simulation whose entries have just started and whose target is cold.
     pub fn new(seed: u64, faults: Faults) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let entries =
@@ -99,60 +103,66 @@
             faults,
             rng,
             entries,
-            flights: Vec::new(),
+            deliveries: Vec::new(),
             running: IndexMap::new(),
             incarnation: 1,
             answers: 0,
-            most_cold: 0,
+            max_cold: 0,
             restarts: 0,
-            total: 0,
-            length: 20..300,
-            next: 0,
+            total_calls: 0,
+            call_millis: 20..300,
+            call_counter: 0,
         }
     }
 
-    /// Plays until `millis`, with each entry sending whatever it may.
-    pub fn play(&mut self, millis: u64) {
+    /// Runs until `millis`. Every entry sends as many calls as its router allows.
+    pub fn run_until(&mut self, millis: u64) {
         while self.now < millis {
-            self.now += STEP;
-            self.disturb();
+            self.now += STEP_MILLIS;
+            self.inject_faults();
             self.deliver();
             for entry in 0..ENTRIES {
-                self.work(entry);
+                self.step_entry(entry);
             }
         }
     }
 
-    /// Returns how many entries take the target for warm.
+    /// Returns the number of entries that consider the target warm.
     pub fn warm_entries(&self) -> usize {
         let warm =
             |e: &&Entry| e.router.status(&TARGET.into()).is_some_and(|s| s.warmth == Warmth::Warm);
         self.entries.iter().filter(warm).count()
     }
 
-    /// Tells whether the target bears only its cold limit.
+    /// Returns whether the target can't sustain more than its cold limit yet.
     pub fn is_cold(&self) -> bool {
         self.answers < WARM_AFTER
     }
 
-    /// Restarts the target without warning: connections to it break.
+    /// Restarts the target, which breaks its connections.
     pub fn restart_target(&mut self) {
         self.restarts += 1;
         self.incarnation += 1;
         self.answers = 0;
         let lost: Vec<u64> = self.running.drain(..).map(|(call, _)| call).collect();
-        self.flights.retain(|f| !matches!(f.message, Message::End(c, _) if lost.contains(&c)));
+        self.deliveries
+            .retain(|d| !matches!(d.message, Message::CallEnded(c, _) if lost.contains(&c)));
         for to in 0..ENTRIES {
             let boot = Some(self.entries[to].id.boot);
             for call in &lost {
-                let message = Message::End(*call, CallOutcome::Reset);
-                self.flights.push(Flight { due: self.now + 2, to, boot, message });
+                let message = Message::CallEnded(*call, CallOutcome::Reset);
+                self.deliveries.push(Delivery { due: self.now + 2, to, boot, message });
             }
-            self.flights.push(Flight { due: self.now + 2, to, boot, message: Message::Lost });
+            self.deliveries.push(Delivery {
+                due: self.now + 2,
+                to,
+                boot,
+                message: Message::ConnectionLost,
+            });
         }
     }
 
-    /// Ends an entry's process and starts it again after `pause`.
+    /// Kills an entry and restarts it after `pause` milliseconds.
     pub fn kill(&mut self, index: usize, pause: u64) {
         let boot = self.rng.random();
         let offset = self.rng.random_range(0..1_000_000);
@@ -164,7 +174,7 @@
         steps > 0 && self.rng.random_range(0..steps) == 0
     }
 
-    fn disturb(&mut self) {
+    fn inject_faults(&mut self) {
         let faults = self.faults;
         for index in 0..ENTRIES {
             if self.one_in(faults.kill) {
@@ -174,8 +184,9 @@
             if self.one_in(faults.freeze) {
                 self.entries[index].frozen_until = self.now + self.rng.random_range(50..4_000);
             }
-            if self.one_in(faults.cut) {
-                self.entries[index].cut_until = self.now + self.rng.random_range(200..5_000);
+            if self.one_in(faults.partition) {
+                self.entries[index].partitioned_until =
+                    self.now + self.rng.random_range(200..5_000);
             }
         }
         if self.one_in(faults.restart) {
@@ -188,44 +199,55 @@
     }
 
     fn send(&mut self, from: usize, to: usize, make: impl Fn() -> Message) {
-        let cut = |e: &Entry, now| now < e.cut_until;
-        if from != to && (cut(&self.entries[from], self.now) || cut(&self.entries[to], self.now)) {
+        let partitioned = |e: &Entry, now| now < e.partitioned_until;
+        if from != to
+            && (partitioned(&self.entries[from], self.now)
+                || partitioned(&self.entries[to], self.now))
+        {
             return;
         }
         let links = self.faults.links;
         let draw = self.rng.random_range(0..100);
         let copies = match draw {
             d if d < links.lost => 0,
-            d if d < links.lost + links.doubled => 2,
+            d if d < links.lost + links.duplicated => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            let late = self.rng.random_range(0..100) < links.late;
-            let delay =
-                if late { self.rng.random_range(100..3_000) } else { self.rng.random_range(1..6) };
-            self.flights.push(Flight { due: self.now + delay, to, boot: None, message: make() });
+            let delayed = self.rng.random_range(0..100) < links.delayed;
+            let delay = if delayed {
+                self.rng.random_range(100..3_000)
+            } else {
+                self.rng.random_range(1..6)
+            };
+            self.deliveries.push(Delivery {
+                due: self.now + delay,
+                to,
+                boot: None,
+                message: make(),
+            });
         }
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, later) = self.flights.drain(..).partition(|f| f.due <= now);
-        self.flights = later;
-        let due: Vec<Flight> = due;
-        for mut flight in due {
-            let entry = &self.entries[flight.to];
+        let (due, later) = self.deliveries.drain(..).partition(|d| d.due <= now);
+        self.deliveries = later;
+        let due: Vec<Delivery> = due;
+        for mut delivery in due {
+            let entry = &self.entries[delivery.to];
             if now < entry.frozen_until {
-                flight.due = entry.frozen_until;
-                self.flights.push(flight);
+                delivery.due = entry.frozen_until;
+                self.deliveries.push(delivery);
                 continue;
             }
-            self.finish_at_target(&flight);
-            let entry = &self.entries[flight.to];
-            if now >= entry.dead_until && flight.boot.is_none_or(|b| b == entry.id.boot) {
-                self.receive(flight.to, flight.message);
+            self.finish_at_target(&delivery);
+            let entry = &self.entries[delivery.to];
+            if now >= entry.dead_until && delivery.boot.is_none_or(|b| b == entry.id.boot) {
+                self.receive(delivery.to, delivery.message);
             }
         }
-        // Calls of entries that died or froze end at the target all the same.
+        // Calls of killed or frozen entries end at the target regardless.
         let ended: Vec<u64> =
             self.running.iter().filter(|(_, end)| **end <= now).map(|(c, _)| *c).collect();
         for call in ended {
@@ -234,8 +256,8 @@
         }
     }
 
-    fn finish_at_target(&mut self, flight: &Flight) {
-        if let Message::End(call, CallOutcome::Answered { .. }) = &flight.message
+    fn finish_at_target(&mut self, delivery: &Delivery) {
+        if let Message::CallEnded(call, CallOutcome::Answered { .. }) = &delivery.message
             && self.running.swap_remove(call).is_some()
         {
             self.answers += 1;
@@ -257,11 +279,11 @@
                 let out = entry.issuer.handle(now, &entry.holder, &from, &message);
                 self.send_grants(to, out.into_iter().map(|o| (o.to, o.message)).collect());
             }
-            Message::Lost => {
+            Message::ConnectionLost => {
                 entry.connected = None;
                 entry.router.connection_lost(now, &TARGET.into());
             }
-            Message::End(call, outcome) => {
+            Message::CallEnded(call, outcome) => {
                 if let Some(permit) = entry.permits.swap_remove(&call) {
                     entry.router.finish_call(now, permit, outcome);
                 }
@@ -278,7 +300,7 @@
         }
     }
 
-    fn work(&mut self, index: usize) {
+    fn step_entry(&mut self, index: usize) {
         let entry = &self.entries[index];
         if self.now < entry.dead_until || self.now < entry.frozen_until {
             return;
@@ -302,15 +324,15 @@
                     .for_each(|to| self.send(index, to, || Message::Vote(index, ask.clone())));
             }
         }
-        while self.call(index) {}
+        while self.send_call(index) {}
         let out = self.entries[index].router.take_messages(now);
         self.send_grants(index, out.into_iter().map(|o| (o.issuer, o.message)).collect());
     }
 
-    /// Makes one call, where the router sends it; returns whether it did.
-    fn call(&mut self, index: usize) -> bool {
-        self.next += 1;
-        let (number, now) = (self.next, self.clock(index));
+    /// Sends one call if the router allows it. Returns whether it was sent.
+    fn send_call(&mut self, index: usize) -> bool {
+        self.call_counter += 1;
+        let (number, now) = (self.call_counter, self.clock(index));
         let request = StageRequest {
             call: CallId { request: RequestId(u128::from(number)), ..CallId::default() },
             workspace: "w".into(),
@@ -324,43 +346,48 @@
             return false;
         };
         self.entries[index].permits.insert(number, permit);
-        self.take(index, number);
+        self.start_call(index, number);
         true
     }
 
-    /// Lets the target take a call, over a connection that leads to its present process or not.
-    fn take(&mut self, index: usize, number: u64) {
+    /// Starts a call at the target, or resets it if the connection is to an earlier incarnation.
+    fn start_call(&mut self, index: usize, number: u64) {
         let entry = &mut self.entries[index];
         let boot = Some(entry.id.boot);
         let connected = *entry.connected.get_or_insert(self.incarnation);
         if connected != self.incarnation {
-            let message = Message::End(number, CallOutcome::Reset);
-            self.flights.push(Flight { due: self.now + 2, to: index, boot, message });
+            let message = Message::CallEnded(number, CallOutcome::Reset);
+            self.deliveries.push(Delivery { due: self.now + 2, to: index, boot, message });
             return;
         }
         let cold = self.is_cold();
-        let length = self.rng.random_range(self.length.clone());
+        let duration = self.rng.random_range(self.call_millis.clone());
         let cancelled = self.one_in(self.faults.cancel);
-        self.total += 1;
-        self.running.insert(number, self.now + length);
+        self.total_calls += 1;
+        self.running.insert(number, self.now + duration);
         if cold {
             let running = self.running.len() as u32;
-            self.most_cold = self.most_cold.max(running);
+            self.max_cold = self.max_cold.max(running);
             assert!(
                 running <= COLD_LIMIT,
-                "{running} calls at the cold target at {} ms, the last by {}",
+                "{running} calls at the cold target at {} ms, the last one by {}",
                 self.now,
                 self.entries[index].id
             );
         }
         if cancelled {
-            let message = Message::End(number, CallOutcome::Cancelled);
-            self.flights.push(Flight { due: self.now + length / 4, to: index, boot, message });
+            let message = Message::CallEnded(number, CallOutcome::Cancelled);
+            self.deliveries.push(Delivery {
+                due: self.now + duration / 4,
+                to: index,
+                boot,
+                message,
+            });
         }
-        let latency = Duration::from_millis(length);
+        let latency = Duration::from_millis(duration);
         let incarnation = self.faults.named.then_some(Incarnation(self.incarnation));
         let outcome = CallOutcome::Answered { latency, tokens: 0, incarnation };
-        let message = Message::End(number, outcome);
-        self.flights.push(Flight { due: self.now + length, to: index, boot, message });
+        let message = Message::CallEnded(number, outcome);
+        self.deliveries.push(Delivery { due: self.now + duration, to: index, boot, message });
     }
 }
--- a/hawthornkeel_core/tests/common/mod.rs
+++ b/hawthornkeel_core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the routing tests: one entry with targets that were proved warm.
+//! Helpers of the routing tests: one entry with targets that are proved warm.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -26,23 +26,23 @@
 use hawthornkeel_core::routing::Warmth;
 use hawthornkeel_core::time::Instant;
 
-/// Time that a call takes in these tests.
+/// Duration of a call in these tests.
 pub const LATENCY: Duration = Duration::from_millis(100);
 
-/// Returns a member.
+/// Returns a member on its first boot.
 pub fn member(name: &str) -> MemberId {
     MemberId { name: name.into(), boot: 1 }
 }
 
-/// Time before the start of a test, in which targets are proved warm.
-const BEFORE_MILLIS: u64 = 20_000;
+/// Time before the start of a test in which targets are warmed up, in milliseconds.
+const WARM_UP_MILLIS: u64 = 20_000;
 
-/// Returns the point `millis` after the start.
+/// Returns the instant `millis` after the start.
 pub fn at(millis: u64) -> Instant {
-    Instant::from_millis(BEFORE_MILLIS + millis)
+    Instant::from_millis(WARM_UP_MILLIS + millis)
 }
 
-/// Returns a target of the pool `p`.
+/// Returns a target in the pool `p`.
 pub fn target(name: &str, centre: &str) -> TargetInfo {
     TargetInfo {
         name: name.into(),
@@ -53,7 +53,7 @@
     }
 }
 
-/// Returns a document with the pool `p` and workspaces of the given weights.
+/// Returns a document with the pool `p` and workspaces with the given weights.
 pub fn document(warm_limit: u32, weights: &[(&str, u32)]) -> Document {
     let workspace = |(name, weight): &(&str, u32)| Workspace {
         name: (*name).into(),
@@ -67,7 +67,7 @@
     }
 }
 
-/// Returns a first call of request `number`, due 8 s after the start.
+/// Returns the first call of request `number`, due 8 s after the start.
 pub fn request(number: u128, workspace: &str) -> StageRequest {
     StageRequest {
         call: CallId {
@@ -83,12 +83,12 @@
     }
 }
 
-/// Returns the outcome of an answered call.
+/// Returns the outcome of a call answered by incarnation 1.
 pub fn answered() -> CallOutcome {
     CallOutcome::Answered { latency: LATENCY, tokens: 0, incarnation: Some(Incarnation(1)) }
 }
 
-/// Returns the permit of a decision that sends.
+/// Returns the permit of a `Send` decision.
 pub fn sent(decision: Decision) -> Permit {
     match decision {
         Decision::Send { permit, .. } => permit,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Plays the issuers: grants the first request that is due, and returns the grant.
+/// Acts as the issuers: grants the first due request and returns the grant.
 pub fn grant(router: &mut Router, now: Instant) -> GrantId {
     for out in router.take_messages(now) {
         let GrantMessage::Request { number, target, .. } = out.message else {
@@ -107,10 +107,11 @@
         router.handle_message(now, &GrantMessage::Granted { number, grant, target, lasts });
         return granted;
     }
-    panic!("no grant was asked for");
+    panic!("no grant was requested");
 }
 
-/// Creates a router in data centre `a`, whose targets are all proved warm at their own shares.
+/// Creates a router in data centre `a` whose targets are all proved warm, with limits at the own
+/// shares.
 pub fn warm_router(
     document: &Document,
     targets: &[TargetInfo],
@@ -134,7 +135,8 @@
     router
 }
 
-/// Plays the issuers for one step: grants what is asked for and calls every answered target warm.
+/// Acts as the issuers for one step: grants every request and confirms every answered target as
+/// warm.
 fn warm_up(router: &mut Router, now: Instant) {
     let probe = request(u128::MAX, "w");
     for out in router.take_messages(now) {
@@ -168,7 +170,7 @@
     }
 }
 
-/// Makes calls until the limits have grown to the own shares.
+/// Sends calls until the limits have grown to the own shares.
 fn grow(router: &mut Router, calls: usize) {
     for round in 0..8 {
         let mut permits = Vec::new();
--- a/hawthornkeel_core/tests/fair_share.rs
+++ b/hawthornkeel_core/tests/fair_share.rs
@@ -1,4 +1,5 @@
-//! Waiting calls are served by the weights of their workspaces, and only as long as they can be.
+//! Waiting calls are served by the weights of their workspaces and refused once they can't meet
+//! their deadline.
 
 mod common;
 
@@ -18,8 +19,9 @@
 use common::target;
 use common::warm_router;
 
-/// Serves waiting calls one after another and returns how many of the first `count` were small.
-fn small_of(
+/// Serves `count` waiting calls one by one. Returns how many are of the small workspace, whose
+/// request numbers start at `small_from`.
+fn count_small(
     router: &mut Router,
     mut running: Vec<Permit>,
     small_from: u128,
@@ -40,7 +42,7 @@
     small
 }
 
-/// Fills the target and lets `large` calls of one workspace wait before `small` of another.
+/// Fills the target, then queues `large` calls of one workspace before `small` calls of another.
 fn contended(large: u128, small: u128) -> (Router, Vec<Permit>) {
     let document = document(4, &[("large", 3), ("small", 1)]);
     let mut router = warm_router(&document, &[target("t", "a")], RouterSettings::default());
@@ -58,18 +60,18 @@
 #[test]
 fn large_workspace_does_not_starve_a_small_one() {
     let (mut router, running) = contended(150, 40);
-    let small = small_of(&mut router, running, 150, 40);
+    let small = count_small(&mut router, running, 150, 40);
     assert!((9..=11).contains(&small), "{small} of 40 for a weight of 1 in 4");
 }
 
 #[test]
-fn lone_workspace_gets_everything() {
+fn only_workspace_gets_all_capacity() {
     let (mut router, running) = contended(60, 0);
-    assert_eq!(small_of(&mut router, running, 0, 40), 40);
+    assert_eq!(count_small(&mut router, running, 0, 40), 40);
 }
 
 #[test]
-fn call_that_can_not_be_served_in_time_is_refused_at_once() {
+fn call_that_cannot_meet_its_deadline_is_refused_at_once() {
     let (mut router, _running) = contended(400, 0);
     let decision = router.choose(at(0), &request(999, "large"));
     let Decision::Refuse { reason, retry_after, .. } = decision else {
@@ -89,7 +91,7 @@
 }
 
 #[test]
-fn waiting_call_is_refused_when_its_time_is_over() {
+fn waiting_call_is_refused_at_its_expiry() {
     let (mut router, _running) = contended(8, 0);
     let end: Instant = at(8_000);
     let ready = router.take_ready(end);
--- a/hawthornkeel_core/tests/grant_pace.rs
+++ b/hawthornkeel_core/tests/grant_pace.rs
@@ -1,4 +1,4 @@
-//! How soon an entry asks for its next call to a cold target.
+//! Timing of an entry's grant requests for a cold target.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 use hawthornkeel_core::routing::types::Permit;
 use hawthornkeel_core::time::Instant;
 
-/// Time between two looks at what a router has to send, in milliseconds.
+/// Interval at which a router's messages are taken, in milliseconds.
 const STEP_MS: u64 = 10;
 
 fn at(millis: u64) -> Instant {
@@ -32,7 +32,7 @@
     MemberId { name: "entry-1".into(), boot: 1 }
 }
 
-/// Returns the router of an entry that knows one cold target and its issuer.
+/// Returns the router of an entry with one cold target and a known issuer.
 fn router() -> Router {
     let own = EntryInfo { id: MemberId::default(), centre: "dc-0".into() };
     let mut router = Router::new(RouterSettings::default(), LeaseSettings::default(), own.clone());
@@ -65,21 +65,21 @@
     }
 }
 
-/// Returns the number of the grant request that is sent at `now`, if one is.
-fn asked(router: &mut Router, now: Instant) -> Option<u64> {
+/// Returns the number of the grant request sent at `now`, if any.
+fn requested_number(router: &mut Router, now: Instant) -> Option<u64> {
     router.take_messages(now).into_iter().find_map(|m| match m.message {
         GrantMessage::Request { number, .. } => Some(number),
         _ => None,
     })
 }
 
-/// Grants the request under `number` and returns the permit of the call that waited for it.
+/// Grants request `number` and returns the permit of the call that waited for it.
 fn grant(router: &mut Router, now: Instant, number: u64) -> Permit {
     let grant = GrantId { issuer: issuer(), number };
     let lasts = LeaseSettings::default().grant;
     let granted = GrantMessage::Granted { number, grant, target: "readers-0".into(), lasts };
     router.handle_message(now, &granted);
-    let ready = router.take_ready(now).into_iter().next().expect("the call that waits");
+    let ready = router.take_ready(now).into_iter().next().expect("the waiting call");
     match ready.decision {
         Decision::Send { permit, .. } => permit,
         other => panic!("not sent: {other:?}"),
@@ -87,13 +87,13 @@
 }
 
 #[test]
-fn next_grant_is_asked_for_at_once() {
+fn next_grant_is_requested_immediately() {
     let mut router = router();
     for number in 1..=2 {
         let decision = router.choose(at(1), &request(number));
         assert!(matches!(decision, Decision::Wait { .. }), "{decision:?}");
     }
-    let first = asked(&mut router, at(1)).expect("a first request");
+    let first = requested_number(&mut router, at(1)).expect("a first request");
     let permit = grant(&mut router, at(2), first);
     let latency = Duration::from_millis(20);
     router.finish_call(
@@ -101,18 +101,18 @@
         permit,
         CallOutcome::Answered { latency, tokens: 0, incarnation: None },
     );
-    let next = asked(&mut router, at(22 + STEP_MS));
+    let next = requested_number(&mut router, at(22 + STEP_MS));
     assert!(next.is_some_and(|n| n > first), "{next:?} after {first}");
 }
 
 #[test]
-fn unanswered_request_is_sent_again_after_a_pause() {
+fn unanswered_request_is_resent_after_the_timeout() {
     let mut router = router();
     router.choose(at(1), &request(1));
-    let first = asked(&mut router, at(1)).expect("a first request");
+    let first = requested_number(&mut router, at(1)).expect("a first request");
     let resend = LeaseSettings::default().resend.as_millis() as u64;
     for millis in (1 + STEP_MS..1 + resend).step_by(STEP_MS as usize) {
-        assert_eq!(asked(&mut router, at(millis)), None, "at {millis} ms");
+        assert_eq!(requested_number(&mut router, at(millis)), None, "at {millis} ms");
     }
-    assert_eq!(asked(&mut router, at(1 + resend)), Some(first));
+    assert_eq!(requested_number(&mut router, at(1 + resend)), Some(first));
 }
--- a/hawthornkeel_core/tests/hedged_calls.rs
+++ b/hawthornkeel_core/tests/hedged_calls.rs
@@ -1,4 +1,4 @@
-//! Second calls that race slow ones: who wins, who is cancelled, and when none is made.
+//! Hedged calls: which call wins, which one is cancelled, and when no hedge is sent.
 
 mod common;
 
@@ -41,8 +41,9 @@
 use common::warm_router;
 
 const NOW: Instant = Instant::from_millis(1_000);
-/// Calls of the first stage: the first one and its hedge.
+/// First call of the first stage.
 const FIRST: CallId = call(0);
+/// Hedge of that call.
 const HEDGE: CallId = call(1);
 
 const fn call(attempt: u16) -> CallId {
@@ -98,7 +99,7 @@
 #[rstest]
 #[case(FIRST, HEDGE)]
 #[case(HEDGE, FIRST)]
-fn first_whole_answer_wins_and_the_other_call_is_cancelled(
+fn first_complete_answer_wins_and_cancels_the_other_call(
     #[case] winner: CallId,
     #[case] loser: CallId,
 ) {
@@ -116,14 +117,14 @@
 #[rstest]
 #[case(FIRST, HEDGE)]
 #[case(HEDGE, FIRST)]
-fn failure_of_one_leaves_the_other_running(#[case] failed: CallId, #[case] other: CallId) {
+fn failed_call_leaves_the_other_running(#[case] failed: CallId, #[case] other: CallId) {
     let mut run = hedged(vec![stage("read")]);
     assert_eq!(fail(&mut run, failed, 0), vec![]);
     assert_eq!(answer(&mut run, other), vec![Action::Finish(Bytes::from("a"))]);
 }
 
 #[test]
-fn failure_of_both_goes_on_as_a_retry_from_the_first_answer() {
+fn failure_of_both_calls_resumes_the_first_answer_in_a_retry() {
     let mut run = hedged(vec![stage("read")]);
     assert_eq!(fail(&mut run, HEDGE, 50), vec![]);
     let route = Action::Route { stage: StageIndex(0), attempt: AttemptNumber(2) };
@@ -136,11 +137,11 @@
 }
 
 #[test]
-fn hedge_that_found_no_target_costs_no_attempt() {
+fn hedge_without_a_target_costs_no_attempt() {
     let mut run = hedged(vec![Stage { max_attempts: 2, ..stage("read") }]);
     let failure = CallFailure::NotSent;
     assert_eq!(run.handle(NOW, Input::Failed { call: HEDGE, failure, received: 0 }), vec![]);
-    assert_eq!(run.handle(NOW, Input::HedgeDue(FIRST)), vec![], "asked for once");
+    assert_eq!(run.handle(NOW, Input::HedgeDue(FIRST)), vec![], "requested only once");
     assert!(matches!(fail(&mut run, FIRST, 0)[..], [Action::Route { .. }]));
 }
 
@@ -165,23 +166,23 @@
     assert_eq!(run.handle(now, Input::HedgeDue(FIRST)), vec![]);
 }
 
-/// Creates a router with two warm targets, each of which bears `limit` calls.
+/// Creates a router with two warm targets that sustain `limit` calls each.
 fn router(limit: u32) -> Router {
     let targets = [target("t0", "a"), target("t1", "a")];
     warm_router(&document(limit, &[("w", 1)]), &targets, RouterSettings::default())
 }
 
-/// Makes a first call of request `number`.
+/// Sends the first call of request `number`.
 fn first(router: &mut Router, number: u128) -> Permit {
     sent(router.choose(at(0), &request(number, "w")))
 }
 
-/// Asks for a hedge of the call under `permit`.
+/// Requests a hedge of the call under `permit`.
 fn hedge(router: &mut Router, millis: u64, permit: &Permit) -> Decision {
-    let mut asked = request(permit.call.request.0, "w");
-    asked.call.attempt.0 = 1;
-    (asked.kind, asked.excluded) = (AttemptKind::Hedge, vec![permit.target.clone()]);
-    router.choose(at(millis), &asked)
+    let mut second = request(permit.call.request.0, "w");
+    second.call.attempt.0 = 1;
+    (second.kind, second.excluded) = (AttemptKind::Hedge, vec![permit.target.clone()]);
+    router.choose(at(millis), &second)
 }
 
 fn assert_refused(decision: &Decision) {
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn hedge_is_due_after_twice_the_usual_high_time() {
+fn hedge_is_due_after_twice_the_95th_percentile() {
     let mut router = router(16);
     let permit = first(&mut router, 1);
     let after = router.hedge_delay(&permit).unwrap();
@@ -204,10 +205,10 @@
     for _ in 0..10 {
         assert_refused(&hedge(&mut router, 7_990, &permit));
     }
-    let mut nowhere = request(1, "w");
-    (nowhere.kind, nowhere.excluded) = (AttemptKind::Hedge, vec!["t0".into(), "t1".into()]);
+    let mut no_target = request(1, "w");
+    (no_target.kind, no_target.excluded) = (AttemptKind::Hedge, vec!["t0".into(), "t1".into()]);
     for _ in 0..10 {
-        assert_refused(&router.choose(at(300), &nowhere));
+        assert_refused(&router.choose(at(300), &no_target));
     }
     sent(hedge(&mut router, 300, &permit));
 }
@@ -223,7 +224,7 @@
 }
 
 #[test]
-fn no_hedge_to_a_target_that_failed_last() {
+fn no_hedge_to_a_failing_target() {
     let mut router = router(16);
     let mut calls = vec![first(&mut router, 1), first(&mut router, 2)];
     calls.sort_by_key(|p| p.target.clone());
@@ -246,7 +247,7 @@
 }
 
 #[test]
-fn beaten_target_is_not_blamed() {
+fn cancelled_call_does_not_penalise_its_target() {
     let mut router = router(16);
     let name = first(&mut router, 0).target;
     let before = router.status(&name).unwrap();
@@ -259,14 +260,14 @@
 }
 
 #[test]
-fn stage_that_slows_tenfold_is_hedged_from_the_budget_only() {
+fn slow_stage_is_hedged_within_the_budget() {
     let mut router = router(64);
     let set = RouterSettings::default();
     let calls = 1_000;
     let mut hedges: usize = 0;
     for number in 0..calls {
         let permit = first(&mut router, number);
-        // Every call takes ten times as long, so that a hedge of each is due.
+        // Every call takes ten times the usual time, so a hedge of each is due.
         if let Decision::Send { permit, .. } = hedge(&mut router, 300, &permit) {
             hedges += 1;
             router.finish_call(at(1_000), permit, CallOutcome::Cancelled);
--- a/hawthornkeel_core/tests/late_issuer.rs
+++ b/hawthornkeel_core/tests/late_issuer.rs
@@ -1,4 +1,4 @@
-//! A call that waits for a cold target while its data centre has no issuer yet.
+//! Call that waits for a cold target while its data centre has no issuer.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 use hawthornkeel_core::time::Instant;
 
 #[test]
-fn waiting_call_asks_an_issuer_that_comes_late() {
+fn waiting_call_requests_a_grant_from_a_late_issuer() {
     let own = EntryInfo { id: MemberId::default(), centre: "dc-0".into() };
     let mut router = Router::new(RouterSettings::default(), LeaseSettings::default(), own.clone());
     let pool = Pool { name: "readers".into(), ..Pool::default() };
@@ -49,6 +49,6 @@
     let announce = GrantMessage::Announce { centre: "dc-0".into(), issuer, term: 1 };
     router.handle_message(Instant::from_millis(5_000), &announce);
     let messages = router.take_messages(Instant::from_millis(5_010));
-    let asked = messages.iter().any(|m| matches!(m.message, GrantMessage::Request { .. }));
-    assert!(asked, "the waiting call asks for a grant: {messages:?}");
+    let requested = messages.iter().any(|m| matches!(m.message, GrantMessage::Request { .. }));
+    assert!(requested, "the waiting call requests a grant: {messages:?}");
 }
--- a/hawthornkeel_core/tests/removed_pools.rs
+++ b/hawthornkeel_core/tests/removed_pools.rs
@@ -1,4 +1,4 @@
-//! Admitted requests keep the pools that they were admitted under, until the last has ended.
+//! A pool that the document no longer names is kept until its last admitted request has ended.
 
 mod common;
 
@@ -21,7 +21,7 @@
 use common::target;
 use common::warm_router;
 
-/// Creates a router with one warm target that bears one call.
+/// Creates a router with one warm target that sustains one call.
 fn router() -> Router {
     warm_router(&document(1, &[("w", 1)]), &[target("t0", "a")], RouterSettings::default())
 }
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn waiting_call_of_a_removed_pool_gets_its_turn() {
+fn waiting_call_of_a_removed_pool_is_decided() {
     let mut router = router();
     admit(&mut router, 1);
     admit(&mut router, 2);
@@ -49,11 +49,11 @@
     router.apply_document(&Document::default());
     router.finish_call(at(100), permit, answered());
     let ready = router.take_ready(at(100));
-    assert!(ready.iter().any(|r| r.call == request(2, "w").call), "never decided: {ready:?}");
+    assert!(ready.iter().any(|r| r.call == request(2, "w").call), "not decided: {ready:?}");
 }
 
 #[test]
-fn removed_pool_serves_admitted_requests_and_ends_with_the_last() {
+fn removed_pool_serves_admitted_requests_until_the_last() {
     let mut router = router();
     admit(&mut router, 1);
     admit(&mut router, 2);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn pool_that_is_named_again_stays() {
+fn pool_named_again_is_kept() {
     let mut router = router();
     admit(&mut router, 1);
     router.apply_document(&Document::default());
--- a/hawthornkeel_core/tests/restart_detection.rs
+++ b/hawthornkeel_core/tests/restart_detection.rs
@@ -1,4 +1,4 @@
-//! What the incarnations that a target names tell of its restarts, in whichever order they come.
+//! Restarts detected from the incarnations that a target names, in any order of arrival.
 
 mod common;
 
@@ -22,12 +22,12 @@
 use common::target;
 use common::warm_router;
 
-/// Creates a router that has proved incarnation 1 of its one target warm.
+/// Creates a router whose only target is proved warm at incarnation 1.
 fn router() -> Router {
     warm_router(&document(16, &[("w", 1)]), &[target("t", "a")], RouterSettings::default())
 }
 
-/// Returns the outcome of a call that `incarnation` answered, if it named itself.
+/// Returns the outcome of an answered call that named `incarnation`, if any.
 fn answered_by(incarnation: Option<u64>) -> CallOutcome {
     CallOutcome::Answered { latency: LATENCY, tokens: 0, incarnation: incarnation.map(Incarnation) }
 }
@@ -40,16 +40,16 @@
     router.status(&"t".into()).unwrap().warmth
 }
 
-/// Gives the router a grant where it asks for one, and returns the permit of a call under it.
+/// Grants the router's request and returns the permit of a call under that grant.
 fn granted(router: &mut Router, millis: u64) -> (Permit, GrantId) {
-    let waits = request(u128::from(millis), "w");
-    let _ = router.choose(at(millis), &waits);
-    let asks = router.take_messages(at(millis + 20)).into_iter();
-    let numbers = asks.filter_map(|o| match o.message {
+    let waiting = request(u128::from(millis), "w");
+    let _ = router.choose(at(millis), &waiting);
+    let requests = router.take_messages(at(millis + 20)).into_iter();
+    let numbers = requests.filter_map(|o| match o.message {
         GrantMessage::Request { number, .. } => Some(number),
         _ => None,
     });
-    let number = numbers.last().expect("no grant asked for");
+    let number = numbers.last().expect("no grant was requested");
     let grant = GrantId { issuer: member("a"), number };
     let granted = GrantMessage::Granted {
         number,
@@ -62,14 +62,14 @@
     (sent(ready.remove(0).decision), grant)
 }
 
-fn called_warm(router: &mut Router, millis: u64, grant: GrantId, incarnation: Option<u64>) {
+fn confirm_warm(router: &mut Router, millis: u64, grant: GrantId, incarnation: Option<u64>) {
     let incarnation = incarnation.map(Incarnation);
     let warm = GrantMessage::Warm { grant, target: "t".into(), incarnation };
     router.handle_message(at(millis), &warm);
 }
 
 #[test]
-fn late_answer_does_not_undo_a_restart() {
+fn late_answer_does_not_hide_a_restart() {
     let mut router = router();
     let early = sent(router.choose(at(1), &request(1, "w")));
     router.report_load(at(2), &"t".into(), report(2));
@@ -77,7 +77,7 @@
     let (permit, grant) = granted(&mut router, 3);
     router.finish_call(at(200), permit, answered_by(Some(2)));
     router.finish_call(at(201), early, answered());
-    called_warm(&mut router, 202, grant, Some(2));
+    confirm_warm(&mut router, 202, grant, Some(2));
     assert_eq!(warmth(&router), Warmth::Warm, "the answer of incarnation 1 was late");
     router.report_load(at(203), &"t".into(), report(1));
     assert_eq!(warmth(&router), Warmth::Warm, "and so was its report");
@@ -86,29 +86,29 @@
 }
 
 #[test]
-fn report_tells_of_a_restart_where_answers_do_not() {
+fn report_shows_a_restart_if_answers_name_no_incarnation() {
     let mut router = router();
     for millis in 1..20 {
         let permit = sent(router.choose(at(millis), &request(u128::from(millis), "w")));
         router.finish_call(at(millis), permit, answered_by(None));
     }
-    assert_eq!(warmth(&router), Warmth::Warm, "an answer without a name raises no doubt");
+    assert_eq!(warmth(&router), Warmth::Warm, "an answer without an incarnation isn't suspicious");
     router.report_load(at(20), &"t".into(), report(2));
     assert_eq!(warmth(&router), Warmth::Suspect);
     let (permit, grant) = granted(&mut router, 21);
     router.finish_call(at(200), permit, answered_by(None));
-    called_warm(&mut router, 201, grant, None);
-    assert_eq!(warmth(&router), Warmth::Warm, "it is warmed up by answers without a name");
+    confirm_warm(&mut router, 201, grant, None);
+    assert_eq!(warmth(&router), Warmth::Warm, "answers without an incarnation prove it warm");
 }
 
 #[test]
-fn warm_call_is_for_the_proved_incarnation() {
+fn warm_call_is_bound_to_the_proved_incarnation() {
     let mut router = router();
     let permit = sent(router.choose(at(1), &request(1, "w")));
     assert_eq!(permit.incarnation, Some(Incarnation(1)));
     router.report_incarnation(at(2), &permit, Incarnation(2));
-    assert_eq!(warmth(&router), Warmth::Suspect, "told before the call has ended");
+    assert_eq!(warmth(&router), Warmth::Suspect, "reported before the call has ended");
     router.finish_call(at(3), permit, answered_by(Some(2)));
     let (permit, _) = granted(&mut router, 4);
-    assert_eq!(permit.incarnation, None, "a call under a grant may meet any");
+    assert_eq!(permit.incarnation, None, "a call under a grant may reach any incarnation");
 }
--- a/hawthornkeel_core/tests/share_rounding.rs
+++ b/hawthornkeel_core/tests/share_rounding.rs
@@ -1,4 +1,4 @@
-//! Shares of targets' limits in whole calls: an entry's sum stays at its fair total.
+//! Rounding of shares to whole calls keeps an entry's total close to its fair share.
 
 mod common;
 
@@ -13,12 +13,12 @@
 use common::target;
 use common::warm_router;
 
-/// Calls that a target takes at once.
+/// Concurrent calls of a target.
 const LIMIT: u32 = 8;
-/// Data centres, each with one target and two entries.
+/// Data centres with one target and two entries each.
 const CENTRES: [&str; 4] = ["a", "b", "c", "d"];
 
-/// Returns the targets, named after `run`.
+/// Returns the targets of a run. Their names, and so their order in the subsets, vary by run.
 fn targets(run: usize) -> Vec<TargetInfo> {
     CENTRES.iter().map(|c| target(&format!("{run}-{c}"), c)).collect()
 }
--- a/hawthornkeel_core/tests/stage_admission.rs
+++ b/hawthornkeel_core/tests/stage_admission.rs
@@ -1,4 +1,4 @@
-//! Requests that can't be answered in time are refused before any stage runs.
+//! Requests that can't meet their deadline are refused before any stage runs.
 
 mod common;
 
@@ -16,13 +16,13 @@
 use common::target;
 use common::warm_router;
 
-/// Creates a router whose pool takes 4 calls of 100 ms at once.
+/// Creates a router whose pool runs 4 concurrent calls of 100 ms.
 fn router() -> Router {
     let document = document(4, &[("large", 1), ("small", 1)]);
     warm_router(&document, &[target("t", "a")], RouterSettings::default())
 }
 
-/// Returns a request's plan, due in 2 s.
+/// Returns the plan of a request that is due in 2 s.
 fn plan(number: u128, workspace: &str) -> RequestPlan {
     RequestPlan {
         request: RequestId(number),
@@ -33,7 +33,7 @@
     }
 }
 
-/// Admits requests of one workspace until one is refused; returns their number.
+/// Admits requests of one workspace until one is refused. Returns the number admitted.
 fn flood(router: &mut Router, workspace: &str) -> u128 {
     let admitted = |n: &u128| router.admit(at(0), &plan(*n, workspace)) == Admission::Admitted;
     (0..10_000).take_while(admitted).count() as u128
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn refusal_tells_when_to_come_back() {
+fn refusal_carries_a_retry_delay() {
     let mut router = router();
     flood(&mut router, "large");
     let refused = router.admit(at(0), &plan(1 << 40, "large"));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn end_of_requests_makes_room() {
+fn finished_requests_free_capacity() {
     let mut router = router();
     let admitted = flood(&mut router, "large");
     (0..admitted / 2).for_each(|n| router.finish_request(at(1), RequestId(n)));
@@ -80,11 +80,11 @@
         late.request = RequestId(number);
         admitted += usize::from(router.admit(at(0), &late) == Admission::Admitted);
     }
-    assert_eq!(admitted, 1, "one tries whether the pool is still that slow");
+    assert_eq!(admitted, 1, "one request measures whether the pool is still slow");
 }
 
-/// Admits requests of which `large` in 20 come from one of two equal workspaces, until one is
-/// refused; returns their number.
+/// Admits requests, `large` in 20 of them from one of two equal workspaces, until one is refused.
+/// Returns the number admitted.
 fn mixed(large: u128) -> u128 {
     let mut router = router();
     let workspace = |n: u128| if n * large % 20 < large { "large" } else { "small" };
@@ -93,16 +93,20 @@
 }
 
 #[test]
-fn small_excess_over_the_fair_share_costs_little_room() {
-    let (slight, whole) = (mixed(11), mixed(20));
-    let reserved = flood_room() - whole;
-    let lost = flood_room() - slight;
-    assert!(lost * 4 <= reserved, "{lost} of the {reserved} places that a lone flood leaves");
+fn small_excess_over_the_fair_share_costs_little_capacity() {
+    let (slight_excess, full_excess) = (mixed(11), mixed(20));
+    let reserved = full_capacity() - full_excess;
+    let lost = full_capacity() - slight_excess;
+    assert!(
+        lost * 4 <= reserved,
+        "{lost} of the {reserved} requests that a flood of one workspace leaves"
+    );
 }
 
-/// Returns the requests admitted at the whole share of the spare time: a workspace alone in the
-/// document never exceeds its fair share.
-fn flood_room() -> u128 {
+/// Returns the number of requests admitted to a workspace that is alone in the document.
+///
+/// It never exceeds its fair share, so waiting may take the full share of its spare time.
+fn full_capacity() -> u128 {
     let document = document(4, &[("large", 1)]);
     let mut router = warm_router(&document, &[target("t", "a")], RouterSettings::default());
     flood(&mut router, "large")
--- a/hawthornkeel_core/tests/subset_spread.rs
+++ b/hawthornkeel_core/tests/subset_spread.rs
@@ -1,4 +1,4 @@
-//! Each entry knows a handful of entries' worth of targets, and changes move few of them.
+//! Each target is in the subsets of a few entries, and changes move few targets between subsets.
 
 mod common;
 
@@ -24,13 +24,13 @@
 const POOLS: usize = 20;
 const PLACES: usize = 8;
 
-/// Returns entries by hash of their names and data centre.
+/// Returns entries as name hash and data centre.
 fn entries(count: usize) -> Vec<(u64, usize)> {
     (0..count).map(|i| (subset::name_hash(&format!("entry{i}")), i % CENTRES)).collect()
 }
 
-/// Returns the positions of the entries that know a target.
-fn knowing(entries: &[(u64, usize)], target: usize) -> Vec<u64> {
+/// Returns the name hashes of the entries that send to a target.
+fn senders(entries: &[(u64, usize)], target: usize) -> Vec<u64> {
     let hash = subset::name_hash(&format!("target{target}"));
     let ranked = |e: &(u64, usize)| RankedEntry { hash: e.0, near: e.1 == target % CENTRES };
     let all: Vec<RankedEntry> = entries.iter().map(ranked).collect();
@@ -38,11 +38,11 @@
 }
 
 #[test]
-fn target_knows_a_handful_of_entries() {
+fn target_is_in_few_subsets() {
     let entries = entries(ENTRIES);
     let mut by_entry = indexmap::IndexMap::<u64, usize>::new();
     for target in 0..1_500 {
-        let known = knowing(&entries, target);
+        let known = senders(&entries, target);
         assert_eq!(known.len(), PLACES);
         known.into_iter().for_each(|e| *by_entry.entry(e).or_default() += 1);
     }
@@ -52,12 +52,12 @@
 }
 
 #[test]
-fn lost_entry_moves_only_its_own_targets() {
+fn removed_entry_moves_only_its_own_targets() {
     let all = entries(ENTRIES);
     let fewer = &all[..ENTRIES - 1];
     let gone = all[ENTRIES - 1].0;
     for target in 0..300 {
-        let (before, after) = (knowing(&all, target), knowing(fewer, target));
+        let (before, after) = (senders(&all, target), senders(fewer, target));
         let kept = before.iter().filter(|e| after.contains(e)).count();
         let expected = before.len() - usize::from(before.contains(&gone));
         assert_eq!(kept, expected, "target {target}");
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn entry_has_enough_targets_of_every_pool() {
+fn entry_has_enough_targets_in_every_pool() {
     let pool = |i: usize| Pool { name: format!("pool{i}").as_str().into(), ..Pool::default() };
     let document = Document { pools: (0..POOLS).map(pool).collect(), ..Document::default() };
     let centre = |i: usize| format!("dc{}", i % CENTRES).as_str().into();
