--- a/hawthornkeel_core/src/routing/grants.rs
+++ b/hawthornkeel_core/src/routing/grants.rs
@@ -117,7 +117,7 @@
         found.refresh(now);
     }
 
-    /// Marks a target as warm, as confirmed by its issuer, if the last own answer agrees.
+    /// Marks a target as warm, as confirmed by its issuer, if it matches the last answer.
     fn confirm_warm(
         &mut self,
         now: Instant,
--- a/hawthornkeel_core/src/routing/reachability.rs
+++ b/hawthornkeel_core/src/routing/reachability.rs
@@ -16,7 +16,7 @@
 }
 
 impl Router {
-    /// Recomputes the own shares of the targets' limits.
+    /// Recomputes this entry's shares of the targets' limits.
     ///
     /// Entries of an unreachable data centre get no shares: they are as cut off from the targets
     /// that this entry reaches as this entry is from theirs.
--- a/hawthornkeel_core/src/routing/target/mod.rs
+++ b/hawthornkeel_core/src/routing/target/mod.rs
@@ -30,9 +30,9 @@
 const STEP_RATIO: f64 = 4.0;
 /// Fraction of a target's limit up to which entries may exceed their own shares.
 const FILL_FRACTION: f64 = 1.0;
-/// Factor on the calls in flight above the own share while a target reports that it is full.
+/// Factor on the calls in flight above this entry's share while a target reports that it is full.
 const YIELD_FACTOR: f64 = 0.9;
-/// Multiple of the own share that the limit may reach for a target without load reports.
+/// Multiple of this entry's share that the limit may reach for a target without load reports.
 const UNREPORTED_FACTOR: f64 = 2.0;
 /// Fraction of the average call time expected at an idle target.
 const IDLE_FACTOR: f64 = 0.5;
@@ -44,7 +44,7 @@
     Cold,
     /// Proved before, but the target may have turned cold since; calls require grants.
     Suspect,
-    /// Proved by an own call and confirmed by the issuer; calls require no grant.
+    /// Proved by a call of this entry and confirmed by the issuer; calls require no grant.
     Warm,
 }
 
@@ -74,7 +74,7 @@
     pub suspect_count: u32,
     pub running: u32,
     pub limit: ConcurrencyLimit,
-    /// Own share of the target's limit, in calls.
+    /// This entry's share of the target's limit, in calls.
     pub share: f64,
     /// Short-term average call time in microseconds, zero before the first answer.
     pub short_average: f64,
@@ -168,7 +168,7 @@
         new || (lower && report.incarnation.is_none())
     }
 
-    /// Bounds the own limit by the target's limit less the calls of other entries.
+    /// Bounds this entry's limit by the target's limit less the calls of other entries.
     pub fn update_limit(&mut self, max_calls: f64) {
         let own = f64::from(self.running);
         let spare = max_calls * FILL_FRACTION - self.other_calls - own;
