--- a/hawthornkeel/src/forward/survey.rs
+++ b/hawthornkeel/src/forward/discovery_server.rs
@@ -11,8 +11,8 @@
 use std::time::Instant;
 
 use hawthornkeel_config::settings::Settings;
-use hawthornkeel_core::fleet::Listing;
-use hawthornkeel_core::fleet::Present;
+use hawthornkeel_core::fleet::ServingEntry;
+use hawthornkeel_core::fleet::TargetList;
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_platform::listing;
@@ -49,7 +49,7 @@
 
 /// Control side of what entries follow; clones share it.
 #[derive(Clone)]
-pub struct Surveyor {
+pub struct DiscoveryServer {
     inner: Rc<Inner>,
 }
 
@@ -61,7 +61,7 @@
     exchanges: Exchanges,
     list: SocketAddr,
     poll: Duration,
-    listing: RefCell<Listing>,
+    listing: RefCell<TargetList>,
     listed: Cell<Option<Instant>>,
     entries: RefCell<IndexMap<InstanceName, Seen>>,
     changed: Signal,
@@ -74,8 +74,8 @@
     centre: CentreName,
 }
 
-/// Parts of a control instance that a surveyor needs.
-pub struct Sources {
+/// Handles of the control instance that a discovery server uses.
+pub struct ControlHandles {
     /// Control role.
     pub control: Control,
     /// Published state in force.
@@ -84,20 +84,20 @@
     pub directory: Directory,
 }
 
-impl Surveyor {
+impl DiscoveryServer {
     /// Starts to serve surveys and to read the platform's list at `list`.
     pub fn start(
         settings: &Settings,
         endpoint: &Endpoint,
-        sources: Sources,
+        handles: ControlHandles,
         list: SocketAddr,
     ) -> Self {
-        let surveyor = Self {
+        let server = Self {
             inner: Rc::new(Inner {
                 endpoint: endpoint.clone(),
-                control: sources.control,
-                watch: sources.watch,
-                directory: sources.directory,
+                control: handles.control,
+                watch: handles.watch,
+                directory: handles.directory,
                 exchanges: Exchanges::default(),
                 list,
                 poll: Duration::from_millis(settings.platform.poll_ms),
@@ -108,30 +108,30 @@
                 started: Instant::now(),
             }),
         };
-        surveyor.serve();
-        monoio::spawn(surveyor.clone().follow_list());
-        monoio::spawn(surveyor.clone().forget_gone());
-        surveyor
+        server.serve();
+        monoio::spawn(server.clone().follow_list());
+        monoio::spawn(server.clone().forget_gone());
+        server
     }
 
     fn serve(&self) {
         let endpoint = &self.inner.endpoint;
-        let surveyor = self.clone();
+        let server = self.clone();
         endpoint.on_call(FrameKind::Survey, move |_, frame| {
-            let surveyor = surveyor.clone();
+            let server = server.clone();
             async move {
                 match frame {
                     Frame::Survey(survey) => {
-                        Frame::Surveyed(Box::new(surveyor.answer(&survey).await))
+                        Frame::Surveyed(Box::new(server.answer(&survey).await))
                     }
                     other => other,
                 }
             }
         });
-        let surveyor = self.clone();
+        let server = self.clone();
         endpoint.on_frame(FrameKind::Present, move |from, frame| {
             if let Frame::Present(presence) = frame {
-                surveyor.hear(from, presence);
+                server.hear(from, presence);
             }
         });
     }
@@ -207,7 +207,7 @@
         let entries = self.inner.entries.borrow();
         // What was here before this instance can't be told from what is new.
         let young = self.inner.started.elapsed() < SETTLED * 2;
-        let present = |(name, seen): (&InstanceName, &Seen)| Present {
+        let present = |(name, seen): (&InstanceName, &Seen)| ServingEntry {
             name: name.clone(),
             centre: seen.centre.clone(),
             settled: young || seen.first.elapsed() > SETTLED,
@@ -306,7 +306,7 @@
         tracing::warn!(event = "list-unread", cause, age_ms = age);
     }
 
-    fn set_listing(&self, listing: Listing) {
+    fn set_listing(&self, listing: TargetList) {
         let known = self.inner.listed.get().is_some();
         if known && self.inner.listing.borrow().mark == listing.mark {
             // Only times have changed.
@@ -323,7 +323,7 @@
 }
 
 /// Returns entries in the one order that all control instances give them in.
-fn sorted(mut entries: Vec<Present>) -> Vec<Present> {
+fn sorted(mut entries: Vec<ServingEntry>) -> Vec<ServingEntry> {
     entries.sort();
     entries
 }
--- a/hawthornkeel_core/src/routing/grants.rs
+++ b/hawthornkeel_core/src/routing/grants.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use crate::ids::Incarnation;
-use crate::lease::Doubt;
 use crate::lease::GrantMessage;
 use crate::lease::LeaseSettings;
 use crate::lease::MemberId;
+use crate::lease::SuspectReason;
 use crate::lease::message::GrantId;
 use crate::lease::message::GrantOutcome;
 use crate::names::CentreName;
@@ -62,7 +62,7 @@
         &mut self,
         now: Instant,
         target: &TargetName,
-        doubt: Doubt,
+        doubt: SuspectReason,
         notify: bool,
     ) {
         let Some(mut found) = self.find(target) else {
@@ -71,7 +71,8 @@
         let Some(state) = found.target() else {
             return;
         };
-        let current = if doubt == Doubt::Overload { state.incarnations.current } else { None };
+        let current =
+            if doubt == SuspectReason::Overload { state.incarnations.current } else { None };
         let was_warm = state.mark_suspect();
         let centre = state.info.centre.clone();
         found.refresh(now);
@@ -171,9 +172,9 @@
         }
     }
 
-    /// Releases grants that remained unused for `LeaseSettings::unused`.
+    /// Releases grants that remained unused for `LeaseSettings::unused_timeout`.
     fn release_unused(&mut self, now: Instant) {
-        let unused = self.lease.unused;
+        let unused = self.lease.unused_timeout;
         let mut released = Vec::new();
         for pool in self.pools.values_mut() {
             for index in 0..pool.targets.len() {
--- a/hawthornkeel_core/src/routing/outcome.rs
+++ b/hawthornkeel_core/src/routing/outcome.rs
@@ -1,7 +1,7 @@
 //! Evaluation of call outcomes.
 
 use crate::ids::Incarnation;
-use crate::lease::Doubt;
+use crate::lease::SuspectReason;
 use crate::lease::message::GrantOutcome;
 use crate::names::TargetName;
 use crate::routing::incarnation::Observation;
@@ -55,7 +55,7 @@
 
     /// Marks a target as suspect because it may have restarted.
     pub(crate) fn suspect_restart(&mut self, now: Instant, target: &TargetName) {
-        self.mark_suspect(now, target, Doubt::Restart, true);
+        self.mark_suspect(now, target, SuspectReason::Restart, true);
     }
 
     /// Applies the outcome to the target and its pool.
@@ -66,7 +66,7 @@
         now: Instant,
         permit: &Permit,
         outcome: CallOutcome,
-    ) -> Option<Doubt> {
+    ) -> Option<SuspectReason> {
         let TargetRef { pool, index, settings: set } = self.find(&permit.target)?;
         let max_calls = f64::from(pool.config.warm_limit);
         let pool_average = pool.average_micros;
@@ -98,13 +98,13 @@
             }
             CallOutcome::Refused => {
                 let cold = target.record_refusal(now, max_calls);
-                (cold && target.warmth == Warmth::Warm).then_some(Doubt::Overload)
+                (cold && target.warmth == Warmth::Warm).then_some(SuspectReason::Overload)
             }
             CallOutcome::ConnectFailed | CallOutcome::Reset => {
                 target.limit.record_failure(now);
                 target.record_failure(now, true, set);
                 pool.record_failure(now);
-                Some(Doubt::Restart)
+                Some(SuspectReason::Restart)
             }
             CallOutcome::TimedOut => {
                 pool.latencies.record(now.since(permit.issued));
@@ -125,10 +125,10 @@
 }
 
 /// Returns why an answer makes a warm target suspect, if it does.
-fn doubt(warmth: Warmth, observed: Option<Observation>, slowed: bool) -> Option<Doubt> {
+fn doubt(warmth: Warmth, observed: Option<Observation>, slowed: bool) -> Option<SuspectReason> {
     match (warmth, observed, slowed) {
-        (Warmth::Warm, Some(Observation::Restarted), _) => Some(Doubt::Restart),
-        (Warmth::Warm, _, true) => Some(Doubt::Overload),
+        (Warmth::Warm, Some(Observation::Restarted), _) => Some(SuspectReason::Restart),
+        (Warmth::Warm, _, true) => Some(SuspectReason::Overload),
         _ => None,
     }
 }
--- a/hawthornkeel_core/src/routing/target/grants.rs
+++ b/hawthornkeel_core/src/routing/target/grants.rs
@@ -47,8 +47,9 @@
         if now < self.next_request {
             return None;
         }
-        self.next_request = now + lease.resend;
-        let old = |p: &PendingRequest| now.since(p.first_sent) >= lease.grant / RENUMBER_DIVISOR;
+        self.next_request = now + lease.resend_timeout;
+        let old =
+            |p: &PendingRequest| now.since(p.first_sent) >= lease.grant_duration / RENUMBER_DIVISOR;
         self.pending.take_if(|p| old(p));
         let pending = self.pending.get_or_insert_with(|| {
             *counter += 1;
