--- a/hawthornkeel_core/src/routing/grants.rs
+++ b/hawthornkeel_core/src/routing/grants.rs
@@ -62,7 +62,7 @@
         &mut self,
         now: Instant,
         target: &TargetName,
-        doubt: SuspectReason,
+        reason: SuspectReason,
         notify: bool,
     ) {
         let Some(mut found) = self.find(target) else {
@@ -72,13 +72,13 @@
             return;
         };
         let current =
-            if doubt == SuspectReason::Overload { state.incarnations.current } else { None };
+            if reason == SuspectReason::Overload { state.incarnations.current } else { None };
         let was_warm = state.mark_suspect();
         let centre = state.info.centre.clone();
         found.refresh(now);
         if notify && was_warm {
             let (target, incarnation) = (target.clone(), current);
-            let message = GrantMessage::Suspect { target, incarnation, doubt };
+            let message = GrantMessage::Suspect { target, incarnation, doubt: reason };
             self.send_to_issuer(&centre, message);
         }
     }
--- a/hawthornkeel_core/src/routing/outcome.rs
+++ b/hawthornkeel_core/src/routing/outcome.rs
@@ -18,13 +18,13 @@
         if let CallOutcome::Answered { .. } = outcome {
             self.finish_stage(permit.call.request, usize::from(permit.call.stage.0));
         }
-        let doubt = self.apply_outcome(now, &permit, outcome);
+        let reason = self.apply_outcome(now, &permit, outcome);
         if let Some(grant) = permit.grant {
             let suspect_count = self.suspect_count(&permit.target);
             self.release(&permit.target, grant, grant_outcome(outcome, suspect_count));
         }
-        if let Some(doubt) = doubt {
-            self.mark_suspect(now, &permit.target, doubt, true);
+        if let Some(reason) = reason {
+            self.mark_suspect(now, &permit.target, reason, true);
         }
         if let Some(mut found) = self.find(&permit.target) {
             found.refresh(now);
@@ -89,12 +89,12 @@
                 if permit.grant.is_some() {
                     target.request_now(now);
                 }
-                let doubt = doubt(target.warmth, observed, slowed);
+                let reason = suspect_reason(target.warmth, observed, slowed);
                 pool.record_answer(latency);
                 if let Some(prefix) = permit.prefix_hash {
                     pool.record_prefix(prefix, &permit.target, 0);
                 }
-                doubt
+                reason
             }
             CallOutcome::Refused => {
                 let cold = target.record_refusal(now, max_calls);
@@ -125,7 +125,11 @@
 }
 
 /// Returns why an answer makes a warm target suspect, if it does.
-fn doubt(warmth: Warmth, observed: Option<Observation>, slowed: bool) -> Option<SuspectReason> {
+fn suspect_reason(
+    warmth: Warmth,
+    observed: Option<Observation>,
+    slowed: bool,
+) -> Option<SuspectReason> {
     match (warmth, observed, slowed) {
         (Warmth::Warm, Some(Observation::Restarted), _) => Some(SuspectReason::Restart),
         (Warmth::Warm, _, true) => Some(SuspectReason::Overload),
