--- a/hawthornkeel_core/src/fleet/mod.rs
+++ b/hawthornkeel_core/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Targets and entries as the platform's list and the instances themselves tell of them.
+//! Targets and entries, as reported by the platform's list and by the instances themselves.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 use crate::names::PoolName;
 use crate::names::TargetName;
 
-/// One target, as the platform's list tells of it.
+/// Target in the platform's list.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ListedTarget {
-    /// Identity of this start of the target.
+    /// Identity of this run of the target.
     pub name: TargetName,
     /// Pool that it belongs to.
     pub pool: PoolName,
@@ -22,30 +22,30 @@
     pub address: SocketAddr,
     /// Data centre.
     pub centre: CentreName,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving: it gets no new work.
+    /// Whether it is draining and must get no new work.
     pub leaving: bool,
     /// Time for which it stays cold, in milliseconds.
     pub cold_ms: u64,
 }
 
-/// The platform's list of targets at one moment.
+/// Snapshot of the platform's list of targets.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct TargetList {
     /// Targets.
     pub targets: Arc<[ListedTarget]>,
-    /// Number that differs between lists with different targets.
+    /// Hash that differs between lists with different targets.
     pub mark: u64,
 }
 
-/// Entry that serves callers now.
+/// Entry that serves callers at the moment.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct ServingEntry {
     /// Instance.
     pub name: InstanceName,
     /// Data centre.
     pub centre: CentreName,
-    /// Whether it has been there for a while.
+    /// Whether it has been serving for a while.
     pub settled: bool,
 }
--- a/hawthornkeel_core/src/placement/balancer.rs
+++ b/hawthornkeel_core/src/placement/balancer.rs
@@ -1,8 +1,8 @@
-//! Targets of all pools as one entry sees them, and the choice among them.
+//! Load balancer: the targets of all pools as one entry sees them, and the choice among them.
 //!
-//! Load patterns it answers: sessions that share prompts (the same session goes to the same target,
-//! whichever entry it reaches), targets that fail part of their calls (chosen less the more they
-//! fail), targets that come back cold (each entry sends its share of what one bears).
+//! Designed for sessions that share prompts (the same session goes to the same target, whichever
+//! entry it reaches), targets that fail some of their calls (chosen less the more they fail), and
+//! targets that come back cold (each entry sends its share of the load that one can take).
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -19,47 +19,47 @@
 use crate::names::TargetName;
 use crate::placement::health::Health;
 use crate::placement::health::TargetOutcome;
-use crate::placement::partition::Split;
+use crate::placement::partition::Partitions;
 use crate::table::pool::ColdLimit;
 use crate::time::Instant;
 
-/// Weight of a target in the data centre that is preferred, against others.
-const NEAR_WEIGHT: f64 = 6.0;
-/// Weight of a cold target against a warm one.
+/// Weight factor of targets in the preferred data centre.
+const PREFERRED_WEIGHT: f64 = 6.0;
+/// Weight factor of cold targets.
 const COLD_WEIGHT: f64 = 0.15;
-/// Power by which failures lower a target's weight.
-const FAILURE_POWER: i32 = 4;
-/// Least weight of a target that fails, so that it is tried again.
+/// Exponent of the success rate in a target's weight.
+const SUCCESS_EXPONENT: i32 = 4;
+/// Minimum weight of a failing target, so that it is tried again.
 const MIN_WEIGHT: f64 = 0.002;
-/// Time for which targets that could not be reached speak for their data centre.
-const CENTRE_TIME: Duration = Duration::from_secs(2);
-/// Targets that must not have been reached for their data centre to count as cut off.
-const CENTRE_TARGETS: usize = 2;
-/// Weight of a target in a data centre that counts as cut off.
-const CUT_WEIGHT: f64 = 0.01;
-/// Requests of this entry at one target above which its weight sinks.
-const BUSY: u32 = 6;
-/// Requests to cold targets that an entry may save up.
+/// Time for which unreachable targets count against their data centre.
+const CUT_OFF_WINDOW: Duration = Duration::from_secs(2);
+/// Number of unreachable targets from which on their data centre counts as cut off.
+const CUT_OFF_TARGETS: usize = 2;
+/// Weight factor of targets in a data centre that counts as cut off.
+const CUT_OFF_WEIGHT: f64 = 0.01;
+/// Number of this entry's requests in progress at a target above which its weight decreases.
+const BUSY_REQUESTS: u32 = 6;
+/// Maximum number of tokens for requests to a cold target that an entry accumulates.
 const COLD_BURST: f64 = 1.0;
 
-/// What a target is wanted for.
+/// What a target is needed for.
 #[derive(Clone, Debug)]
 pub struct TargetQuery<'a> {
     /// Pool.
     pub pool: &'a PoolName,
-    /// Number that is the same for requests that share a prompt, or drawn for the request.
+    /// Hash key: equal for requests that share a prompt, otherwise random.
     pub session: u64,
-    /// Data centre that is preferred.
+    /// Preferred data centre.
     pub centre: Option<&'a CentreName>,
     /// Targets that were tried before.
     pub tried: &'a [TargetName],
-    /// What the pool's cold targets bear.
+    /// Load that a cold target of the pool can take.
     pub cold: Option<ColdLimit>,
-    /// Entries that serve callers.
+    /// Number of entries that serve callers.
     pub entries: usize,
 }
 
-/// Target that was chosen; its request counts as in progress until this is dropped.
+/// Chosen target. Its request counts as in progress until this is dropped.
 #[derive(Debug)]
 pub struct ChosenTarget {
     /// Target.
@@ -70,34 +70,34 @@
     pub centre: CentreName,
     /// Whether it counted as cold.
     pub cold: bool,
-    _open: Open,
+    _in_flight: InFlight,
 }
 
-/// Counts a request in progress at a target until it is dropped, also where its caller left.
+/// Counts a request in progress until it is dropped, which includes the caller disconnecting.
 #[derive(Debug)]
-struct Open(Rc<Cell<u32>>);
+struct InFlight(Rc<Cell<u32>>);
 
-impl Open {
+impl InFlight {
     fn new(count: &Rc<Cell<u32>>) -> Self {
         count.set(count.get().saturating_add(1));
         Self(Rc::clone(count))
     }
 }
 
-impl Drop for Open {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
-/// Why no target was chosen.
+/// Reason why no target was chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NoTarget {
-    /// The pool has none, or none that may get work.
+    /// The pool has no target that may get requests.
     Empty,
     /// All were tried.
     Tried,
-    /// Those left are cold and get no more from this entry now.
+    /// The remaining ones are cold, and this entry has used its share of their load.
     Cold,
 }
 
@@ -105,13 +105,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Balancer {
     pub(super) targets: IndexMap<TargetName, Target>,
-    out: Vec<CentreName>,
-    /// How the targets of each pool are split over desks.
-    pub(super) splits: IndexMap<PoolName, Split>,
-    /// Targets that could not be reached of late, with when.
+    taken_out: Vec<CentreName>,
+    /// Distribution of each pool's targets over schedulers.
+    pub(super) partitions: IndexMap<PoolName, Partitions>,
+    /// Targets that were recently unreachable, with the last time.
     unreached: IndexMap<TargetName, (Instant, CentreName)>,
-    /// Whether a list was taken in: targets of the first one are not new.
-    listed: bool,
+    /// Whether a list was received: the targets of the first one don't count as new.
+    has_list: bool,
 }
 
 /// Target as this entry sees it.
@@ -119,26 +119,26 @@
 pub(super) struct Target {
     pub(super) listed: ListedTarget,
     health: Health,
-    /// When it last answered.
-    answered: Instant,
-    /// Requests of this entry in progress.
-    open: Rc<Cell<u32>>,
+    /// Time of the last answer.
+    last_answer: Instant,
+    /// Number of this entry's requests in progress.
+    in_flight: Rc<Cell<u32>>,
     cold_until: Instant,
-    /// Whether it is to count as cold, for as long as its pool's targets are after a start.
-    fresh: Option<Instant>,
-    /// Requests that may go to it while it is cold.
-    allowance: f64,
-    filled: Instant,
+    /// Time from which it counts as cold for as long as its pool's targets do after a start.
+    warming_since: Option<Instant>,
+    /// Tokens for requests while it is cold.
+    cold_tokens: f64,
+    refilled: Instant,
 }
 
 impl Balancer {
-    /// Takes in the platform's list.
-    pub fn update(&mut self, now: Instant, listing: &TargetList) {
+    /// Applies the platform's list of targets.
+    pub fn update(&mut self, now: Instant, list: &TargetList) {
         let mut known = std::mem::take(&mut self.targets);
-        for listed in listing.targets.iter() {
+        for listed in list.targets.iter() {
             let target = known.swap_remove(&listed.name);
             let same = target.filter(|t| t.listed.address == listed.address);
-            let mut target = same.unwrap_or_else(|| Target::new(now, listed, self.listed));
+            let mut target = same.unwrap_or_else(|| Target::new(now, listed, self.has_list));
             target.listed = listed.clone();
             let cold = now + Duration::from_millis(listed.cold_ms);
             if listed.cold_ms > 0 {
@@ -146,20 +146,20 @@
             }
             self.targets.insert(listed.name.clone(), target);
         }
-        self.listed = true;
-        self.split();
+        self.has_list = true;
+        self.update_partitions();
     }
 
-    /// Takes in which data centres get no new work; those that come back have cold targets.
-    pub fn set_taken_out(&mut self, now: Instant, out: Vec<CentreName>) {
+    /// Sets the data centres that get no new work; targets of those that come back are cold.
+    pub fn set_taken_out(&mut self, now: Instant, taken_out: Vec<CentreName>) {
         for target in self.targets.values_mut() {
             let centre = &target.listed.centre;
-            if self.out.contains(centre) && !out.contains(centre) {
-                target.fresh = Some(now);
+            if self.taken_out.contains(centre) && !taken_out.contains(centre) {
+                target.warming_since = Some(now);
             }
         }
-        self.out = out;
-        self.split();
+        self.taken_out = taken_out;
+        self.update_partitions();
     }
 
     /// Returns the data centre of the target at an address.
@@ -175,96 +175,103 @@
     }
 
     /// Returns the data centre of the target that would be chosen.
-    pub fn likely_centre(&mut self, now: Instant, ask: &TargetQuery<'_>) -> Option<CentreName> {
-        let at = self.best(now, ask).ok()?;
-        self.targets.get_index(at).map(|(_, t)| t.listed.centre.clone())
+    pub fn likely_centre(&mut self, now: Instant, query: &TargetQuery<'_>) -> Option<CentreName> {
+        let index = self.best(now, query).ok()?;
+        self.targets.get_index(index).map(|(_, t)| t.listed.centre.clone())
     }
 
-    /// Chooses a target; what came of the call is told by [`Balancer::record_outcome`].
+    /// Chooses a target; report the outcome of the call with [`Balancer::record_outcome`].
     ///
     /// # Errors
-    /// Fails with the reason where no target may get the request now.
+    /// Returns the reason if no target may get the request at the moment.
     pub fn choose(
         &mut self,
         now: Instant,
-        ask: &TargetQuery<'_>,
+        query: &TargetQuery<'_>,
     ) -> Result<ChosenTarget, NoTarget> {
-        let at = self.best(now, ask)?;
-        let (name, target) = self.targets.get_index_mut(at).ok_or(NoTarget::Empty)?;
-        let open = Open::new(&target.open);
-        let cold = target.is_cold(now, ask.cold);
+        let index = self.best(now, query)?;
+        let (name, target) = self.targets.get_index_mut(index).ok_or(NoTarget::Empty)?;
+        let in_flight = InFlight::new(&target.in_flight);
+        let cold = target.is_cold(now, query.cold);
         if cold {
-            target.allowance -= 1.0;
+            target.cold_tokens -= 1.0;
         }
         let ListedTarget { address, centre, .. } = &target.listed;
         let (address, centre) = (*address, centre.clone());
-        Ok(ChosenTarget { name: name.clone(), address, centre, cold, _open: open })
+        Ok(ChosenTarget { name: name.clone(), address, centre, cold, _in_flight: in_flight })
     }
 
-    /// Returns the position of the best target.
-    fn best(&mut self, now: Instant, ask: &TargetQuery<'_>) -> Result<usize, NoTarget> {
+    /// Returns the index of the target with the highest score.
+    fn best(&mut self, now: Instant, query: &TargetQuery<'_>) -> Result<usize, NoTarget> {
         let mut best: Option<(f64, usize)> = None;
         let mut reason = NoTarget::Empty;
-        for at in 0..self.targets.len() {
-            match self.score(now, at, ask) {
-                Ok(score) if best.is_none_or(|(b, _)| score > b) => best = Some((score, at)),
+        for index in 0..self.targets.len() {
+            match self.score(now, index, query) {
+                Ok(score) if best.is_none_or(|(b, _)| score > b) => best = Some((score, index)),
                 Ok(_) => {}
                 Err(why) if reason == NoTarget::Empty => reason = why,
                 Err(_) => {}
             }
         }
-        best.map(|(_, at)| at).ok_or(reason)
+        best.map(|(_, index)| index).ok_or(reason)
     }
 
-    /// Notes how a call at a target ended.
-    pub fn record_outcome(&mut self, now: Instant, name: &TargetName, ended: TargetOutcome) {
+    /// Records the outcome of a call to a target.
+    pub fn record_outcome(&mut self, now: Instant, name: &TargetName, outcome: TargetOutcome) {
         let Some(target) = self.targets.get_mut(name) else { return };
-        match ended {
+        match outcome {
             TargetOutcome::Unreached => {
                 self.unreached.insert(name.clone(), (now, target.listed.centre.clone()));
             }
             TargetOutcome::Succeeded | TargetOutcome::Refused => {
-                target.answered = now;
+                target.last_answer = now;
                 self.unreached.swap_remove(name);
             }
             TargetOutcome::Failed | TargetOutcome::Abandoned => {}
         }
-        if ended == TargetOutcome::Succeeded && target.health.is_unreached() {
-            // It was gone and has come back.
-            target.fresh = Some(now);
+        if outcome == TargetOutcome::Succeeded && target.health.is_unreached() {
+            // It was unreachable and has come back.
+            target.warming_since = Some(now);
         }
-        target.health.note(now, ended);
+        target.health.record(now, outcome);
     }
 
     pub(super) fn is_usable(&self, target: &Target) -> bool {
-        !target.listed.leaving && !self.out.contains(&target.listed.centre)
+        !target.listed.leaving && !self.taken_out.contains(&target.listed.centre)
     }
 
-    /// Tells when targets of a data centre were last not reached, where it counts as cut off.
-    fn cut_at(&self, now: Instant, centre: &CentreName) -> Option<Instant> {
-        let recent = |(at, c): &&(Instant, CentreName)| c == centre && now.since(*at) < CENTRE_TIME;
+    /// Returns the last time at which a target of a data centre was unreachable, if the data centre
+    /// counts as cut off.
+    fn cut_off_at(&self, now: Instant, centre: &CentreName) -> Option<Instant> {
+        let recent =
+            |(at, c): &&(Instant, CentreName)| c == centre && now.since(*at) < CUT_OFF_WINDOW;
         let times: Vec<Instant> =
             self.unreached.values().filter(recent).map(|(at, _)| *at).collect();
-        times.iter().max().filter(|_| times.len() >= CENTRE_TARGETS).copied()
+        times.iter().max().filter(|_| times.len() >= CUT_OFF_TARGETS).copied()
     }
 
-    /// Returns the score of a target: the highest is chosen.
-    fn score(&mut self, now: Instant, at: usize, ask: &TargetQuery<'_>) -> Result<f64, NoTarget> {
-        let (_, target) = self.targets.get_index(at).ok_or(NoTarget::Empty)?;
-        if target.listed.pool != *ask.pool || !self.is_usable(target) {
+    /// Returns the score of a target; the highest is chosen.
+    fn score(
+        &mut self,
+        now: Instant,
+        index: usize,
+        query: &TargetQuery<'_>,
+    ) -> Result<f64, NoTarget> {
+        let (_, target) = self.targets.get_index(index).ok_or(NoTarget::Empty)?;
+        if target.listed.pool != *query.pool || !self.is_usable(target) {
             return Err(NoTarget::Empty);
         }
-        if ask.tried.contains(&target.listed.name) {
+        if query.tried.contains(&target.listed.name) {
             return Err(NoTarget::Tried);
         }
-        let cut = self.cut_at(now, &target.listed.centre);
-        let cut = cut.is_some_and(|at| target.answered < at);
-        let (_, target) = self.targets.get_index_mut(at).ok_or(NoTarget::Empty)?;
-        let cold = target.is_cold(now, ask.cold);
-        if cold && !target.may_take_cold(now, ask) {
+        let cut_off = self.cut_off_at(now, &target.listed.centre);
+        let cut_off = cut_off.is_some_and(|at| target.last_answer < at);
+        let (_, target) = self.targets.get_index_mut(index).ok_or(NoTarget::Empty)?;
+        let cold = target.is_cold(now, query.cold);
+        if cold && !target.has_cold_token(now, query) {
             return Err(NoTarget::Cold);
         }
-        let mut weight = (1.0 - target.health.rate(now)).max(0.0).powi(FAILURE_POWER);
+        let mut weight = (1.0 - target.health.failure_rate(now)).max(0.0).powi(SUCCESS_EXPONENT);
         if target.health.is_paused(now) {
             weight = 0.0;
         }
@@ -272,56 +279,58 @@
         if cold {
             weight *= COLD_WEIGHT;
         }
-        if cut {
-            weight *= CUT_WEIGHT;
+        if cut_off {
+            weight *= CUT_OFF_WEIGHT;
         }
-        if ask.centre == Some(&target.listed.centre) {
-            weight *= NEAR_WEIGHT;
+        if query.centre == Some(&target.listed.centre) {
+            weight *= PREFERRED_WEIGHT;
         }
-        if target.open.get() > BUSY {
-            weight *= f64::from(BUSY) / f64::from(target.open.get());
+        if target.in_flight.get() > BUSY_REQUESTS {
+            weight *= f64::from(BUSY_REQUESTS) / f64::from(target.in_flight.get());
         }
-        Ok(rendezvous(ask.session, &target.listed.name, weight.max(MIN_WEIGHT * CUT_WEIGHT)))
+        Ok(rendezvous(query.session, &target.listed.name, weight.max(MIN_WEIGHT * CUT_OFF_WEIGHT)))
     }
 }
 
 impl Target {
-    fn new(now: Instant, listed: &ListedTarget, fresh: bool) -> Self {
+    fn new(now: Instant, listed: &ListedTarget, is_new: bool) -> Self {
         Self {
             listed: listed.clone(),
             health: Health::default(),
-            answered: Instant::ZERO,
-            open: Rc::default(),
+            last_answer: Instant::ZERO,
+            in_flight: Rc::default(),
             cold_until: now,
-            fresh: fresh.then_some(now),
-            allowance: 0.0,
-            filled: now,
+            warming_since: is_new.then_some(now),
+            cold_tokens: 0.0,
+            refilled: now,
         }
     }
 
     fn is_cold(&self, now: Instant, cold: Option<ColdLimit>) -> bool {
         let Some(cold) = cold else { return false };
-        self.cold_until > now || self.fresh.is_some_and(|f| now.since(f) < cold.duration)
+        self.cold_until > now
+            || self.warming_since.is_some_and(|since| now.since(since) < cold.duration)
     }
 
-    /// Tells whether this entry's share of what it bears while cold allows one more request.
-    fn may_take_cold(&mut self, now: Instant, ask: &TargetQuery<'_>) -> bool {
-        let Some(cold) = ask.cold else { return true };
-        let rate = cold.rate / ask.entries.max(1) as f64;
-        let earned = now.since(self.filled).as_secs_f64() * rate;
-        self.allowance = (self.allowance + earned).min(COLD_BURST);
-        self.filled = now;
-        self.allowance >= 1.0
+    /// Refills the token bucket of this entry's share of the cold load, and returns whether it has
+    /// a token.
+    fn has_cold_token(&mut self, now: Instant, query: &TargetQuery<'_>) -> bool {
+        let Some(cold) = query.cold else { return true };
+        let rate = cold.rate / query.entries.max(1) as f64;
+        let earned = now.since(self.refilled).as_secs_f64() * rate;
+        self.cold_tokens = (self.cold_tokens + earned).min(COLD_BURST);
+        self.refilled = now;
+        self.cold_tokens >= 1.0
     }
 }
 
-/// Returns the weighted rendezvous score of a target for a session.
+/// Returns the weighted rendezvous hashing score of a target for a session.
 ///
-/// The same session prefers the same target at every entry, each target gets a share of the
-/// sessions by its weight, and few sessions move where a weight or the targets change.
+/// All entries prefer the same target for a session, each target gets a share of the sessions
+/// proportional to its weight, and few sessions move when a weight or the set of targets changes.
 fn rendezvous(session: u64, name: &TargetName, weight: f64) -> f64 {
     let hash = xxh3_64_with_seed(name.as_str().as_bytes(), session);
-    // Within (0, 1): the upper 53 bits, moved off both ends.
+    // In the open interval (0, 1): the upper 53 bits, offset from both ends.
     let unit = ((hash >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
     -weight / unit.ln()
 }
--- a/hawthornkeel_core/src/placement/mod.rs
+++ b/hawthornkeel_core/src/placement/mod.rs
@@ -1,7 +1,9 @@
-//! Where forwarded requests go: which target of a pool, how many a cold one gets, how many repeats.
+//! Placement of forwarded requests: the choice of a target, and the limits on cold targets and on
+//! retries.
 //!
-//! An entry knows the targets from the platform's list, which lags, and from what came of its own
-//! calls. Sums over all entries, such as what a cold target bears, are kept by equal shares.
+//! An entry knows the targets from the platform's list, which lags, and from the outcomes of its
+//! own calls. Limits that hold for all entries together, such as the load of a cold target, are
+//! divided equally among them.
 
 pub mod balancer;
 pub mod retries;
--- a/hawthornkeel_core/src/placement/partition.rs
+++ b/hawthornkeel_core/src/placement/partition.rs
@@ -1,8 +1,9 @@
-//! Which targets of a pool have their calls made by one desk.
+//! Partitions of a pool's targets: which of them get their calls from the same scheduler.
 //!
-//! Load patterns it answers: large results (a request's stages stay in one data centre, so that no
-//! result crosses and no work waits for the one near target of a desk), pools of many targets (the
-//! calls of all would be more than the processor of a small instance can do).
+//! Designed for large results (all stages of a request run in one data centre, so that no result
+//! crosses between data centres and no job waits for the only local target of its scheduler) and
+//! for pools of many targets (making the calls to all of them would be too much for the processor
+//! of a small instance).
 
 use xxhash_rust::xxh3::xxh3_64;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -14,62 +15,62 @@
 use crate::stages::job::SchedulerName;
 use crate::stages::scheduler::WorkerInfo;
 
-/// Targets of one desk, at least, where a pool has twice as many.
-const DESK_TARGETS: usize = 5;
-/// Targets of a pool in each data centre, in the mean, from which on each has its own desk.
+/// Minimum number of targets per scheduler in pools with at least twice as many.
+const SCHEDULER_TARGETS: usize = 5;
+/// Mean number of targets per data centre from which on each has schedulers of its own.
 ///
-/// With fewer, work would wait for a free target while others are free elsewhere.
+/// With fewer, jobs would wait for a target while targets in other data centres are free.
 const CENTRE_TARGETS: usize = 2;
 
-/// How the targets of a pool are split over desks.
+/// Number of a pool's targets in each data centre, which determines its partitions.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Split {
-    shares: Vec<Share>,
+pub(super) struct Partitions {
+    centres: Vec<CentreTargets>,
 }
 
-/// Targets of a pool in one data centre.
+/// Number of a pool's targets in one data centre.
 #[derive(Clone, Debug)]
-struct Share {
+struct CentreTargets {
     centre: CentreName,
     listed: usize,
     usable: usize,
 }
 
-impl Split {
+impl Partitions {
     /// Counts a target.
     pub(super) fn add(&mut self, centre: &CentreName, is_usable: bool) {
-        let at = self.shares.iter().position(|s| s.centre == *centre).unwrap_or_else(|| {
-            self.shares.push(Share { centre: centre.clone(), listed: 0, usable: 0 });
-            self.shares.len() - 1
+        let index = self.centres.iter().position(|c| c.centre == *centre).unwrap_or_else(|| {
+            self.centres.push(CentreTargets { centre: centre.clone(), listed: 0, usable: 0 });
+            self.centres.len() - 1
         });
-        if let Some(share) = self.shares.get_mut(at) {
-            share.listed += 1;
-            share.usable += usize::from(is_usable);
+        if let Some(targets) = self.centres.get_mut(index) {
+            targets.listed += 1;
+            targets.usable += usize::from(is_usable);
         }
     }
 
     fn listed(&self) -> usize {
-        self.shares.iter().map(|s| s.listed).sum()
+        self.centres.iter().map(|c| c.listed).sum()
     }
 
-    /// Tells whether each data centre has desks of its own.
+    /// Returns whether each data centre has schedulers of its own.
     fn is_by_centre(&self) -> bool {
         let listed = self.listed();
-        listed >= 2 * DESK_TARGETS && listed >= CENTRE_TARGETS * self.shares.len()
+        listed >= 2 * SCHEDULER_TARGETS && listed >= CENTRE_TARGETS * self.centres.len()
     }
 
     fn usable(&self, centre: &CentreName) -> usize {
-        self.shares.iter().find(|s| s.centre == *centre).map_or(0, |s| s.usable)
+        self.centres.iter().find(|c| c.centre == *centre).map_or(0, |c| c.usable)
     }
 
-    /// Returns the number of desks for `listed` targets.
-    fn parts(listed: usize) -> usize {
-        (listed / DESK_TARGETS).max(1)
+    /// Returns the number of partitions of `listed` targets.
+    fn count(listed: usize) -> usize {
+        (listed / SCHEDULER_TARGETS).max(1)
     }
 }
 
 impl Balancer {
-    /// Returns the desk that does the work of a pool for a request, in `centre` where it can.
+    /// Returns the scheduler that runs a pool's stages for a request, in `centre` if possible.
     pub fn scheduler_for(
         &self,
         pool: &PoolName,
@@ -77,55 +78,58 @@
         request: &str,
     ) -> SchedulerName {
         let hash = xxh3_64(request.as_bytes());
-        let split = self.splits.get(pool);
-        let centre = split.filter(|s| s.is_by_centre()).and_then(|s| {
-            let wanted = centre.filter(|c| s.usable(c) > 0).cloned();
-            wanted.or_else(|| pick(s.shares.iter().map(|s| (&s.centre, s.usable)), hash))
+        let partitions = self.partitions.get(pool);
+        let centre = partitions.filter(|p| p.is_by_centre()).and_then(|p| {
+            let wanted = centre.filter(|c| p.usable(c) > 0).cloned();
+            wanted.or_else(|| pick_centre(p.centres.iter().map(|c| (&c.centre, c.usable)), hash))
         });
-        let listed = match (&centre, split) {
-            (Some(centre), Some(split)) => {
-                split.shares.iter().find(|s| s.centre == *centre).map_or(0, |s| s.listed)
+        let listed = match (&centre, partitions) {
+            (Some(centre), Some(partitions)) => {
+                partitions.centres.iter().find(|c| c.centre == *centre).map_or(0, |c| c.listed)
             }
-            (None, Some(split)) => split.listed(),
+            (None, Some(partitions)) => partitions.listed(),
             (_, None) => 0,
         };
-        let part = hash % Split::parts(listed) as u64;
+        let part = hash % Partitions::count(listed) as u64;
         SchedulerName { pool: pool.clone(), centre, part: u16::try_from(part).unwrap_or_default() }
     }
 
-    /// Returns a data centre other than `not` that can do the work of `pools`, if they are split.
+    /// Returns a data centre other than `excluded` that can run the stages of `pools`, if these are
+    /// partitioned by data centre.
     ///
-    /// Each has a share of the requests by the targets of the pool that has fewest there.
+    /// Requests are distributed in proportion to the usable targets of the pool that has the fewest
+    /// in each data centre.
     pub fn alternative_centre(
         &self,
         pools: &[&PoolName],
-        not: Option<&CentreName>,
+        excluded: Option<&CentreName>,
         request: &str,
     ) -> Option<CentreName> {
-        let splits = pools.iter().filter_map(|p| self.splits.get(*p));
-        let splits: Vec<&Split> = splits.filter(|s| s.is_by_centre()).collect();
-        let first = splits.first()?;
-        let fewest = |c| splits.iter().map(|s| s.usable(c)).min().unwrap_or(0);
-        let others = first.shares.iter().map(|s| &s.centre).filter(|c| Some(*c) != not);
-        pick(others.map(|c| (c, fewest(c))), xxh3_64(request.as_bytes()))
+        let partitions = pools.iter().filter_map(|p| self.partitions.get(*p));
+        let partitions: Vec<&Partitions> = partitions.filter(|p| p.is_by_centre()).collect();
+        let first = partitions.first()?;
+        let fewest = |c| partitions.iter().map(|p| p.usable(c)).min().unwrap_or(0);
+        let others = first.centres.iter().map(|c| &c.centre).filter(|c| Some(*c) != excluded);
+        pick_centre(others.map(|c| (c, fewest(c))), xxh3_64(request.as_bytes()))
     }
 
-    /// Returns the targets of a desk that do stages now.
+    /// Returns the targets that a scheduler may call at the moment.
     ///
-    /// Each part of a pool that is not split by data centre has its share of the targets in each.
-    pub fn workers(&self, desk: &SchedulerName) -> Vec<WorkerInfo> {
+    /// In a pool that is not partitioned by data centre, each partition gets its share of the
+    /// targets in every data centre.
+    pub fn workers(&self, scheduler: &SchedulerName) -> Vec<WorkerInfo> {
         let belongs = |t: &&Target| {
-            let centre = desk.centre.as_ref();
-            t.listed.pool == desk.pool && centre.is_none_or(|c| t.listed.centre == *c)
+            let centre = scheduler.centre.as_ref();
+            t.listed.pool == scheduler.pool && centre.is_none_or(|c| t.listed.centre == *c)
         };
         let mut targets: Vec<&Target> = self.targets.values().filter(belongs).collect();
         targets.sort_by(|a, b| {
             let centres = a.listed.centre.cmp(&b.listed.centre);
             centres.then_with(|| a.listed.name.cmp(&b.listed.name))
         });
-        let parts = Split::parts(targets.len());
-        let part = usize::from(desk.part) % parts;
-        let own = targets.into_iter().enumerate().filter(|(at, _)| at % parts == part);
+        let count = Partitions::count(targets.len());
+        let part = usize::from(scheduler.part) % count;
+        let own = targets.into_iter().enumerate().filter(|(index, _)| index % count == part);
         let info = |t: &Target| WorkerInfo {
             name: t.listed.name.clone(),
             centre: t.listed.centre.clone(),
@@ -133,20 +137,20 @@
         own.filter(|(_, t)| self.is_usable(t)).map(|(_, t)| info(t)).collect()
     }
 
-    /// Counts the targets of each pool again.
-    pub(super) fn split(&mut self) {
-        let mut splits = std::mem::take(&mut self.splits);
-        splits.clear();
+    /// Recounts the targets of each pool.
+    pub(super) fn update_partitions(&mut self) {
+        let mut partitions = std::mem::take(&mut self.partitions);
+        partitions.clear();
         for target in self.targets.values() {
-            let split = splits.entry(target.listed.pool.clone()).or_default();
-            split.add(&target.listed.centre, self.is_usable(target));
+            let pool = partitions.entry(target.listed.pool.clone()).or_default();
+            pool.add(&target.listed.centre, self.is_usable(target));
         }
-        self.splits = splits;
+        self.partitions = partitions;
     }
 }
 
-/// Picks a data centre for a hash, each with a share by its weight.
-fn pick<'a>(
+/// Picks a data centre by hash, with a probability proportional to its weight.
+fn pick_centre<'a>(
     centres: impl Iterator<Item = (&'a CentreName, usize)>,
     hash: u64,
 ) -> Option<CentreName> {
--- a/hawthornkeel_core/src/stages/action.rs
+++ b/hawthornkeel_core/src/stages/action.rs
@@ -1,4 +1,4 @@
-//! What a desk takes in and what it asks for.
+//! Inputs and actions of a scheduler.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,52 +10,52 @@
 use crate::stages::job::JobId;
 use crate::stages::job::JobOutcome;
 
-/// Number of a call, unique at its desk.
+/// Identifies a call; unique per scheduler.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CallNumber(pub u64);
 
-/// Piece of a call.
+/// Piece as it is sent in a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Item {
     /// Job that it belongs to.
     pub job: JobId,
-    /// Position in the job.
+    /// Index in the job.
     pub piece: u32,
-    /// Key of the work, where the stage needs no results.
+    /// Key that identifies the work, for stages without input results.
     pub key: Option<Arc<str>>,
-    /// Results that it needs.
+    /// Results that it reads.
     pub inputs: Arc<[Handle]>,
-    /// Time that its result is of use.
+    /// Time until its result becomes useless.
     pub remaining: Duration,
 }
 
-/// What came of one piece.
+/// Outcome of one piece.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PieceOutcome {
-    /// Its result.
+    /// Handle of its result.
     Done(Handle),
-    /// Its time had passed.
+    /// It missed its end time.
     Late,
-    /// A result that it needs is gone.
+    /// A result that it reads no longer exists.
     Gone,
-    /// The target had no room.
+    /// The target had no memory left for the result.
     OutOfMemory,
     /// The target failed.
     Failed,
 }
 
-/// How a call ended without an answer.
+/// Reason why a call ended without an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallFailure {
-    /// The target refused it: it was not run.
+    /// The target refused it without running it.
     Refused,
-    /// The target could not be reached: it was not run.
+    /// The target could not be reached, so the call did not run.
     Unreached,
-    /// It was lost, or its answer was.
+    /// The call or its answer was lost; it may have run.
     Lost,
 }
 
-/// Target that may do pieces.
+/// Target that can run pieces.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WorkerInfo {
     /// Target.
@@ -64,29 +64,29 @@
     pub centre: CentreName,
 }
 
-/// What happened.
+/// Input of a scheduler.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Targets that may get calls now.
+    /// Targets that may be called from now on.
     Workers(Vec<WorkerInfo>),
-    /// A job, which may be known already.
+    /// Submits a job; submitting a known job again is harmless.
     Submit(Job),
-    /// Nobody waits for the job any more, or its booking is given up.
+    /// Cancels a job that nobody waits for, or its reservation.
     Cancel(JobId),
-    /// Results that nobody needs any more.
+    /// Results that are no longer needed.
     Release(Vec<Handle>),
-    /// A call was answered.
+    /// A call was answered, with the outcome of each of its pieces.
     Answered(CallNumber, Vec<PieceOutcome>),
-    /// A call was not answered.
+    /// A call ended without an answer.
     Failed(CallNumber, CallFailure),
     /// Time passed.
     Tick,
 }
 
-/// What is to be done.
+/// Action that the caller of a scheduler must carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Call a target; the call may be given up after `limit`.
+    /// Call a target.
     Run {
         /// Number of the call.
         call: CallNumber,
@@ -94,17 +94,17 @@
         worker: TargetName,
         /// Pieces.
         items: Vec<Item>,
-        /// Time after which the call counts as lost.
+        /// Time after which the call counts as lost and may be aborted.
         timeout: Duration,
     },
-    /// Tell a target that results are not needed.
+    /// Tell a target to free results.
     Free {
         /// Target.
         worker: TargetName,
         /// Results.
         results: Vec<Handle>,
     },
-    /// Tell the instance that offered the job what came of it.
+    /// Report the outcome of a job to the instance that submitted it.
     Reply {
         /// Job.
         job: JobId,
@@ -113,26 +113,26 @@
     },
 }
 
-/// What a desk has to do and what it can.
+/// Load and capacity of a scheduler, for logs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Summary {
-    /// Jobs that have not ended.
+    /// Unfinished jobs.
     pub jobs: usize,
-    /// Pieces that wait.
+    /// Waiting pieces.
     pub waiting: u32,
-    /// Jobs that wait though they should be done.
+    /// Jobs with waiting pieces that are past their due time.
     pub late: usize,
-    /// Pieces that are booked and not offered so far.
+    /// Pieces that are reserved and not yet submitted.
     pub booked: u32,
     /// Calls in progress.
     pub calls: usize,
     /// Targets.
     pub workers: usize,
-    /// Targets that count for the capacity.
+    /// Targets that count towards the capacity.
     pub available: usize,
-    /// Targets that may be called.
+    /// Targets that may be called now.
     pub free: usize,
-    /// Bytes of results that targets hold.
+    /// Size of the results that targets hold, in bytes.
     pub held_bytes: u64,
 }
 
--- a/hawthornkeel_core/src/stages/admission.rs
+++ b/hawthornkeel_core/src/stages/admission.rs
@@ -1,8 +1,8 @@
-//! Whether a request with stages is begun, by what its bookings come to.
+//! Admission control: whether a request with stages is started, given its reservations.
 //!
-//! Load patterns it answers: a burst that outlasts callers' objectives (what can't be done in time
-//! any more is done behind all else, and turned away only where its caller would not wait that
-//! long), callers that were turned away and come back (late already, they get what others leave).
+//! Designed for bursts that outlast the callers' objectives (work that can no longer finish in time
+//! runs behind all other work, and is rejected only if its caller would not wait that long) and for
+//! callers that retry after a rejection (late already, they get the capacity that others leave).
 
 use std::time::Duration;
 
@@ -10,33 +10,33 @@
 
 use crate::stages::job::ReservationEstimate;
 
-/// Rank from which on work is late already, and goes behind all work that is not.
+/// Priority from which on work is late and goes behind all timely work.
 pub const LATE_PRIORITY: u16 = 1_024;
-/// Part of the objective by which a request must be expected to be early to be begun.
-const MARGIN: f64 = 0.1;
-/// Time for the messages about one stage.
-const MESSAGES: Duration = Duration::from_millis(15);
-/// Time by which a request may make others of its rank late.
-const HARM: Duration = Duration::from_millis(50);
-/// Part of the time left within which late work must be expected to be done.
-const LATE_PART: f64 = 0.6;
-/// The same in objectives, as callers of streams don't wait for ever for a first event.
+/// Share of the objective by which a request must be expected to finish early to be started.
+const OBJECTIVE_MARGIN: f64 = 0.1;
+/// Time for the messages of one stage.
+const STAGE_MESSAGE_TIME: Duration = Duration::from_millis(15);
+/// Lateness that a request may cause to others of its priority.
+const MAX_HARM: Duration = Duration::from_millis(50);
+/// Share of the time left within which late work must be expected to finish.
+const LATE_TIME_SHARE: f64 = 0.6;
+/// The same limit in objectives, as callers of streams don't wait forever for a first event.
 const LATE_OBJECTIVES: f64 = 2.5;
-/// Part of a route's timeout that callers have left on their first try, at least.
+/// Minimum share of a route's timeout that callers have left on their first attempt.
 ///
-/// Callers of one route differ by that much in how long they wait.
-const FIRST_PART: f64 = 0.84;
-/// Shortest time after which a request that is turned away may come back.
-const MIN_RETRY: Duration = Duration::from_millis(100);
-/// Longest such time.
-const MAX_RETRY: Duration = Duration::from_secs(5);
+/// The timeouts of the callers of one route differ by up to the rest.
+const FIRST_ATTEMPT_SHARE: f64 = 0.84;
+/// Shortest time after which a rejected request may be retried.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Longest time after which a rejected request may be retried.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Whether a request can still meet its objective.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Timeliness {
     /// It can.
     OnTime,
-    /// It can't: its work goes behind all else.
+    /// It can't, so its work goes behind all timely work.
     Late,
 }
 
@@ -49,109 +49,111 @@
         }
     }
 
-    /// Returns the rank of a request's work.
-    pub fn priority(self, rank: u16) -> u16 {
+    /// Returns the priority of the jobs of a request.
+    pub fn priority(self, priority: u16) -> u16 {
         match self {
-            Self::OnTime => rank,
-            Self::Late => LATE_PRIORITY.saturating_add(rank),
+            Self::OnTime => priority,
+            Self::Late => LATE_PRIORITY.saturating_add(priority),
         }
     }
 }
 
-/// Returns the time after which a caller that has `left` is known to have been here before.
+/// Returns the time after which a caller that has `left` can be recognised as retrying.
 ///
-/// Zero where it is known now, by less time than callers have on their first try.
+/// Zero if it is recognised now, because it has less time left than callers have on their first
+/// attempt.
 pub fn first_attempt_slack(timeout: Duration, left: Duration) -> Duration {
-    left.saturating_sub(timeout.mul_f64(FIRST_PART))
+    left.saturating_sub(timeout.mul_f64(FIRST_ATTEMPT_SHARE))
 }
 
-/// Stage of a request, as far as its time matters.
+/// Stage of a request with what is needed to estimate its end.
 #[derive(Clone, Debug)]
 pub struct StageTiming {
-    /// Position of the stage.
+    /// Index of the stage.
     pub stage: u16,
-    /// Stages whose results it needs.
+    /// Stages whose results it reads.
     pub after: Vec<u16>,
-    /// Time that it takes, about, where no desk tells.
+    /// Expected duration if no scheduler gives an estimate.
     pub expected: Duration,
 }
 
-/// Times of a request, counted from now.
+/// Time limits of a request, from now.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
-    /// Objective of its route.
+    /// Latency objective of its route.
     pub objective: Duration,
-    /// Time left until its objective has passed.
+    /// Time left until its objective is missed.
     pub due: Duration,
     /// Time left until its caller gives up.
     pub left: Duration,
-    /// Time after which its caller, if it is turned away, is known to have been here before.
+    /// Time after which its caller, if rejected, can be recognised as retrying.
     pub fresh: Duration,
 }
 
-/// What the bookings of a request come to.
+/// Combined estimate of all stages of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Outlook {
     /// Time until its answer begins.
     pub end: Duration,
-    /// Time by which other work would be late because of it.
+    /// Largest lateness that it would cause to other work.
     pub harm: Duration,
 }
 
 impl Outlook {
-    /// Adds up the bookings of a request's stages, which are given in order.
+    /// Combines the estimates of a request's stages, which are given in topological order.
     ///
-    /// `rest` is the time that it takes after them, up to when its answer begins.
-    /// A stage without a booking counts with its usual time, as another desk takes over. One that
-    /// no target does now never ends.
+    /// `rest` is the time from the end of the last stage until the answer begins. A stage without
+    /// an estimate counts with its expected duration, since another scheduler takes over. A stage
+    /// that no target can run at the moment never ends.
     pub fn new(
-        steps: &[StageTiming],
-        booked: &IndexMap<u16, Option<ReservationEstimate>>,
+        stages: &[StageTiming],
+        estimates: &IndexMap<u16, Option<ReservationEstimate>>,
         rest: Duration,
     ) -> Self {
         let mut done: IndexMap<u16, Duration> = IndexMap::new();
         let mut harm = Duration::ZERO;
-        for step in steps {
-            let before = step.after.iter().filter_map(|a| done.get(a).copied());
+        for stage in stages {
+            let before = stage.after.iter().filter_map(|a| done.get(a).copied());
             let begin = before.max();
-            let end = match booked.get(&step.stage) {
-                Some(Some(booked)) => {
-                    harm = harm.max(Duration::from_millis(booked.harm_ms));
-                    let turn = Duration::from_millis(booked.slot_wait_ms);
-                    let ready = begin.map_or(Duration::ZERO, |b| b.saturating_add(turn));
-                    let begin = ready.max(Duration::from_millis(booked.drain_ms));
-                    begin.saturating_add(MESSAGES + Duration::from_millis(booked.run_ms))
+            let end = match estimates.get(&stage.stage) {
+                Some(Some(estimate)) => {
+                    harm = harm.max(Duration::from_millis(estimate.harm_ms));
+                    let slot_wait = Duration::from_millis(estimate.slot_wait_ms);
+                    let ready = begin.map_or(Duration::ZERO, |b| b.saturating_add(slot_wait));
+                    let begin = ready.max(Duration::from_millis(estimate.drain_ms));
+                    begin
+                        .saturating_add(STAGE_MESSAGE_TIME + Duration::from_millis(estimate.run_ms))
                 }
                 Some(None) => Duration::MAX,
-                None => begin.unwrap_or_default().saturating_add(step.expected),
+                None => begin.unwrap_or_default().saturating_add(stage.expected),
             };
-            done.insert(step.stage, end);
+            done.insert(stage.stage, end);
         }
         let end = done.values().copied().max().unwrap_or_default();
         Self { end: end.saturating_add(rest), harm }
     }
 
-    /// Tells whether a request may be begun at a pace.
-    pub fn allows(&self, pace: Timeliness, times: &Times) -> bool {
-        self.delay(pace, times).is_zero()
+    /// Returns whether the request may be started.
+    pub fn allows(&self, timeliness: Timeliness, times: &Times) -> bool {
+        self.delay(timeliness, times).is_zero()
     }
 
-    /// Returns the time after which a request that is turned away may come back.
-    pub fn retry_after(&self, pace: Timeliness, times: &Times) -> Duration {
-        let delay = self.delay(pace, times).max(times.fresh);
-        delay.clamp(MIN_RETRY, MAX_RETRY)
+    /// Returns the time after which the request may be retried if it is rejected.
+    pub fn retry_after(&self, timeliness: Timeliness, times: &Times) -> Duration {
+        let delay = self.delay(timeliness, times).max(times.fresh);
+        delay.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Returns the time by which a request comes too early to be begun.
-    fn delay(&self, pace: Timeliness, times: &Times) -> Duration {
-        match pace {
+    /// Returns the time by which the estimate exceeds the limits of the request.
+    fn delay(&self, timeliness: Timeliness, times: &Times) -> Duration {
+        match timeliness {
             Timeliness::OnTime => {
-                let limit = times.due.saturating_sub(times.objective.mul_f64(MARGIN));
-                let harm = if self.harm > HARM { self.harm } else { Duration::ZERO };
+                let limit = times.due.saturating_sub(times.objective.mul_f64(OBJECTIVE_MARGIN));
+                let harm = if self.harm > MAX_HARM { self.harm } else { Duration::ZERO };
                 self.end.saturating_sub(limit).max(harm)
             }
             Timeliness::Late => {
-                let limit = times.left.mul_f64(LATE_PART);
+                let limit = times.left.mul_f64(LATE_TIME_SHARE);
                 let limit = limit.min(times.objective.mul_f64(LATE_OBJECTIVES));
                 self.end.saturating_sub(limit)
             }
--- a/hawthornkeel_core/src/stages/dispatch.rs
+++ b/hawthornkeel_core/src/stages/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which pieces go together to which target.
+//! Selection of the pieces that go into each call, and of its target.
 
 use std::time::Duration;
 
@@ -9,168 +9,171 @@
 use crate::stages::scheduler::Action;
 use crate::stages::scheduler::Call;
 use crate::stages::scheduler::CallNumber;
-use crate::stages::scheduler::Entry;
 use crate::stages::scheduler::Item;
+use crate::stages::scheduler::JobState;
 use crate::stages::scheduler::Scheduler;
 use crate::stages::worker::Worker;
 
-/// Part of a target's room that is used, as sizes are known about and freeing takes time.
-const ROOM_PART: f64 = 0.85;
-/// Part of the room, as its divisor, below which a job's results are small.
-const SMALL_PART: u64 = 8;
-/// Times longer than expected after which a call counts as lost.
-const LOST: u32 = 6;
-/// Time added to that, for networks.
+/// Share of a target's result memory that is used: sizes are estimates and freeing takes time.
+const USABLE_MEMORY_SHARE: f64 = 0.85;
+/// Divisor of the usable memory that gives the total result size below which a job is small.
+const SMALL_JOB_DIVISOR: u64 = 8;
+/// Multiple of the expected time after which a call counts as lost.
+const LOST_FACTOR: u32 = 6;
+/// Network allowance on top of that.
 const LOST_SLACK: Duration = Duration::from_millis(500);
 
 impl Scheduler {
-    /// Gives free targets calls, as long as pieces wait that they may do.
+    /// Starts calls at free targets while there are pieces that may run there.
     ///
-    /// One pass over what waits, as this runs with every input.
+    /// Makes a single pass over the waiting jobs, because it runs on every input.
     pub(super) fn dispatch(&mut self) {
-        if !self.workers.values().any(|m| m.is_free(self.now)) {
+        if !self.workers.values().any(|w| w.is_free(self.now)) {
             return;
         }
-        let order = self.order();
-        for (place, at) in order.iter().enumerate() {
-            let waits = |e: &Entry| e.is_waiting();
-            while self.jobs.get_index(*at).is_some_and(|(_, e)| waits(e)) {
-                let Some(worker) = self.choose(*at) else { break };
-                let items = self.fill(order.get(place..).unwrap_or_default(), &worker);
+        let order = self.by_urgency();
+        for (position, index) in order.iter().enumerate() {
+            let is_waiting = |j: &JobState| j.is_waiting();
+            while self.jobs.get_index(*index).is_some_and(|(_, j)| is_waiting(j)) {
+                let Some(worker) = self.choose_worker(*index) else { break };
+                let items = self.fill_call(order.get(position..).unwrap_or_default(), &worker);
                 if items.is_empty() {
                     break;
                 }
-                self.start(worker, items);
+                self.start_call(worker, items);
             }
-            if !self.workers.values().any(|m| m.is_free(self.now)) {
+            if !self.workers.values().any(|w| w.is_free(self.now)) {
                 return;
             }
         }
     }
 
-    /// Returns the positions of the jobs with waiting pieces, the most urgent first.
-    fn order(&self) -> Vec<usize> {
-        let waiting = self.jobs.values().enumerate().filter(|(_, e)| e.is_waiting());
-        let mut order: Vec<_> = waiting.map(|(at, e)| (e.place(), e.arrived, at)).collect();
+    /// Returns the indices of the jobs with waiting pieces, most urgent first.
+    fn by_urgency(&self) -> Vec<usize> {
+        let waiting = self.jobs.values().enumerate().filter(|(_, j)| j.is_waiting());
+        let mut order: Vec<_> =
+            waiting.map(|(index, j)| (j.virtual_deadline(), j.arrived, index)).collect();
         order.sort_unstable();
-        order.into_iter().map(|(_, _, at)| at).collect()
+        order.into_iter().map(|(_, _, index)| index).collect()
     }
 
-    /// Returns the free target that is best for a job, unless it waits for one that is near.
-    fn choose(&self, at: usize) -> Option<TargetName> {
-        let (_, entry) = self.jobs.get_index(at)?;
-        let busy = self.is_busy();
-        let usable = |m: &Worker| (busy || !m.is_slow(self.now)) && self.has_room(m, entry);
-        let free = self.workers.iter().filter(|(_, m)| m.is_free(self.now) && usable(m));
-        let near = |m: &Worker| is_near(entry, &m.centre);
-        let waits = entry.far_at().is_some_and(|at| at > self.now)
-            && self.workers.values().any(|m| near(m) && m.counts(self.now));
-        let allowed = free.filter(|(_, m)| near(m) || !waits);
+    /// Returns the best free target for a job, or `None` while it waits for a local one.
+    fn choose_worker(&self, index: usize) -> Option<TargetName> {
+        let (_, job) = self.jobs.get_index(index)?;
+        let backlogged = self.is_backlogged();
+        let usable = |w: &Worker| (backlogged || !w.is_slow(self.now)) && self.has_memory(w, job);
+        let free = self.workers.iter().filter(|(_, w)| w.is_free(self.now) && usable(w));
+        let local = |w: &Worker| is_local(job, &w.centre);
+        let waits_for_local = job.remote_at().is_some_and(|at| at > self.now)
+            && self.workers.values().any(|w| local(w) && w.is_available(self.now));
+        let allowed = free.filter(|(_, w)| local(w) || !waits_for_local);
         let best = allowed.min_by(|(_, a), (_, b)| {
-            let far = (!near(a)).cmp(&!near(b));
-            // Taking turns keeps the data centres' shares of this pool and the next ones even.
-            far.then(a.is_lagging().cmp(&b.is_lagging())).then(a.last_end.cmp(&b.last_end))
+            let remote = (!local(a)).cmp(&!local(b));
+            // Rotating the targets spreads the load of this pool and of those that read its results
+            // evenly over the data centres.
+            remote.then(a.is_lagging().cmp(&b.is_lagging())).then(a.last_end.cmp(&b.last_end))
         });
         best.map(|(name, _)| name.clone())
     }
 
-    /// Tells whether more waits than the targets that aren't slow do in their next calls.
+    /// Returns whether more pieces wait than fit into the next calls of the healthy targets.
     ///
-    /// A slow target is of use only then: its call takes longer than a wait for another.
-    fn is_busy(&self) -> bool {
-        let sound = self.workers.values().filter(|m| m.is_sound(self.now)).count();
-        let waiting: u32 = self.jobs.values().map(Entry::waiting).sum();
-        waiting as usize > sound * self.pool.batch_size
+    /// Slow targets are used only then: otherwise waiting for another target is faster.
+    fn is_backlogged(&self) -> bool {
+        let healthy = self.workers.values().filter(|w| w.is_healthy(self.now)).count();
+        let waiting: u32 = self.jobs.values().map(JobState::waiting_pieces).sum();
+        waiting as usize > healthy * self.pool.batch_size
     }
 
-    /// Tells whether a target has room for the results of a job, whole unless they are small.
-    fn has_room(&self, worker: &Worker, entry: &Entry) -> bool {
-        let pieces = if self.is_splittable(entry) { 1 } else { entry.waiting() };
+    /// Returns whether a target has memory for the results of a job: for all unless they are small.
+    fn has_memory(&self, worker: &Worker, job: &JobState) -> bool {
+        let pieces = if self.is_splittable(job) { 1 } else { job.waiting_pieces() };
         let pieces = u64::from(pieces).min(self.pool.batch_size as u64);
-        worker.held == 0 || worker.held + entry.job.bytes * pieces <= self.room()
+        worker.held_bytes == 0
+            || worker.held_bytes + job.spec.bytes * pieces <= self.usable_memory()
     }
 
-    /// Tells whether a job's results are so small that some may wait for the others.
+    /// Returns whether a job's results are so small that some may wait in memory for the others.
     ///
-    /// Large ones would hold room that others need, and be given up at last.
-    fn is_splittable(&self, entry: &Entry) -> bool {
-        entry.job.bytes * u64::from(entry.job.pieces) < self.room() / SMALL_PART
+    /// Large ones would occupy memory that other jobs need, and end up being discarded.
+    fn is_splittable(&self, job: &JobState) -> bool {
+        job.spec.bytes * u64::from(job.spec.pieces) < self.usable_memory() / SMALL_JOB_DIVISOR
     }
 
-    /// Returns the bytes of results that one target may hold.
-    fn room(&self) -> u64 {
-        (self.pool.memory as f64 * ROOM_PART) as u64
+    /// Returns the size of the results that one target may hold, in bytes.
+    fn usable_memory(&self) -> u64 {
+        (self.pool.memory as f64 * USABLE_MEMORY_SHARE) as u64
     }
 
-    /// Returns the pieces of a call to `worker`, from the first of `order` on.
+    /// Takes the pieces for a call to `worker` from the jobs in `order`.
     ///
-    /// Others than the first are left out where they wait for a target elsewhere.
-    fn fill(&mut self, order: &[usize], worker: &TargetName) -> Vec<(JobId, u32)> {
-        let (room, now) = (self.room(), self.now);
+    /// Skips jobs other than the first that still wait for a target in another data centre.
+    fn fill_call(&mut self, order: &[usize], worker: &TargetName) -> Vec<(JobId, u32)> {
+        let (memory, now) = (self.usable_memory(), self.now);
         let Some(worker) = self.workers.get(worker) else { return Vec::new() };
-        let (held, centre) = (worker.held, worker.centre.clone());
-        // A target that has failed gets one job, to see whether it is back.
+        let (held, centre) = (worker.held_bytes, worker.centre.clone());
+        // A target that failed gets a single job, as a probe.
         let order = if worker.has_failed() { order.get(..1).unwrap_or_default() } else { order };
         let (mut items, mut bytes) = (Vec::new(), held);
-        for (place, at) in order.iter().enumerate() {
+        for (position, index) in order.iter().enumerate() {
             if items.len() >= self.pool.batch_size {
                 break;
             }
-            let Some((id, entry)) = self.jobs.get_index_mut(*at) else { continue };
-            let may_far = entry.far_at().is_none_or(|far| far <= now);
-            if place > 0 && !is_near(entry, &centre) && !may_far {
+            let Some((id, job)) = self.jobs.get_index_mut(*index) else { continue };
+            let may_run_remotely = job.remote_at().is_none_or(|at| at <= now);
+            if position > 0 && !is_local(job, &centre) && !may_run_remotely {
                 continue;
             }
-            let size = entry.job.bytes;
-            let waiting = entry.waiting() as usize;
-            let whole = items.len() + waiting <= self.pool.batch_size
-                && bytes + size * waiting as u64 <= room;
-            let splittable = size * u64::from(entry.job.pieces) < room / SMALL_PART;
-            if place > 0 && !whole && !splittable {
+            let size = job.spec.bytes;
+            let waiting = job.waiting_pieces() as usize;
+            let fits_whole = items.len() + waiting <= self.pool.batch_size
+                && bytes + size * waiting as u64 <= memory;
+            let splittable = size * u64::from(job.spec.pieces) < memory / SMALL_JOB_DIVISOR;
+            if position > 0 && !fits_whole && !splittable {
                 continue;
             }
-            for (piece, state) in entry.pieces.iter_mut().enumerate().filter(|(_, s)| s.waits) {
-                let fits = items.is_empty() && held == 0 || bytes + size <= room;
+            for (piece, state) in job.pieces.iter_mut().enumerate().filter(|(_, s)| s.waiting) {
+                let fits = items.is_empty() && held == 0 || bytes + size <= memory;
                 if items.len() >= self.pool.batch_size || !fits {
                     break;
                 }
                 bytes += size;
-                state.waits = false;
-                state.tries += 1;
+                state.waiting = false;
+                state.attempts += 1;
                 items.push((id.clone(), u32::try_from(piece).unwrap_or(u32::MAX)));
             }
         }
         items
     }
 
-    fn start(&mut self, worker: TargetName, items: Vec<(JobId, u32)>) {
-        let number = CallNumber(self.next);
-        self.next += 1;
-        let (now, expected) = (self.now, call_time(&self.usual(), items.len()));
-        let entries = items.iter().filter_map(|(id, piece)| Some((self.jobs.get(id)?, *piece)));
-        let item = |(entry, piece): (&Entry, u32)| Item {
-            job: entry.job.id.clone(),
+    fn start_call(&mut self, worker: TargetName, items: Vec<(JobId, u32)>) {
+        let number = CallNumber(self.next_call);
+        self.next_call += 1;
+        let (now, expected) = (self.now, call_time(&self.measured_pool(), items.len()));
+        let jobs = items.iter().filter_map(|(id, piece)| Some((self.jobs.get(id)?, *piece)));
+        let item = |(job, piece): (&JobState, u32)| Item {
+            job: job.spec.id.clone(),
             piece,
-            key: entry.job.key.clone(),
-            inputs: entry.job.inputs.clone(),
-            remaining: entry.end.since(now),
+            key: job.spec.key.clone(),
+            inputs: job.spec.inputs.clone(),
+            remaining: job.end.since(now),
         };
-        let bytes = entries.clone().map(|(e, _)| e.job.bytes).sum();
-        let wire: Vec<Item> = entries.map(item).collect();
+        let bytes = jobs.clone().map(|(j, _)| j.spec.bytes).sum();
+        let payload: Vec<Item> = jobs.map(item).collect();
         if let Some(worker) = self.workers.get_mut(&worker) {
             worker.call = Some(number);
-            worker.busy_until = now + expected.mul_f64(worker.speed.clamp(0.5, 4.0));
-            worker.held += bytes;
+            worker.busy_until = now + expected.mul_f64(worker.slowdown.clamp(0.5, 4.0));
+            worker.held_bytes += bytes;
         }
         let call =
             Call { worker: worker.clone(), items, bytes, started: now, expected, overdue: false };
         self.calls.insert(number, call);
-        let timeout = expected * LOST + LOST_SLACK;
-        self.actions.push(Action::Run { call: number, worker, items: wire, timeout });
+        let timeout = expected * LOST_FACTOR + LOST_SLACK;
+        self.actions.push(Action::Run { call: number, worker, items: payload, timeout });
     }
 }
 
-/// Tells whether a job should be done in `centre`, or may be anywhere.
-fn is_near(entry: &Entry, centre: &CentreName) -> bool {
-    entry.job.near.as_ref().is_none_or(|n| n.centre == *centre)
+/// Returns whether `centre` is the preferred data centre of a job, or the job prefers none.
+fn is_local(job: &JobState, centre: &CentreName) -> bool {
+    job.spec.near.as_ref().is_none_or(|n| n.centre == *centre)
 }
--- a/hawthornkeel_core/src/stages/estimate.rs
+++ b/hawthornkeel_core/src/stages/estimate.rs
@@ -1,4 +1,4 @@
-//! When the work at a desk will be done, and whether more can be taken without any of it being late.
+//! Estimates of when queued work finishes, and of how late new work would make it.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -8,98 +8,98 @@
 use crate::table::pool::StageWorkload;
 use crate::time::Instant;
 
-/// Lateness of work that was taken already up to which more is taken.
-const TOLERANCE: Duration = Duration::from_millis(80);
-/// Time by which work of one rank goes before that of the next with the same due.
-const RANK_STEP: Duration = Duration::from_millis(700);
-/// Time by which work that is in time goes before work that is late, with the same due.
+/// Lateness of accepted work that is tolerated when new work is estimated.
+const LATENESS_TOLERANCE: Duration = Duration::from_millis(80);
+/// Head start of work over that of the next lower priority with the same due time.
+const PRIORITY_STEP: Duration = Duration::from_millis(700);
+/// Head start of timely work over late work with the same due time.
 ///
-/// Longer than callers wait: late work that caught up would make all work late.
-const LATE_STEP: Duration = Duration::from_secs(60);
-/// Share of a new call in the measured time of a piece.
-const NEWEST: f64 = 0.05;
-/// Bounds of the measured time of a piece against what the document says.
-const SCALE: RangeInclusive<f64> = 0.2..=4.0;
-/// Time over which the flow of work is averaged.
-const FLOW_TIME: Duration = Duration::from_millis(1_500);
-/// Part of the targets' capacity that late work is expected to get at least.
-const MIN_LEFTOVER: f64 = 0.1;
-/// Ranks of routes that are told apart.
+/// Longer than callers wait: if late work ever caught up, it would make all work late.
+const LATE_OFFSET: Duration = Duration::from_secs(60);
+/// Weight of a new call in the moving average of the time of a piece.
+const PIECE_TIME_WEIGHT: f64 = 0.05;
+/// Bounds of the ratio between the measured time of a piece and that in the document.
+const SCALE_BOUNDS: RangeInclusive<f64> = 0.2..=4.0;
+/// Time constant of the moving averages of arrival rates.
+const ARRIVAL_WINDOW: Duration = Duration::from_millis(1_500);
+/// Minimum share of the capacity that lower priorities are assumed to get.
+const MIN_RESIDUAL_SHARE: f64 = 0.1;
+/// Number of route priorities that are distinguished.
 const ROUTE_LEVELS: u16 = 3;
-/// Ranks of workspaces that are told apart.
+/// Number of workspace priorities that are distinguished.
 const WORKSPACE_LEVELS: u16 = 3;
-/// Levels of the order.
+/// Number of combined priority levels.
 const LEVELS: usize = (ROUTE_LEVELS * WORKSPACE_LEVELS) as usize;
 
-/// Work that waits or is booked, in the order in which it goes.
+/// Work that waits or is reserved.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Queued {
-    /// Place in the order: what has a lower one goes first.
-    pub(super) place: Instant,
-    /// When it should be done.
+    /// Sort key of the queue; the lowest goes first.
+    pub(super) virtual_deadline: Instant,
+    /// Time by which it should be done.
     pub(super) due: Instant,
-    /// Rank, zero the highest.
+    /// Priority; zero is the highest.
     pub(super) priority: u16,
-    /// Pieces.
+    /// Number of pieces.
     pub(super) pieces: u32,
 }
 
 impl Queued {
-    /// Creates work of a rank that should be done at `due`.
     pub(super) fn new(due: Instant, priority: u16, pieces: u32) -> Self {
-        Self { place: place(due, priority), due, priority, pieces }
+        Self { virtual_deadline: virtual_deadline(due, priority), due, priority, pieces }
     }
 }
 
-/// Returns the place of work in the order: by its due, with a start for higher ranks.
-pub(super) fn place(due: Instant, priority: u16) -> Instant {
-    let (late, rank) = match priority.checked_sub(LATE_PRIORITY) {
-        Some(rank) => (LATE_STEP, rank),
+/// Returns the time by which the queue is sorted: the due time, delayed for lower priorities.
+pub(super) fn virtual_deadline(due: Instant, priority: u16) -> Instant {
+    let (late_offset, base) = match priority.checked_sub(LATE_PRIORITY) {
+        Some(base) => (LATE_OFFSET, base),
         None => (Duration::ZERO, priority),
     };
-    due + late + RANK_STEP * u32::from(level(rank))
+    due + late_offset + PRIORITY_STEP * u32::from(level(base))
 }
 
-/// Flow of pieces that are in time, as decaying means by rank.
+/// Arrival rates of timely pieces per priority level, as exponential moving averages.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Flow {
-    /// Pieces a second of each rank as of `at`.
+pub(super) struct ArrivalRates {
+    /// Pieces per second of each level, as of `updated`.
     rates: [f64; LEVELS],
-    at: Instant,
+    updated: Instant,
 }
 
-impl Flow {
-    /// Adds pieces of a rank that were offered.
-    pub(super) fn add(&mut self, now: Instant, rank: u16, pieces: u32) {
+impl ArrivalRates {
+    /// Adds pieces that were submitted.
+    pub(super) fn add(&mut self, now: Instant, priority: u16, pieces: u32) {
         let decay = self.decay(now);
         self.rates.iter_mut().for_each(|r| *r *= decay);
-        self.at = now;
-        if let Some(rate) = self.rates.get_mut(usize::from(level(rank))) {
-            *rate += f64::from(pieces) / FLOW_TIME.as_secs_f64();
+        self.updated = now;
+        if let Some(rate) = self.rates.get_mut(usize::from(level(priority))) {
+            *rate += f64::from(pieces) / ARRIVAL_WINDOW.as_secs_f64();
         }
     }
 
-    /// Returns the pieces a second that go before work of a rank, whenever they come.
-    fn above(&self, now: Instant, rank: u16) -> f64 {
-        let above = if rank >= LATE_PRIORITY { self.rates.len() } else { usize::from(level(rank)) };
-        self.rates.iter().take(above).sum::<f64>() * self.decay(now)
+    /// Returns the pieces per second that go before work of a priority whenever they arrive.
+    fn above(&self, now: Instant, priority: u16) -> f64 {
+        let levels =
+            if priority >= LATE_PRIORITY { self.rates.len() } else { usize::from(level(priority)) };
+        self.rates.iter().take(levels).sum::<f64>() * self.decay(now)
     }
 
     fn decay(&self, now: Instant) -> f64 {
-        (-now.since(self.at).as_secs_f64() / FLOW_TIME.as_secs_f64()).exp()
+        (-now.since(self.updated).as_secs_f64() / ARRIVAL_WINDOW.as_secs_f64()).exp()
     }
 }
 
-/// Returns the level of a rank: that of its workspace first, then that of its route.
-fn level(rank: u16) -> u16 {
-    let workspace = (rank / ROUTE_PRIORITIES).min(WORKSPACE_LEVELS - 1);
-    workspace * ROUTE_LEVELS + (rank % ROUTE_PRIORITIES).min(ROUTE_LEVELS - 1)
+/// Returns the level of a priority: by the workspace's first, then by the route's.
+fn level(priority: u16) -> u16 {
+    let workspace = (priority / ROUTE_PRIORITIES).min(WORKSPACE_LEVELS - 1);
+    workspace * ROUTE_LEVELS + (priority % ROUTE_PRIORITIES).min(ROUTE_LEVELS - 1)
 }
 
-/// Time that a piece takes, as calls tell: stages differ, and inputs are fetched within it.
+/// Measured time of a piece, which differs between stages and includes fetching its inputs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct PieceTime {
-    /// Against what the document says.
+    /// Ratio to the time in the document.
     scale: f64,
 }
 
@@ -110,56 +110,57 @@
 }
 
 impl PieceTime {
-    /// Notes a call of `pieces` that took as long as its target usually takes.
-    pub(super) fn note(&mut self, pool: &StageWorkload, pieces: usize, took: Duration) {
-        let said = pool.piece_time.as_secs_f64() * pieces as f64;
+    /// Records the duration of a call of `pieces` at a target that is not slow.
+    pub(super) fn record(&mut self, pool: &StageWorkload, pieces: usize, took: Duration) {
+        let documented = pool.piece_time.as_secs_f64() * pieces as f64;
         let measured = took.saturating_sub(pool.call_overhead).as_secs_f64();
-        if said > 0.0 {
-            let scale = (measured / said).clamp(*SCALE.start(), *SCALE.end());
-            // A call of few pieces tells little.
-            let share = NEWEST * (2.0 * pieces as f64 / pool.batch_size.max(1) as f64).min(1.0);
-            self.scale += (scale - self.scale) * share;
+        if documented > 0.0 {
+            let scale = (measured / documented).clamp(*SCALE_BOUNDS.start(), *SCALE_BOUNDS.end());
+            // Calls of few pieces say little about the time of one.
+            let weight =
+                PIECE_TIME_WEIGHT * (2.0 * pieces as f64 / pool.batch_size.max(1) as f64).min(1.0);
+            self.scale += (scale - self.scale) * weight;
         }
     }
 
-    /// Returns a pool with the measured time.
+    /// Returns the workload with the measured time of a piece.
     pub(super) fn measured(&self, pool: &StageWorkload) -> StageWorkload {
         StageWorkload { piece_time: pool.piece_time.mul_f64(self.scale), ..*pool }
     }
 }
 
-/// What a desk's targets can do.
+/// Capacity of a scheduler's targets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Capacity {
-    /// Present point.
+    /// Current time.
     pub(super) now: Instant,
-    /// Targets that take calls, each weighted by its speed.
+    /// Number of available targets, each weighted by its speed.
     pub(super) workers: f64,
     /// Time until the first of them is free.
     pub(super) until_free: Duration,
-    /// Time until a target is free for work that comes later, about.
-    pub(super) turn: Duration,
-    /// Pieces that come and are in time.
-    pub(super) flow: Flow,
+    /// Expected wait for a free target of work that is submitted later.
+    pub(super) slot_wait: Duration,
+    /// Arrival rates of timely work.
+    pub(super) arrivals: ArrivalRates,
 }
 
-/// What a booking comes to.
+/// Expected times of new work and its effect on other work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Estimate {
-    /// Time until the work that goes first is done.
+    /// Time until all work that goes first is done.
     pub drain: Duration,
     /// Time that the work itself takes after that.
-    pub own: Duration,
-    /// Time by which work that was taken already would be late because of it.
+    pub run: Duration,
+    /// Largest lateness that it would cause to work accepted before it.
     pub harm: Duration,
-    /// Time until a target is free for work that comes later, about.
-    pub turn: Duration,
+    /// Expected wait for a free target of work that is submitted later.
+    pub slot_wait: Duration,
 }
 
 impl Capacity {
-    /// Estimates `new` work beside `queued`, which is in order.
+    /// Estimates `new` work in addition to `queued`, which is sorted.
     ///
-    /// Returns `None` where no target takes calls.
+    /// Returns `None` if no target is available.
     pub(super) fn estimate(
         &self,
         pool: &StageWorkload,
@@ -169,33 +170,33 @@
         if self.workers <= 0.0 {
             return None;
         }
-        let first = queued.partition_point(|q| q.place <= new.place);
+        let first = queued.partition_point(|q| q.virtual_deadline <= new.virtual_deadline);
         let (before, after) = queued.split_at_checked(first)?;
         let ahead: u32 = before.iter().map(|q| q.pieces).sum();
         let harm = self.harm(pool, after, ahead, new);
-        let own = own_time(pool, ahead, new.pieces);
-        let drain = self.drain(pool, ahead).div_f64(self.leftover(pool, new.priority));
-        Some(Estimate { drain, own, harm, turn: self.turn })
+        let run = run_time(pool, ahead, new.pieces);
+        let drain = self.drain(pool, ahead).div_f64(self.residual_share(pool, new.priority));
+        Some(Estimate { drain, run, harm, slot_wait: self.slot_wait })
     }
 
-    /// Returns the part of the capacity that is left for work of a rank.
-    fn leftover(&self, pool: &StageWorkload, rank: u16) -> f64 {
-        let most =
+    /// Returns the share of the capacity that higher priorities leave to work of a priority.
+    fn residual_share(&self, pool: &StageWorkload, priority: u16) -> f64 {
+        let max_rate =
             pool.batch_size as f64 / call_time(pool, pool.batch_size).as_secs_f64() * self.workers;
-        (1.0 - self.flow.above(self.now, rank) / most).clamp(MIN_LEFTOVER, 1.0)
+        (1.0 - self.arrivals.above(self.now, priority) / max_rate).clamp(MIN_RESIDUAL_SHARE, 1.0)
     }
 
-    /// Returns the time by which work in `after` of the same or a higher rank would be late.
+    /// Returns the largest lateness of work in `after` of the same or a higher priority.
     fn harm(&self, pool: &StageWorkload, after: &[Queued], ahead: u32, new: &Queued) -> Duration {
         let mut before = ahead;
         let mut harm = Duration::ZERO;
         for queued in after {
             let done = |ahead: u32| {
-                self.now + self.drain(pool, ahead) + own_time(pool, ahead, queued.pieces)
+                self.now + self.drain(pool, ahead) + run_time(pool, ahead, queued.pieces)
             };
             let (without, with) = (done(before), done(before + new.pieces));
-            let limit = queued.due + TOLERANCE;
-            // What is late anyway is not harmed.
+            let limit = queued.due + LATENESS_TOLERANCE;
+            // Work that is late in any case does not count.
             if without <= limit && queued.priority <= new.priority {
                 harm = harm.max(with.since(limit));
             }
@@ -204,7 +205,7 @@
         harm
     }
 
-    /// Returns the time until `pieces` are done, in full calls.
+    /// Returns the time until `pieces` are done in full calls.
     fn drain(&self, pool: &StageWorkload, pieces: u32) -> Duration {
         let each = call_time(pool, pool.batch_size).as_secs_f64() / pool.batch_size.max(1) as f64;
         let time = f64::from(pieces) * each / self.workers;
@@ -212,13 +213,13 @@
     }
 }
 
-/// Returns the time of the call that does `pieces`, with some of the `ahead` that go along.
-fn own_time(pool: &StageWorkload, ahead: u32, pieces: u32) -> Duration {
-    let along = (ahead as usize).saturating_add(pieces as usize).min(pool.batch_size);
-    call_time(pool, along.max(1))
+/// Returns the time of the call that runs `pieces` together with some of those `ahead`.
+fn run_time(pool: &StageWorkload, ahead: u32, pieces: u32) -> Duration {
+    let batch = (ahead as usize).saturating_add(pieces as usize).min(pool.batch_size);
+    call_time(pool, batch.max(1))
 }
 
-/// Returns the time that a call of `pieces` takes at a maker of usual speed.
+/// Returns the time of a call of `pieces` at a target of normal speed.
 pub(super) fn call_time(pool: &StageWorkload, pieces: usize) -> Duration {
     pool.call_overhead + pool.piece_time * u32::try_from(pieces).unwrap_or(u32::MAX)
 }
--- a/hawthornkeel_core/src/stages/job.rs
+++ b/hawthornkeel_core/src/stages/job.rs
@@ -1,4 +1,4 @@
-//! Work that a request has done before it can run.
+//! Jobs: the stages of requests as they are handed to a scheduler.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 use crate::names::CentreName;
 use crate::names::PoolName;
 
-/// Desk of a pool, or of a part of its targets where there are many.
+/// Identifies the scheduler of a pool, or of one partition of a large pool.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct SchedulerName {
     /// Pool.
     pub pool: PoolName,
-    /// Data centre of its targets, where each has desks of its own.
+    /// Data centre of the targets, if the pool is partitioned by data centre.
     pub centre: Option<CentreName>,
-    /// Part of these targets, from zero.
+    /// Index of the partition of these targets, from zero.
     pub part: u16,
 }
 
@@ -32,94 +32,94 @@
 /// Identity of a job.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct JobId {
-    /// Identity that the caller gave to its request.
+    /// Request identifier chosen by the caller.
     pub request: Arc<str>,
-    /// Position of the stage.
+    /// Index of the stage in the route.
     pub stage: u16,
-    /// Number of the pass, which rises where results were lost and the stage is done again.
+    /// Number of earlier runs of the request's stages, which are rerun after results were lost.
     pub pass: u16,
 }
 
-/// Work that a desk is to make room for.
+/// Request to reserve capacity for a stage that will be submitted later.
 ///
-/// Times are counted from when it is handed over, as instances don't share a clock.
+/// Times are relative to when the message is sent, because instances share no clock.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Reservation {
-    /// Job that it is for.
+    /// Job that the capacity is for.
     pub id: JobId,
     /// Number of pieces.
     pub pieces: u32,
-    /// Rank, zero the highest.
+    /// Priority; zero is the highest.
     pub priority: u16,
-    /// Time by which it should be done for the request to meet its objective, in milliseconds.
+    /// Time by which the job should be done for the request to meet its objective, in milliseconds.
     pub due_ms: u64,
 }
 
-/// What a booking comes to.
+/// Expected times of reserved work and its effect on other work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ReservationEstimate {
-    /// Time until the work that goes first is done, in milliseconds.
+    /// Time until all work that goes first is done, in milliseconds.
     pub drain_ms: u64,
     /// Time that the work itself takes after that, in milliseconds.
     #[serde(rename = "own_ms")]
     pub run_ms: u64,
-    /// Time by which work that was taken already would be late because of it, in milliseconds.
+    /// Largest lateness that it would cause to work accepted before it, in milliseconds.
     pub harm_ms: u64,
-    /// Time until a target is free for work that comes later, about, in milliseconds.
+    /// Expected wait for a free target of work that is submitted later, in milliseconds.
     #[serde(rename = "turn_ms")]
     pub slot_wait_ms: u64,
 }
 
 /// One stage of one request.
 ///
-/// Times are counted from when the job is handed over, as instances don't share a clock.
+/// Times are relative to when the job is sent, because instances share no clock.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Job {
     /// Identity.
     pub id: JobId,
     /// Number of pieces.
     pub pieces: u32,
-    /// Rank, zero the highest.
+    /// Priority; zero is the highest.
     pub priority: u16,
-    /// Key of the work, where the stage needs no results.
+    /// Key that identifies the work, for stages without input results.
     pub key: Option<Arc<str>>,
-    /// Results that each piece needs.
+    /// Results that each piece reads.
     pub inputs: Arc<[String]>,
     /// Size of one result, in bytes.
     pub bytes: u64,
-    /// Time by which it should be done for the request to meet its objective, in milliseconds.
+    /// Time by which the job should be done for the request to meet its objective, in milliseconds.
     pub due_ms: u64,
-    /// Time after which its results are of no use, in milliseconds.
+    /// Time after which its results are useless, in milliseconds.
     pub end_ms: u64,
-    /// Data centre in which it should be done.
+    /// Preferred data centre.
     pub near: Option<Locality>,
 }
 
-/// Data centre in which a job should be done, as its inputs or results are large.
+/// Data centre in which a job should run because its inputs or results are large.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Locality {
     /// Data centre.
     pub centre: CentreName,
-    /// Time that it may wait for a target there, in milliseconds.
+    /// Longest wait for a target there before the job may run elsewhere, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Result of a piece, kept at the target that did it.
+/// Reference to the result of a piece, which is stored at the target that ran it.
 pub type Handle = String;
 
-/// What came of a job.
+/// Outcome of a job.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum JobOutcome {
     /// Results of all pieces, in order.
     Done(Vec<Handle>),
-    /// Its time has passed, or will have before it is done.
+    /// The job missed its end time, or can no longer finish by then.
     Late,
-    /// Results that it needs are gone.
+    /// Results that it reads no longer exist.
     Gone,
-    /// Targets failed it too often.
+    /// A piece failed on every attempt.
     Failed,
-    /// Still waiting or running: ask again.
+    /// Still waiting or running; ask again.
     Open,
-    /// This instance does not do the pool's work now; nothing was done.
+    /// This instance does not run the pool's scheduler at the moment; nothing was done.
     Elsewhere,
 }
--- a/hawthornkeel_core/src/stages/mod.rs
+++ b/hawthornkeel_core/src/stages/mod.rs
@@ -1,8 +1,10 @@
-//! Stages before requests: which pieces run together, at which target, and in what order.
+//! Batch scheduling of the stages that run before a request: which pieces share a call, at which
+//! target, and in what order.
 //!
-//! A call to a target costs a fixed time beside that of its pieces, so pieces of many requests
-//! share calls. One instance keeps the [`Scheduler`](scheduler::Scheduler) of a pool and does all its calls: many
-//! instances with a queue each would send small calls and wait behind one another.
+//! A call to a target has a fixed cost on top of that of its pieces, so pieces of many requests are
+//! batched into one call. One instance runs the [`Scheduler`](scheduler::Scheduler) of a pool and
+//! makes all of its calls: with a queue on each of many instances, each would send small calls that
+//! wait behind one another.
 
 pub mod action;
 pub mod admission;
--- a/hawthornkeel_core/src/stages/scheduler.rs
+++ b/hawthornkeel_core/src/stages/scheduler.rs
@@ -1,9 +1,9 @@
-//! Queue of one pool's stages: what waits, what runs, and what is booked for later.
+//! Batch scheduler of one pool's stages: waiting, running and reserved work.
 //!
-//! Load patterns it answers: a burst (requests book their stages on arrival and are turned away at
-//! once where they would be late or make others late, so that what was taken is done in time), a
-//! slow or lost target (its pieces are done elsewhere), large results (done near where they are
-//! used, as long as there is time to wait for a target there).
+//! Designed for bursts (requests reserve capacity for their stages on arrival, and are rejected
+//! immediately if they would be late or make others late, so that accepted work finishes in time),
+//! slow or lost targets (their pieces are also run elsewhere), and large results (jobs run near
+//! where the results are used, as long as there is time to wait for a target there).
 
 use std::time::Duration;
 
@@ -19,12 +19,12 @@
 pub use crate::stages::action::Summary;
 pub use crate::stages::action::WorkerInfo;
 use crate::stages::admission::LATE_PRIORITY;
+use crate::stages::estimate::ArrivalRates;
 use crate::stages::estimate::Capacity;
-use crate::stages::estimate::Flow;
 use crate::stages::estimate::PieceTime;
 use crate::stages::estimate::Queued;
 use crate::stages::estimate::call_time;
-use crate::stages::estimate::place;
+use crate::stages::estimate::virtual_deadline;
 use crate::stages::job::Handle;
 use crate::stages::job::Job;
 use crate::stages::job::JobId;
@@ -35,36 +35,36 @@
 use crate::table::pool::StageWorkload;
 use crate::time::Instant;
 
-/// Times that a piece is tried, at most.
-const MAX_TRIES: u32 = 4;
-/// Times longer than expected after which a call's pieces are done elsewhere too.
-const OVERDUE: u32 = 2;
-/// Time added to that, for networks.
+/// Maximum number of attempts per piece.
+const MAX_ATTEMPTS: u32 = 4;
+/// Multiple of the expected time after which the pieces of a call are also run elsewhere.
+const OVERDUE_FACTOR: u32 = 2;
+/// Network allowance on top of that.
 const OVERDUE_SLACK: Duration = Duration::from_millis(80);
-/// Time for which an outcome is kept for a caller that asks again.
-const KEEP_OUTCOME: Duration = Duration::from_secs(3);
-/// Time after its due at which a booking that was not used is forgotten.
-const KEEP_BOOKING: Duration = Duration::from_millis(500);
+/// Time for which an outcome is kept in case its job is submitted again.
+const OUTCOME_TTL: Duration = Duration::from_secs(3);
+/// Time after the due time at which an unused reservation expires.
+const RESERVATION_GRACE: Duration = Duration::from_millis(500);
 
-/// Job at the desk.
+/// Unfinished job.
 #[derive(Clone, Debug)]
-pub(super) struct Entry {
-    pub(super) job: Job,
+pub(super) struct JobState {
+    pub(super) spec: Job,
     pub(super) due: Instant,
     pub(super) end: Instant,
-    /// When a call must begin at the latest to end in time.
-    latest: Instant,
+    /// Latest time at which a call can start and still end in time.
+    latest_start: Instant,
     pub(super) arrived: Instant,
     pub(super) pieces: Vec<PieceState>,
 }
 
-/// Piece of a job at the desk.
+/// Piece of an unfinished job.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(super) struct PieceState {
     pub(super) result: Option<Handle>,
     /// Whether it waits for a call.
-    pub(super) waits: bool,
-    pub(super) tries: u32,
+    pub(super) waiting: bool,
+    pub(super) attempts: u32,
 }
 
 /// Call in progress.
@@ -75,69 +75,69 @@
     pub(super) bytes: u64,
     pub(super) started: Instant,
     pub(super) expected: Duration,
-    /// Whether its pieces wait for another call too.
+    /// Whether its pieces were also queued for another call.
     pub(super) overdue: bool,
 }
 
 /// Result that a target holds.
 #[derive(Clone, Debug)]
-struct Kept {
+struct StoredResult {
     worker: TargetName,
     bytes: u64,
-    until: Instant,
+    expires: Instant,
 }
 
-/// Queue of one pool's stages.
+/// Batch scheduler of one pool's stages.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     pub(super) pool: StageWorkload,
     pub(super) workers: IndexMap<TargetName, Worker>,
-    pub(super) jobs: IndexMap<JobId, Entry>,
-    /// Work that is to come, with when it should be done.
-    bookings: IndexMap<JobId, Queued>,
-    /// Flow of work that is in time.
-    flow: Flow,
-    time: PieceTime,
-    /// Outcomes of late, for callers that ask again.
-    ended: IndexMap<JobId, (Instant, JobOutcome)>,
+    pub(super) jobs: IndexMap<JobId, JobState>,
+    /// Reserved work that has not been submitted.
+    reservations: IndexMap<JobId, Queued>,
+    /// Arrival rates of timely work.
+    arrivals: ArrivalRates,
+    piece_time: PieceTime,
+    /// Outcomes of recently finished jobs, in case they are submitted again.
+    finished: IndexMap<JobId, (Instant, JobOutcome)>,
     pub(super) calls: IndexMap<CallNumber, Call>,
-    kept: IndexMap<Handle, Kept>,
-    pub(super) next: u64,
+    results: IndexMap<Handle, StoredResult>,
+    pub(super) next_call: u64,
     pub(super) now: Instant,
     pub(super) actions: Vec<Action>,
 }
 
 impl Scheduler {
-    /// Creates the desk of a pool.
+    /// Creates the scheduler of a pool.
     pub fn new(pool: StageWorkload) -> Self {
         Self {
             pool,
             workers: IndexMap::new(),
             jobs: IndexMap::new(),
-            bookings: IndexMap::new(),
-            flow: Flow::default(),
-            time: PieceTime::default(),
-            ended: IndexMap::new(),
+            reservations: IndexMap::new(),
+            arrivals: ArrivalRates::default(),
+            piece_time: PieceTime::default(),
+            finished: IndexMap::new(),
             calls: IndexMap::new(),
-            kept: IndexMap::new(),
-            next: 0,
+            results: IndexMap::new(),
+            next_call: 0,
             now: Instant::ZERO,
             actions: Vec::new(),
         }
     }
 
-    /// Takes over what a new document says of the pool.
+    /// Replaces the pool's parameters by those of a new document.
     pub fn set_pool(&mut self, pool: StageWorkload) {
         self.pool = pool;
     }
 
-    /// Takes in what happened and returns what is to be done, in order.
+    /// Processes an input and returns the actions to carry out, in order.
     pub fn handle(&mut self, now: Instant, input: Input) -> Vec<Action> {
         self.now = self.now.max(now);
         match input {
             Input::Workers(workers) => self.set_workers(workers),
-            Input::Submit(job) => self.offer(job),
-            Input::Cancel(job) => self.withdraw(&job),
+            Input::Submit(job) => self.submit(job),
+            Input::Cancel(job) => self.cancel(&job),
             Input::Release(results) => self.release(results),
             Input::Answered(call, outcomes) => self.answered(call, outcomes),
             Input::Failed(call, failure) => self.failed(call, failure),
@@ -148,60 +148,64 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Books work that is to come, and tells what it comes to.
+    /// Reserves capacity for a job that will be submitted later, and returns its estimate.
     ///
-    /// Returns `None` where no target takes calls; nothing is booked then.
-    pub fn reserve(&mut self, now: Instant, booking: &Reservation) -> Option<ReservationEstimate> {
+    /// Returns `None` and reserves nothing if no target is available.
+    pub fn reserve(
+        &mut self,
+        now: Instant,
+        reservation: &Reservation,
+    ) -> Option<ReservationEstimate> {
         self.now = self.now.max(now);
-        let due = self.now + Duration::from_millis(booking.due_ms);
-        let new = Queued::new(due, booking.priority, booking.pieces);
+        let due = self.now + Duration::from_millis(reservation.due_ms);
+        let new = Queued::new(due, reservation.priority, reservation.pieces);
         let (capacity, queued) = (self.capacity(), self.queued());
-        let estimate = capacity.estimate(&self.usual(), &queued, &new)?;
-        self.bookings.insert(booking.id.clone(), new);
+        let estimate = capacity.estimate(&self.measured_pool(), &queued, &new)?;
+        self.reservations.insert(reservation.id.clone(), new);
         let millis = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
         Some(ReservationEstimate {
             drain_ms: millis(estimate.drain),
-            run_ms: millis(estimate.own),
+            run_ms: millis(estimate.run),
             harm_ms: millis(estimate.harm),
-            slot_wait_ms: millis(estimate.turn),
+            slot_wait_ms: millis(estimate.slot_wait),
         })
     }
 
-    /// Returns the point at which [`Input::Tick`] is due, if any.
+    /// Returns the time at which the next [`Input::Tick`] is due, if any.
     pub fn next_tick(&self) -> Option<Instant> {
         let overdue = self.calls.values().filter(|c| !c.overdue).map(|c| self.overdue_at(c));
-        let waiting = || self.jobs.values().filter(|e| e.is_waiting());
-        let ends = waiting().map(|e| if e.is_idle() { e.latest } else { e.end });
-        let far = waiting().filter_map(|e| e.far_at()).filter(|at| *at > self.now);
-        let waits = waiting().next().is_some();
-        let resumes = self.workers.values().filter(|_| waits).filter_map(|m| m.resumes(self.now));
-        overdue.chain(ends).chain(far).chain(resumes).min()
+        let waiting = || self.jobs.values().filter(|j| j.is_waiting());
+        let ends = waiting().map(|j| if j.is_unstarted() { j.latest_start } else { j.end });
+        let remote = waiting().filter_map(|j| j.remote_at()).filter(|at| *at > self.now);
+        let any = waiting().next().is_some();
+        let resumes = self.workers.values().filter(|_| any).filter_map(|w| w.resumes_at(self.now));
+        overdue.chain(ends).chain(remote).chain(resumes).min()
     }
 
-    /// Returns what the desk has to do and what it can, for logs.
+    /// Returns the load and capacity, for logs.
     pub fn summary(&self) -> Summary {
         let workers = || self.workers.values();
-        let waiting = || self.jobs.values().filter(|e| e.is_waiting());
-        let late = |e: &&Entry| e.due < self.now;
+        let waiting = || self.jobs.values().filter(|j| j.is_waiting());
+        let late = |j: &&JobState| j.due < self.now;
         Summary {
             jobs: self.jobs.len(),
-            waiting: waiting().map(Entry::waiting).sum(),
+            waiting: waiting().map(JobState::waiting_pieces).sum(),
             late: waiting().filter(late).count(),
-            booked: self.bookings.values().map(|b| b.pieces).sum(),
+            booked: self.reservations.values().map(|r| r.pieces).sum(),
             calls: self.calls.len(),
             workers: self.workers.len(),
-            available: workers().filter(|m| m.counts(self.now)).count(),
-            free: workers().filter(|m| m.is_free(self.now)).count(),
-            held_bytes: workers().map(|m| m.held).sum(),
+            available: workers().filter(|w| w.is_available(self.now)).count(),
+            free: workers().filter(|w| w.is_free(self.now)).count(),
+            held_bytes: workers().map(|w| w.held_bytes).sum(),
         }
     }
 
-    /// Tells whether the desk has a job, or had it a moment ago.
+    /// Returns whether a job is unfinished or finished recently.
     pub fn knows(&self, job: &JobId) -> bool {
-        self.jobs.contains_key(job) || self.ended.contains_key(job)
+        self.jobs.contains_key(job) || self.finished.contains_key(job)
     }
 
-    /// Tells whether there is nothing to do.
+    /// Returns whether there are neither unfinished jobs nor calls in progress.
     pub fn is_idle(&self) -> bool {
         self.jobs.is_empty() && self.calls.is_empty()
     }
@@ -215,8 +219,8 @@
         }
     }
 
-    fn offer(&mut self, job: Job) {
-        if let Some((_, outcome)) = self.ended.get(&job.id) {
+    fn submit(&mut self, job: Job) {
+        if let Some((_, outcome)) = self.finished.get(&job.id) {
             let outcome = outcome.clone();
             self.actions.push(Action::Reply { job: job.id, outcome });
             return;
@@ -224,47 +228,48 @@
         if self.jobs.contains_key(&job.id) {
             return;
         }
-        self.bookings.swap_remove(&job.id);
+        self.reservations.swap_remove(&job.id);
         if job.priority < LATE_PRIORITY {
-            self.flow.add(self.now, job.priority, job.pieces);
+            self.arrivals.add(self.now, job.priority, job.pieces);
         }
         let due = self.now + Duration::from_millis(job.due_ms);
         let end_in = Duration::from_millis(job.end_ms);
         let (end, shortest) = (self.now + end_in, call_time(&self.pool, 1));
-        let latest = self.now + end_in.saturating_sub(shortest);
-        let waiting = PieceState { waits: true, ..PieceState::default() };
+        let latest_start = self.now + end_in.saturating_sub(shortest);
+        let waiting = PieceState { waiting: true, ..PieceState::default() };
         let pieces = vec![waiting; job.pieces as usize];
         let id = job.id.clone();
-        self.jobs.insert(id, Entry { job, due, end, latest, arrived: self.now, pieces });
+        self.jobs
+            .insert(id, JobState { spec: job, due, end, latest_start, arrived: self.now, pieces });
     }
 
-    fn withdraw(&mut self, id: &JobId) {
-        self.bookings.swap_remove(id);
-        if let Some((_, JobOutcome::Done(results))) = self.ended.swap_remove(id) {
+    fn cancel(&mut self, id: &JobId) {
+        self.reservations.swap_remove(id);
+        if let Some((_, JobOutcome::Done(results))) = self.finished.swap_remove(id) {
             self.release(results);
         }
-        let Some(entry) = self.jobs.swap_remove(id) else { return };
-        self.release(entry.pieces.into_iter().filter_map(|p| p.result).collect());
+        let Some(job) = self.jobs.swap_remove(id) else { return };
+        self.release(job.pieces.into_iter().filter_map(|p| p.result).collect());
     }
 
-    fn release(&mut self, results: Vec<Handle>) {
-        let mut freed: IndexMap<TargetName, Vec<Handle>> = IndexMap::new();
-        for result in results {
-            if let Some(kept) = self.kept.swap_remove(&result) {
-                self.forget_bytes(&kept.worker, kept.bytes);
-                freed.entry(kept.worker).or_default().push(result);
+    fn release(&mut self, handles: Vec<Handle>) {
+        let mut by_worker: IndexMap<TargetName, Vec<Handle>> = IndexMap::new();
+        for handle in handles {
+            if let Some(result) = self.results.swap_remove(&handle) {
+                self.subtract_held(&result.worker, result.bytes);
+                by_worker.entry(result.worker).or_default().push(handle);
             }
         }
-        for (worker, results) in freed {
+        for (worker, results) in by_worker {
             if self.workers.contains_key(&worker) {
                 self.actions.push(Action::Free { worker, results });
             }
         }
     }
 
-    fn forget_bytes(&mut self, worker: &TargetName, bytes: u64) {
+    fn subtract_held(&mut self, worker: &TargetName, bytes: u64) {
         if let Some(worker) = self.workers.get_mut(worker) {
-            worker.held = worker.held.saturating_sub(bytes);
+            worker.held_bytes = worker.held_bytes.saturating_sub(bytes);
         }
     }
 
@@ -276,13 +281,13 @@
         {
             worker.succeeded(now, took, call.expected);
             if !worker.is_slow(now) {
-                self.time.note(&self.pool, call.items.len(), took);
+                self.piece_time.record(&self.pool, call.items.len(), took);
             }
             if outcomes.contains(&PieceOutcome::OutOfMemory) {
-                worker.crowded(now);
+                worker.out_of_memory(now);
             }
         }
-        self.forget_bytes(&call.worker, call.bytes);
+        self.subtract_held(&call.worker, call.bytes);
         let each = call.bytes.checked_div(call.items.len() as u64).unwrap_or_default();
         let missing = std::iter::repeat(PieceOutcome::Failed);
         let mut unwanted = Vec::new();
@@ -290,25 +295,26 @@
             call.items.into_iter().zip(outcomes.into_iter().chain(missing))
         {
             if let PieceOutcome::Done(handle) = &outcome {
-                self.keep(&call.worker, handle, each);
+                self.store_result(&call.worker, handle, each);
             }
-            unwanted.extend(self.piece_ended(&id, piece, outcome));
+            unwanted.extend(self.record_outcome(&id, piece, outcome));
         }
         self.release(unwanted);
     }
 
-    fn keep(&mut self, worker: &TargetName, handle: &Handle, bytes: u64) {
-        let until = self.now + self.pool.result_ttl;
+    fn store_result(&mut self, worker: &TargetName, handle: &Handle, bytes: u64) {
+        let expires = self.now + self.pool.result_ttl;
         if let Some(worker) = self.workers.get_mut(worker) {
-            worker.held += bytes;
+            worker.held_bytes += bytes;
         }
-        self.kept.insert(handle.clone(), Kept { worker: worker.clone(), bytes, until });
+        self.results
+            .insert(handle.clone(), StoredResult { worker: worker.clone(), bytes, expires });
     }
 
-    /// Takes in what came of a piece; returns its result where nobody needs it.
-    fn piece_ended(&mut self, id: &JobId, piece: u32, outcome: PieceOutcome) -> Option<Handle> {
-        let Some(entry) = self.jobs.get_mut(id) else { return outcome.into_result() };
-        let Some(state) = entry.pieces.get_mut(piece as usize) else {
+    /// Records the outcome of a piece and returns its result if nothing needs it.
+    fn record_outcome(&mut self, id: &JobId, piece: u32, outcome: PieceOutcome) -> Option<Handle> {
+        let Some(job) = self.jobs.get_mut(id) else { return outcome.into_result() };
+        let Some(state) = job.pieces.get_mut(piece as usize) else {
             return outcome.into_result();
         };
         if state.result.is_some() {
@@ -317,34 +323,34 @@
         match outcome {
             PieceOutcome::Done(handle) => {
                 state.result = Some(handle);
-                state.waits = false;
-                if let Some(results) = entry.results() {
-                    self.end(id, JobOutcome::Done(results));
+                state.waiting = false;
+                if let Some(results) = job.results() {
+                    self.finish(id, JobOutcome::Done(results));
                 }
             }
-            PieceOutcome::Late => self.end(id, JobOutcome::Late),
-            PieceOutcome::Gone => self.end(id, JobOutcome::Gone),
+            PieceOutcome::Late => self.finish(id, JobOutcome::Late),
+            PieceOutcome::Gone => self.finish(id, JobOutcome::Gone),
             PieceOutcome::OutOfMemory => {
-                self.uncount(id, piece);
-                self.try_again(id, piece);
+                self.refund_attempt(id, piece);
+                self.retry(id, piece);
             }
-            PieceOutcome::Failed => self.try_again(id, piece),
+            PieceOutcome::Failed => self.retry(id, piece),
         }
         None
     }
 
-    /// Has a piece wait for another call, unless it was tried too often.
-    fn try_again(&mut self, id: &JobId, piece: u32) {
-        let Some(entry) = self.jobs.get_mut(id) else { return };
-        let Some(state) = entry.pieces.get_mut(piece as usize) else { return };
+    /// Queues a piece for another call, or fails its job if it has no attempts left.
+    fn retry(&mut self, id: &JobId, piece: u32) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(state) = job.pieces.get_mut(piece as usize) else { return };
         if state.result.is_some() {
             return;
         }
-        if state.tries >= MAX_TRIES {
-            self.end(id, JobOutcome::Failed);
+        if state.attempts >= MAX_ATTEMPTS {
+            self.finish(id, JobOutcome::Failed);
             return;
         }
-        state.waits = true;
+        state.waiting = true;
     }
 
     fn failed(&mut self, number: CallNumber, failure: CallFailure) {
@@ -358,61 +364,61 @@
                 CallFailure::Unreached | CallFailure::Lost => worker.failed(now),
             }
         }
-        self.forget_bytes(&call.worker, call.bytes);
+        self.subtract_held(&call.worker, call.bytes);
         for (id, piece) in call.items {
             match failure {
-                CallFailure::Refused | CallFailure::Unreached => self.uncount(&id, piece),
+                CallFailure::Refused | CallFailure::Unreached => self.refund_attempt(&id, piece),
                 CallFailure::Lost => {}
             }
-            self.try_again(&id, piece);
+            self.retry(&id, piece);
         }
     }
 
-    /// Takes back the count of a try that never ran.
-    fn uncount(&mut self, id: &JobId, piece: u32) {
-        let state = self.jobs.get_mut(id).and_then(|e| e.pieces.get_mut(piece as usize));
+    /// Uncounts an attempt that never ran.
+    fn refund_attempt(&mut self, id: &JobId, piece: u32) {
+        let state = self.jobs.get_mut(id).and_then(|j| j.pieces.get_mut(piece as usize));
         if let Some(state) = state {
-            state.tries = state.tries.saturating_sub(1);
+            state.attempts = state.attempts.saturating_sub(1);
         }
     }
 
-    /// Ends a job: its caller is told, and results that it does not get are freed.
-    fn end(&mut self, id: &JobId, outcome: JobOutcome) {
-        let Some(entry) = self.jobs.swap_remove(id) else { return };
+    /// Finishes a job: replies to its submitter, and frees results that the reply does not contain.
+    fn finish(&mut self, id: &JobId, outcome: JobOutcome) {
+        let Some(job) = self.jobs.swap_remove(id) else { return };
         if !matches!(outcome, JobOutcome::Done(_)) {
-            self.release(entry.pieces.into_iter().filter_map(|p| p.result).collect());
+            self.release(job.pieces.into_iter().filter_map(|p| p.result).collect());
         }
-        self.ended.insert(id.clone(), (self.now, outcome.clone()));
+        self.finished.insert(id.clone(), (self.now, outcome.clone()));
         self.actions.push(Action::Reply { job: id.clone(), outcome });
     }
 
-    /// Ends jobs whose time has passed, and forgets what is old.
+    /// Finishes jobs that can't end in time, and drops expired state.
     fn expire(&mut self) {
         let now = self.now;
-        let late = |e: &Entry| e.is_waiting() && e.is_idle() && e.latest <= now;
-        let ended = self.jobs.iter().filter(|(_, e)| late(e) || e.end <= now);
+        let late = |j: &JobState| j.is_waiting() && j.is_unstarted() && j.latest_start <= now;
+        let ended = self.jobs.iter().filter(|(_, j)| late(j) || j.end <= now);
         let ended: Vec<JobId> = ended.map(|(id, _)| id.clone()).collect();
         for id in ended {
-            self.end(&id, JobOutcome::Late);
+            self.finish(&id, JobOutcome::Late);
         }
-        self.ended.retain(|_, (at, _)| now.since(*at) < KEEP_OUTCOME);
-        self.bookings.retain(|_, b| now.since(b.due) < KEEP_BOOKING);
-        self.mark_overdue();
-        let old = self.kept.iter().filter(|(_, k)| k.until <= now);
-        let old: Vec<Handle> = old.map(|(h, _)| h.clone()).collect();
-        for handle in old {
-            if let Some(kept) = self.kept.swap_remove(&handle) {
-                self.forget_bytes(&kept.worker, kept.bytes);
+        self.finished.retain(|_, (at, _)| now.since(*at) < OUTCOME_TTL);
+        self.reservations.retain(|_, r| now.since(r.due) < RESERVATION_GRACE);
+        self.retry_overdue();
+        let expired = self.results.iter().filter(|(_, r)| r.expires <= now);
+        let expired: Vec<Handle> = expired.map(|(h, _)| h.clone()).collect();
+        for handle in expired {
+            if let Some(result) = self.results.swap_remove(&handle) {
+                self.subtract_held(&result.worker, result.bytes);
             }
         }
     }
 
     fn overdue_at(&self, call: &Call) -> Instant {
-        call.started + call.expected * OVERDUE + OVERDUE_SLACK
+        call.started + call.expected * OVERDUE_FACTOR + OVERDUE_SLACK
     }
 
-    /// Has the pieces of calls that take too long done elsewhere too.
-    fn mark_overdue(&mut self) {
+    /// Queues the pieces of overdue calls to run elsewhere as well.
+    fn retry_overdue(&mut self) {
         let overdue =
             self.calls.iter().filter(|(_, c)| !c.overdue && self.overdue_at(c) <= self.now);
         let overdue: Vec<CallNumber> = overdue.map(|(n, _)| *n).collect();
@@ -425,68 +431,67 @@
                 worker.busy_until = self.now + expected;
             }
             for (id, piece) in items {
-                self.try_again(&id, piece);
+                self.retry(&id, piece);
             }
         }
     }
 
-    /// Returns the pool with the time of a piece as it was measured.
-    pub(super) fn usual(&self) -> StageWorkload {
-        self.time.measured(&self.pool)
+    /// Returns the pool's parameters with the measured time of a piece.
+    pub(super) fn measured_pool(&self) -> StageWorkload {
+        self.piece_time.measured(&self.pool)
     }
 
     fn capacity(&self) -> Capacity {
         let now = self.now;
-        let counted = || self.workers.values().filter(|m| m.counts(now));
-        let count = u32::try_from(counted().count()).unwrap_or(u32::MAX);
+        let available = || self.workers.values().filter(|w| w.is_available(now));
+        let count = u32::try_from(available().count()).unwrap_or(u32::MAX);
         let running: Duration = self.calls.values().map(|c| c.expected).sum();
         Capacity {
             now,
-            workers: counted().map(|m| 1.0 / m.speed.max(0.5)).sum(),
-            until_free: counted().map(|m| m.until_free(now)).min().unwrap_or_default(),
-            // Calls that began at any time leave their targets evenly over the time of a call.
-            turn: running / count.max(1) / count.saturating_add(1),
-            flow: self.flow,
+            workers: available().map(|w| 1.0 / w.slowdown.max(0.5)).sum(),
+            until_free: available().map(|w| w.until_free(now)).min().unwrap_or_default(),
+            // Calls start at independent times, so their ends are spread evenly over a call's time.
+            slot_wait: running / count.max(1) / count.saturating_add(1),
+            arrivals: self.arrivals,
         }
     }
 
-    /// Returns what waits and what is booked, in order.
+    /// Returns the waiting and reserved work, sorted.
     fn queued(&self) -> Vec<Queued> {
-        let queued = |e: &Entry| Queued::new(e.due, e.job.priority, e.waiting());
+        let queued = |j: &JobState| Queued::new(j.due, j.spec.priority, j.waiting_pieces());
         let waiting = self.jobs.values().map(queued);
-        let mut queued: Vec<Queued> = waiting.chain(self.bookings.values().copied()).collect();
+        let mut queued: Vec<Queued> = waiting.chain(self.reservations.values().copied()).collect();
         queued.retain(|q| q.pieces > 0);
-        queued.sort_by_key(|q| q.place);
+        queued.sort_by_key(|q| q.virtual_deadline);
         queued
     }
 }
 
-impl Entry {
-    /// Returns its place in the order.
-    pub(super) fn place(&self) -> Instant {
-        place(self.due, self.job.priority)
+impl JobState {
+    pub(super) fn virtual_deadline(&self) -> Instant {
+        virtual_deadline(self.due, self.spec.priority)
     }
 
     pub(super) fn is_waiting(&self) -> bool {
-        self.pieces.iter().any(|p| p.waits)
+        self.pieces.iter().any(|p| p.waiting)
     }
 
-    /// Tells whether none of its pieces is being done or is done.
-    fn is_idle(&self) -> bool {
-        self.pieces.iter().all(|p| p.waits && p.result.is_none())
+    /// Returns whether none of its pieces is running or done.
+    fn is_unstarted(&self) -> bool {
+        self.pieces.iter().all(|p| p.waiting && p.result.is_none())
     }
 
-    pub(super) fn waiting(&self) -> u32 {
-        u32::try_from(self.pieces.iter().filter(|p| p.waits).count()).unwrap_or(u32::MAX)
+    pub(super) fn waiting_pieces(&self) -> u32 {
+        u32::try_from(self.pieces.iter().filter(|p| p.waiting).count()).unwrap_or(u32::MAX)
     }
 
-    /// Returns when it may be done away from where it should be.
-    pub(super) fn far_at(&self) -> Option<Instant> {
-        let near = self.job.near.as_ref()?;
+    /// Returns the time from which it may run outside its preferred data centre, if it has one.
+    pub(super) fn remote_at(&self) -> Option<Instant> {
+        let near = self.spec.near.as_ref()?;
         Some(self.arrived + Duration::from_millis(near.wait_ms))
     }
 
-    /// Returns the results, once all are there.
+    /// Returns the results once all pieces are done.
     fn results(&self) -> Option<Vec<Handle>> {
         self.pieces.iter().map(|p| p.result.clone()).collect()
     }
--- a/hawthornkeel_core/src/stages/worker.rs
+++ b/hawthornkeel_core/src/stages/worker.rs
@@ -1,4 +1,4 @@
-//! Target that does pieces, as a desk sees it.
+//! Target that runs pieces, as a scheduler sees it.
 
 use std::time::Duration;
 
@@ -6,41 +6,41 @@
 use crate::stages::scheduler::CallNumber;
 use crate::time::Instant;
 
-/// Share of a new measurement in the speed of a maker.
-const SPEED_SHARE: f64 = 0.3;
+/// Weight of a new measurement in the moving average of a worker's slowdown.
+const SLOWDOWN_WEIGHT: f64 = 0.3;
 /// Pause after a first failure; doubles with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(250);
 /// Longest pause after failures.
 const MAX_PAUSE: Duration = Duration::from_secs(4);
-/// Pause after a refusal, which says that another caller holds the place.
+/// Pause after a refusal, which means that another caller occupies the target.
 const REFUSED_PAUSE: Duration = Duration::from_millis(60);
-/// Pause after a target had no room for results.
-const ROOM_PAUSE: Duration = Duration::from_millis(150);
-/// Times longer than expected from which a maker counts as slow.
-const SLOW: f64 = 2.0;
-/// Times longer than expected from which other makers go first.
-const LAGGING: f64 = 1.4;
-/// Time after which a slow maker is tried again.
+/// Pause after the target had no memory for results.
+const OUT_OF_MEMORY_PAUSE: Duration = Duration::from_millis(150);
+/// Ratio of measured to expected call time above which a worker is slow.
+const SLOW_RATIO: f64 = 2.0;
+/// Ratio of measured to expected call time above which other workers are preferred.
+const LAGGING_RATIO: f64 = 1.4;
+/// Time after which a slow worker is tried again.
 const SLOW_RETRY: Duration = Duration::from_secs(3);
 
-/// Target that does pieces.
+/// Target that runs pieces.
 #[derive(Clone, Debug)]
 pub(super) struct Worker {
     pub(super) centre: CentreName,
     /// Call in progress.
     pub(super) call: Option<CallNumber>,
-    /// When that call is expected to end.
+    /// Time at which that call is expected to end.
     pub(super) busy_until: Instant,
-    /// Time of its calls against what the document says.
-    pub(super) speed: f64,
-    /// When its last call ended.
+    /// Moving average of the ratio of measured to expected call time.
+    pub(super) slowdown: f64,
+    /// Time at which the last call ended.
     pub(super) last_end: Instant,
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
-    /// No calls before this point.
+    /// Time before which no call is started.
     paused_until: Instant,
-    /// Bytes of results that it holds.
-    pub(super) held: u64,
+    /// Size of the results that it holds, in bytes.
+    pub(super) held_bytes: u64,
 }
 
 impl Worker {
@@ -49,64 +49,64 @@
             centre,
             call: None,
             busy_until: Instant::ZERO,
-            speed: 1.0,
+            slowdown: 1.0,
             last_end: Instant::ZERO,
             failures: 0,
             paused_until: Instant::ZERO,
-            held: 0,
+            held_bytes: 0,
         }
     }
 
-    /// Tells whether it may be called at `now`.
+    /// Returns whether a call may be started at `now`.
     pub(super) fn is_free(&self, now: Instant) -> bool {
         self.call.is_none() && self.paused_until <= now
     }
 
-    /// Tells whether it counts for the pool's capacity at `now`.
-    pub(super) fn counts(&self, now: Instant) -> bool {
+    /// Returns whether it counts towards the pool's capacity at `now`.
+    pub(super) fn is_available(&self, now: Instant) -> bool {
         self.failures == 0 || self.paused_until <= now
     }
 
-    /// Tells whether it is one of those that do most of the pool's work.
-    pub(super) fn is_sound(&self, now: Instant) -> bool {
-        self.counts(now) && !self.is_slow(now)
+    /// Returns whether it is available and not slow.
+    pub(super) fn is_healthy(&self, now: Instant) -> bool {
+        self.is_available(now) && !self.is_slow(now)
     }
 
-    /// Returns the time until it may be called.
+    /// Returns the time until a call may be started.
     pub(super) fn until_free(&self, now: Instant) -> Duration {
         let busy = if self.call.is_some() { self.busy_until.since(now) } else { Duration::ZERO };
         busy.max(self.paused_until.since(now))
     }
 
-    /// Tells whether its last calls took far longer than expected.
+    /// Returns whether its recent calls took far longer than expected.
     ///
-    /// It is tried again after a while, as slowness passes.
+    /// The verdict expires, because slowness is usually temporary.
     pub(super) fn is_slow(&self, now: Instant) -> bool {
-        self.speed > SLOW && now.since(self.last_end) < SLOW_RETRY
+        self.slowdown > SLOW_RATIO && now.since(self.last_end) < SLOW_RETRY
     }
 
-    /// Tells whether its last call failed.
+    /// Returns whether its last call failed.
     pub(super) fn has_failed(&self) -> bool {
         self.failures > 0
     }
 
-    /// Tells whether its calls take notably longer than expected.
+    /// Returns whether its calls take notably longer than expected.
     pub(super) fn is_lagging(&self) -> bool {
-        self.speed > LAGGING
+        self.slowdown > LAGGING_RATIO
     }
 
-    /// Notes a call that was answered.
+    /// Records a call that was answered.
     pub(super) fn succeeded(&mut self, now: Instant, took: Duration, expected: Duration) {
         let ratio = took.as_secs_f64() / expected.as_secs_f64().max(f64::MIN_POSITIVE);
-        // A far slower call tells of a change of state, not of chance.
-        let share = if ratio > SLOW { 1.0 } else { SPEED_SHARE };
-        self.speed += (ratio - self.speed) * share;
+        // A call that is slower by this much signals a change of state rather than noise.
+        let weight = if ratio > SLOW_RATIO { 1.0 } else { SLOWDOWN_WEIGHT };
+        self.slowdown += (ratio - self.slowdown) * weight;
         self.failures = 0;
         self.call = None;
         self.last_end = now;
     }
 
-    /// Notes a call that failed.
+    /// Records a call that failed.
     pub(super) fn failed(&mut self, now: Instant) {
         let pause = FIRST_PAUSE * 2_u32.saturating_pow(self.failures.min(8));
         self.failures = self.failures.saturating_add(1);
@@ -115,19 +115,19 @@
         self.last_end = now;
     }
 
-    /// Notes a call that was refused.
+    /// Records a call that was refused.
     pub(super) fn refused(&mut self, now: Instant) {
         self.paused_until = now + REFUSED_PAUSE;
         self.call = None;
     }
 
-    /// Notes that it had no room for a result.
-    pub(super) fn crowded(&mut self, now: Instant) {
-        self.paused_until = self.paused_until.max(now + ROOM_PAUSE);
+    /// Records that it had no memory for a result.
+    pub(super) fn out_of_memory(&mut self, now: Instant) {
+        self.paused_until = self.paused_until.max(now + OUT_OF_MEMORY_PAUSE);
     }
 
-    /// Returns when it may be called again where it is paused.
-    pub(super) fn resumes(&self, now: Instant) -> Option<Instant> {
+    /// Returns the end of its pause, if it is paused and idle.
+    pub(super) fn resumes_at(&self, now: Instant) -> Option<Instant> {
         (self.call.is_none() && self.paused_until > now).then_some(self.paused_until)
     }
 }
--- a/hawthornkeel_core/src/table/access.rs
+++ b/hawthornkeel_core/src/table/access.rs
@@ -1,4 +1,4 @@
-//! Whether a caller's request may pass, by the document that the entry has.
+//! Access control for callers' requests, based on the entry's copy of the document.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,84 +8,84 @@
 use crate::table::RouteTable;
 use crate::table::route::Route;
 
-/// What a request says of itself.
+/// Parts of a request that decide whether it may proceed.
 #[derive(Clone, Copy, Debug)]
 pub struct AccessRequest<'a> {
     /// Host.
     pub host: &'a str,
     /// Path.
     pub path: &'a str,
-    /// Key, where there is one.
+    /// Key, if the request has one.
     pub key: Option<&'a str>,
 }
 
-/// How well an entry knows that its document is in force.
+/// How recently the entry's document was confirmed to be in force.
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
-    /// Time since control last confirmed it.
+    /// Time since the last confirmation by a control instance.
     pub age: Duration,
-    /// Longest time for which keys are accepted without a confirmation.
+    /// Age up to which keys are accepted.
     pub max_key_age: Duration,
-    /// Longest time for which a request is denied without a confirmation.
+    /// Age up to which requests are denied.
     pub max_denial_age: Duration,
 }
 
-/// Request that may pass.
+/// Request that may proceed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Admitted {
     /// Route.
     pub route: Arc<Route>,
-    /// Workspace of the caller, where its key is known.
+    /// Workspace of the caller, if its key is known.
     pub workspace: Option<WorkspaceName>,
-    /// Rank, zero the highest: the workspace's goes before the route's.
+    /// Priority; zero is the highest. The workspace's priority comes before the route's.
     pub priority: u16,
 }
 
-/// Why a request does not pass.
+/// Reason why a request may not proceed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denied {
-    /// The document has no route for it.
+    /// The document has no matching route.
     NoRoute,
-    /// It has no key, or an unknown one.
+    /// The request has no key, or an unknown one.
     NoKey,
-    /// The document was not confirmed for too long to tell.
+    /// The last confirmation of the document is too old to decide.
     Unsure,
 }
 
-/// Ranks of routes within one rank of workspaces.
+/// Number of route priorities within one workspace priority.
 pub const ROUTE_PRIORITIES: u16 = 16;
 
-/// Decides whether a request may pass.
+/// Decides whether a request may proceed.
 ///
 /// # Errors
-/// Fails with the reason where it may not. A document that may be outdated denies nothing: the
-/// entry can't tell.
+/// Returns the reason if it may not. A document that may be outdated does not deny a request, since
+/// a newer one might allow it: the result is [`Denied::Unsure`].
 pub fn authorize(
     table: &RouteTable,
-    claim: &AccessRequest<'_>,
-    confirmed: Freshness,
+    request: &AccessRequest<'_>,
+    freshness: Freshness,
 ) -> Result<Admitted, Denied> {
-    let sure =
-        |denied| if confirmed.age <= confirmed.max_denial_age { denied } else { Denied::Unsure };
-    let route = table.find(claim.host, claim.path).ok_or_else(|| sure(Denied::NoRoute))?;
-    let holder = claim.key.and_then(|k| table.keys.get(k));
+    let denial =
+        |denied| if freshness.age <= freshness.max_denial_age { denied } else { Denied::Unsure };
+    let route = table.find(request.host, request.path).ok_or_else(|| denial(Denied::NoRoute))?;
+    let owner = request.key.and_then(|k| table.keys.get(k));
     if table.requires_key && !route.public {
-        if holder.is_none() {
-            return Err(sure(Denied::NoKey));
+        if owner.is_none() {
+            return Err(denial(Denied::NoKey));
         }
-        // The key may have been taken away meanwhile.
-        if confirmed.age > confirmed.max_key_age {
+        // The key may have been revoked since.
+        if freshness.age > freshness.max_key_age {
             return Err(Denied::Unsure);
         }
     }
     Ok(Admitted {
-        priority: rank(holder, route),
-        workspace: holder.map(|h| h.workspace.clone()),
+        priority: priority(owner, route),
+        workspace: owner.map(|o| o.workspace.clone()),
         route: route.clone(),
     })
 }
 
-fn rank(holder: Option<&KeyOwner>, route: &Route) -> u16 {
-    let workspace = holder.map_or(0, |h| u16::from(h.priority));
+fn priority(owner: Option<&KeyOwner>, route: &Route) -> u16 {
+    let workspace = owner.map_or(0, |o| u16::from(o.priority));
     workspace * ROUTE_PRIORITIES + u16::from(route.priority).min(ROUTE_PRIORITIES - 1)
 }
--- a/hawthornkeel_core/src/table/mod.rs
+++ b/hawthornkeel_core/src/table/mod.rs
@@ -1,8 +1,8 @@
 //! Routes that an entry forwards, with the pools behind them and the callers' keys.
 //!
-//! Unlike a pipeline, a route hands a request on unchanged to one pool and the answer back as it
-//! came; stages may have to run before. A table comes from one version of a document and never
-//! changes.
+//! Unlike a pipeline, a route passes a request unchanged to one pool, and the answer back as it
+//! came; stages may have to run before. A table is built from one version of a document and is
+//! immutable afterwards.
 
 pub mod access;
 pub mod pool;
@@ -25,50 +25,50 @@
     pub version: Version,
     /// Pools by name.
     pub pools: IndexMap<PoolName, Arc<Pool>>,
-    /// Holders of keys by key; empty where callers need none.
+    /// Owners of keys by key; empty if callers need none.
     pub keys: IndexMap<Arc<str>, KeyOwner>,
     /// Whether callers need a key on routes that aren't public.
     pub requires_key: bool,
-    /// Bounds on what callers send.
+    /// Limits on what callers send.
     pub limits: Limits,
-    /// Routes of each host, those with the longest prefix first.
+    /// Routes of each host, longest prefix first.
     hosts: IndexMap<Arc<str>, Vec<Arc<Route>>>,
 }
 
-/// Workspace that holds a key.
+/// Workspace that owns a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeyOwner {
     /// Workspace.
     pub workspace: WorkspaceName,
-    /// Rank of its requests, zero the highest.
+    /// Priority of its requests; zero is the highest.
     pub priority: u8,
 }
 
-/// Bounds on what callers send.
+/// Limits on what callers send.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Limits {
-    /// Request body, in bytes at most; zero for the settings' bound.
+    /// Maximum size of a request body, in bytes; zero for the limit in the settings.
     pub max_body: usize,
 }
 
 impl RouteTable {
-    /// Creates the table of a version, without routes yet.
+    /// Creates the table of a version, without routes.
     pub fn new(version: Version, limits: Limits) -> Self {
         Self { version, limits, ..Self::default() }
     }
 
-    /// Adds a route; returns the one that has its host and prefix already, if any.
+    /// Adds a route, or returns the existing one with the same host and prefix.
     pub fn add(&mut self, route: Route) -> Option<Arc<Route>> {
         let routes = self.hosts.entry(route.host.clone()).or_default();
-        if let Some(other) = routes.iter().find(|r| r.prefix == route.prefix) {
-            return Some(other.clone());
+        if let Some(existing) = routes.iter().find(|r| r.prefix == route.prefix) {
+            return Some(existing.clone());
         }
-        let at = routes.partition_point(|r| r.prefix.len() >= route.prefix.len());
-        routes.insert(at, Arc::new(route));
+        let index = routes.partition_point(|r| r.prefix.len() >= route.prefix.len());
+        routes.insert(index, Arc::new(route));
         None
     }
 
-    /// Returns the route of a request: that with the longest prefix among its host's routes.
+    /// Returns the route with the longest prefix that matches a request.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.hosts.get(host)?;
         routes.iter().find(|r| path.starts_with(&*r.prefix))
@@ -79,7 +79,7 @@
         self.hosts.values().map(Vec::len).sum()
     }
 
-    /// Tells whether there are no routes.
+    /// Returns whether there are no routes.
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
     }
--- a/hawthornkeel_core/src/table/pool.rs
+++ b/hawthornkeel_core/src/table/pool.rs
@@ -12,56 +12,56 @@
     pub name: PoolName,
     /// Path of health checks.
     pub health_path: Arc<str>,
-    /// Connections that one target accepts from all callers together.
+    /// Number of connections that one target accepts from all callers together.
     pub max_connections: u32,
-    /// What a cold target bears, where its targets are cold after a start.
+    /// Load that a cold target can take, if its targets are cold after a start.
     pub cold: Option<ColdLimit>,
-    /// What the pool's targets do.
+    /// Workload of the pool's targets.
     pub workload: Workload,
 }
 
-/// What a cold target bears.
+/// Load that a cold target can take.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLimit {
-    /// Time that a target is cold after its start.
+    /// Time for which a target is cold after its start.
     pub duration: Duration,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
 }
 
-/// What a pool's targets do.
+/// Workload of a pool's targets.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Workload {
-    /// Answer requests.
+    /// Plain requests.
     Requests,
-    /// Generate text.
+    /// Text generation.
     Engine(EngineWorkload),
-    /// Do stages before requests, in pieces.
+    /// Stages before requests, in pieces.
     Stages(StageWorkload),
 }
 
-/// Targets that generate text; each value is for one target.
+/// Capacity of one target that generates text.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineWorkload {
-    /// Requests that run together.
+    /// Number of requests that run concurrently.
     pub slots: u32,
     /// Memory for prompts and generated text, in tokens.
     pub kv_cache_tokens: u64,
 }
 
-/// Targets that do stages in pieces; each value is for one target.
+/// Capacity and costs of one target that runs stages in pieces.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StageWorkload {
-    /// Calls in progress at once.
+    /// Number of calls that run concurrently.
     pub slots: u32,
-    /// Pieces of one call, at most.
+    /// Maximum number of pieces per call.
     pub batch_size: usize,
-    /// Time that a call takes beside its pieces.
+    /// Fixed time of a call, in addition to that of its pieces.
     pub call_overhead: Duration,
-    /// Time that a piece takes, about.
+    /// Approximate time of a piece.
     pub piece_time: Duration,
     /// Memory for results, in bytes.
     pub memory: u64,
-    /// Time that a result is kept after its call.
+    /// Time for which a result is kept after its call.
     pub result_ttl: Duration,
 }
--- a/hawthornkeel_core/src/table/route.rs
+++ b/hawthornkeel_core/src/table/route.rs
@@ -1,4 +1,4 @@
-//! One route.
+//! Routes, with their pools and stages.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,44 +13,44 @@
     pub name: RouteName,
     /// Host of the requests.
     pub host: Arc<str>,
-    /// Beginning of the paths, which ends with a slash.
+    /// Path prefix, which ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Type of the requests, which decides what may be retried.
     pub kind: RouteKind,
-    /// Longest time that a caller is kept waiting.
+    /// Longest time until a caller gets an answer.
     pub timeout: Duration,
-    /// Time within which an answer is worth its full credit.
+    /// Latency objective: the time within which an answer has its full value.
     pub objective: Duration,
-    /// Rank, zero the highest.
+    /// Priority; zero is the highest.
     pub priority: u8,
-    /// Pools with their weights, one at least.
+    /// Pools with their weights; at least one.
     pub pools: Vec<PoolWeight>,
-    /// Targets that one request may be sent to, at most.
+    /// Maximum number of targets that one request is sent to.
     pub max_attempts: u32,
-    /// Work that must be done before a request can run.
+    /// Stages that must be done before a request can run.
     pub stages: Vec<Stage>,
     /// Whether callers need no key.
     pub public: bool,
-    /// Whether requests share parts of prompts that targets keep.
+    /// Whether requests share prompt prefixes that targets cache.
     pub session_affinity: bool,
 }
 
-/// What may be repeated on a route.
+/// Type of a route's requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteKind {
     /// Requests may run more than once.
     Idempotent,
-    /// Requests may run once at most.
+    /// Requests may run at most once.
     NonIdempotent,
-    /// Answers are streams of events.
+    /// Answers are event streams.
     Stream {
-        /// Whether another target may go on after the last event that was received.
+        /// Whether another target can resume after the last event that was received.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Tells whether a request may run again after its outcome was lost.
+    /// Returns whether a request may run again after its outcome was lost.
     pub fn is_retryable(self) -> bool {
         match self {
             Self::Idempotent | Self::Stream { resumable: true } => true,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Part of a route's requests that goes to one pool.
+/// Share of a route's requests that goes to one pool.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PoolWeight {
     /// Pool.
@@ -71,35 +71,35 @@
 /// Work that must be done before a request can run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Stage {
-    /// Pool that does it.
+    /// Pool that runs it.
     pub pool: PoolName,
-    /// Positions of the stages whose results it needs.
+    /// Indices of the stages whose results it reads.
     pub after: Vec<u16>,
-    /// Size of one result, in bytes, about.
+    /// Approximate size of one result, in bytes.
     pub result_bytes: u64,
 }
 
 impl Route {
-    /// Returns the pool for a request, by a number drawn for it.
-    pub fn pick_pool(&self, draw: u64) -> Option<&PoolName> {
-        let total: u64 = self.pools.iter().map(|s| u64::from(s.weight)).sum();
-        let mut left = draw.checked_rem(total)?;
-        for share in &self.pools {
-            let weight = u64::from(share.weight);
+    /// Returns the pool for a request, selected by a hash in proportion to the weights.
+    pub fn pick_pool(&self, hash: u64) -> Option<&PoolName> {
+        let total: u64 = self.pools.iter().map(|p| u64::from(p.weight)).sum();
+        let mut left = hash.checked_rem(total)?;
+        for pool in &self.pools {
+            let weight = u64::from(pool.weight);
             if left < weight {
-                return Some(&share.pool);
+                return Some(&pool.pool);
             }
             left -= weight;
         }
         None
     }
 
-    /// Returns the positions of the stages that no other stage follows.
+    /// Returns the indices of the stages that no other stage depends on.
     pub fn final_stages(&self) -> Vec<u16> {
-        let followed = |at: u16| self.stages.iter().any(|s| s.after.contains(&at));
+        let is_followed = |index: u16| self.stages.iter().any(|s| s.after.contains(&index));
         (0..self.stages.len())
-            .filter_map(|at| u16::try_from(at).ok())
-            .filter(|a| !followed(*a))
+            .filter_map(|index| u16::try_from(index).ok())
+            .filter(|index| !is_followed(*index))
             .collect()
     }
 }
