--- a/hawthornkeel_core/tests/request_admission.rs
+++ b/hawthornkeel_core/tests/request_admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request with stages is begun, and at what pace, by what its bookings come to.
+//! Admission of requests with stages, on time or late, given the estimates of their reservations.
 
 use std::time::Duration;
 
@@ -19,73 +19,73 @@
     fresh: Duration::ZERO,
 };
 
-/// Returns two stages, the second after the first.
-fn steps() -> Vec<StageTiming> {
-    let step = |at, after| StageTiming { stage: at, after, expected: Duration::from_millis(300) };
-    vec![step(0, vec![]), step(1, vec![0])]
+/// Returns two stages, of which the second reads the results of the first.
+fn stages() -> Vec<StageTiming> {
+    let stage = |at, after| StageTiming { stage: at, after, expected: Duration::from_millis(300) };
+    vec![stage(0, vec![]), stage(1, vec![0])]
 }
 
-fn booked(drain_ms: u64, harm_ms: u64) -> Option<ReservationEstimate> {
+fn estimate(drain_ms: u64, harm_ms: u64) -> Option<ReservationEstimate> {
     Some(ReservationEstimate { drain_ms, run_ms: 200, harm_ms, slot_wait_ms: 60 })
 }
 
-fn outlook(bookings: &[Option<ReservationEstimate>]) -> Outlook {
-    let booked: IndexMap<u16, Option<ReservationEstimate>> =
-        (0..).zip(bookings.iter().copied()).collect();
-    Outlook::new(&steps(), &booked, REST)
+fn outlook(estimates: &[Option<ReservationEstimate>]) -> Outlook {
+    let by_stage: IndexMap<u16, Option<ReservationEstimate>> =
+        (0..).zip(estimates.iter().copied()).collect();
+    Outlook::new(&stages(), &by_stage, REST)
 }
 
 #[test]
-fn stages_follow_each_other() {
-    // The second drains while the first runs, and then waits for a target that is free.
-    assert_eq!(outlook(&[booked(50, 0), booked(100, 0)]).end, Duration::from_millis(740));
-    // A desk that does not answer counts with the usual time.
-    assert_eq!(outlook(&[booked(50, 0)]).end, Duration::from_millis(765));
+fn stages_run_in_sequence() {
+    // The second queue drains while the first stage runs; then the stage waits for a free target.
+    assert_eq!(outlook(&[estimate(50, 0), estimate(100, 0)]).end, Duration::from_millis(740));
+    // A stage without an estimate counts with its expected duration.
+    assert_eq!(outlook(&[estimate(50, 0)]).end, Duration::from_millis(765));
 }
 
 #[rstest]
-#[case::calm(50, 0, true, true)]
+#[case::idle(50, 0, true, true)]
 #[case::backlog(1_200, 0, false, true)]
 #[case::others_would_be_late(50, 300, false, true)]
 #[case::longer_than_callers_wait(4_000, 0, false, false)]
-fn late_work_is_begun(
+fn late_work_is_started(
     #[case] drain_ms: u64,
     #[case] harm_ms: u64,
-    #[case] prompt: bool,
+    #[case] on_time: bool,
     #[case] late: bool,
 ) {
-    let outlook = outlook(&[booked(50, 0), booked(drain_ms, harm_ms)]);
-    assert_eq!(outlook.allows(Timeliness::OnTime, &TIMES), prompt);
+    let outlook = outlook(&[estimate(50, 0), estimate(drain_ms, harm_ms)]);
+    assert_eq!(outlook.allows(Timeliness::OnTime, &TIMES), on_time);
     assert_eq!(outlook.allows(Timeliness::Late, &TIMES), late);
 }
 
 #[test]
-fn lost_stage_begins_nothing() {
-    let outlook = outlook(&[booked(50, 0), None]);
+fn unavailable_stage_rejects_request() {
+    let outlook = outlook(&[estimate(50, 0), None]);
     assert!(!outlook.allows(Timeliness::OnTime, &TIMES));
     assert!(!outlook.allows(Timeliness::Late, &TIMES));
     assert_eq!(outlook.retry_after(Timeliness::Late, &TIMES), Duration::from_secs(5));
 }
 
 #[test]
-fn return_is_known() {
-    let outlook = outlook(&[booked(50, 0), booked(3_500, 0)]);
-    let early = Times { fresh: Duration::from_millis(900), ..TIMES };
-    assert!(outlook.retry_after(Timeliness::Late, &TIMES) < early.fresh);
-    assert_eq!(outlook.retry_after(Timeliness::Late, &early), early.fresh);
+fn retry_after_first_attempt() {
+    let outlook = outlook(&[estimate(50, 0), estimate(3_500, 0)]);
+    let first = Times { fresh: Duration::from_millis(900), ..TIMES };
+    assert!(outlook.retry_after(Timeliness::Late, &TIMES) < first.fresh);
+    assert_eq!(outlook.retry_after(Timeliness::Late, &first), first.fresh);
 }
 
 #[test]
-fn late_goes_behind_every_rank() {
+fn late_work_has_lowest_priority() {
     assert!(Timeliness::Late.priority(0) > Timeliness::OnTime.priority(300));
     assert!(Timeliness::Late.priority(0) < Timeliness::Late.priority(1));
 }
 
 #[rstest]
-#[case::patient(6_000, false)]
-#[case::impatient(5_120, false)]
-#[case::came_back(4_900, true)]
-fn first_tries_differ(#[case] left_ms: u64, #[case] known: bool) {
-    let fresh = first_attempt_slack(Duration::from_millis(6_000), Duration::from_millis(left_ms));
-    assert_eq!(fresh.is_zero(), known);
+#[case::long_timeout(6_000, false)]
+#[case::short_timeout(5_120, false)]
+#[case::retrying(4_900, true)]
+fn retries_are_recognised(#[case] left_ms: u64, #[case] recognised: bool) {
+    let slack = first_attempt_slack(Duration::from_millis(6_000), Duration::from_millis(left_ms));
+    assert_eq!(slack.is_zero(), recognised);
 }
--- a/hawthornkeel_core/tests/route_access.rs
+++ b/hawthornkeel_core/tests/route_access.rs
@@ -1,4 +1,4 @@
-//! Requests at the gate: routes, keys, and a document that may be outdated.
+//! Access control: routes, keys, and documents that may be outdated.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -42,12 +42,12 @@
     assert!(table.add(route("long", "/lots/open/", false)).is_none());
     assert!(table.add(route("public", "/status/", true)).is_none());
     table.requires_key = true;
-    let holder = KeyOwner { workspace: WorkspaceName::new("makers"), priority: 1 };
-    table.keys.insert(Arc::from("key"), holder);
+    let owner = KeyOwner { workspace: WorkspaceName::new("makers"), priority: 1 };
+    table.keys.insert(Arc::from("key"), owner);
     table
 }
 
-fn confirmed(age_ms: u64) -> Freshness {
+fn freshness(age_ms: u64) -> Freshness {
     Freshness {
         age: Duration::from_millis(age_ms),
         max_key_age: Duration::from_millis(3_000),
@@ -55,7 +55,7 @@
     }
 }
 
-fn claim<'a>(path: &'a str, key: Option<&'a str>) -> AccessRequest<'a> {
+fn request<'a>(path: &'a str, key: Option<&'a str>) -> AccessRequest<'a> {
     AccessRequest { host: "a.example", path, key }
 }
 
@@ -64,11 +64,11 @@
 #[case::long("/lots/open/1", "long")]
 #[case::exact("/lots/open/", "long")]
 fn longest_prefix(#[case] path: &str, #[case] name: &str) {
-    let pass = authorize(&table(), &claim(path, Some("key")), confirmed(0)).unwrap();
-    assert_eq!(pass.route.name.as_str(), name);
-    assert_eq!(pass.workspace, Some(WorkspaceName::new("makers")));
-    // The workspace's rank goes before the route's.
-    assert_eq!(pass.priority, 18);
+    let admitted = authorize(&table(), &request(path, Some("key")), freshness(0)).unwrap();
+    assert_eq!(admitted.route.name.as_str(), name);
+    assert_eq!(admitted.workspace, Some(WorkspaceName::new("makers")));
+    // The workspace's priority comes before the route's.
+    assert_eq!(admitted.priority, 18);
 }
 
 #[rstest]
@@ -78,23 +78,23 @@
 #[case::maybe_new_route("/lot/", Some("key"), 1_600, Denied::Unsure)]
 #[case::maybe_new_key("/lots/", Some("other"), 1_600, Denied::Unsure)]
 #[case::maybe_revoked("/lots/", Some("key"), 3_001, Denied::Unsure)]
-fn turned_away(
+fn is_denied(
     #[case] path: &str,
     #[case] key: Option<&str>,
     #[case] age_ms: u64,
     #[case] denied: Denied,
 ) {
-    assert_eq!(authorize(&table(), &claim(path, key), confirmed(age_ms)), Err(denied));
+    assert_eq!(authorize(&table(), &request(path, key), freshness(age_ms)), Err(denied));
 }
 
 #[test]
-fn public_behind_cut() {
-    let pass = authorize(&table(), &claim("/status/", None), confirmed(60_000)).unwrap();
-    assert_eq!((pass.route.name.as_str(), pass.workspace), ("public", None));
+fn public_route_without_control() {
+    let admitted = authorize(&table(), &request("/status/", None), freshness(60_000)).unwrap();
+    assert_eq!((admitted.route.name.as_str(), admitted.workspace), ("public", None));
 }
 
 #[test]
-fn same_place() {
+fn duplicate_prefix() {
     let other = table().add(route("twin", "/lots/", false)).unwrap();
     assert_eq!(other.name.as_str(), "short");
 }
--- a/hawthornkeel_core/tests/scheduler_harness/mod.rs
+++ b/hawthornkeel_core/tests/scheduler_harness/mod.rs
@@ -1,4 +1,4 @@
-//! Desk with targets that do calls on a virtual clock.
+//! Scheduler with targets that run its calls on a virtual clock.
 
 #![allow(dead_code, clippy::indexing_slicing, clippy::unwrap_used)]
 
@@ -34,9 +34,9 @@
     result_ttl: Duration::from_secs(4),
 };
 
-/// Work that a test wants done.
+/// Job of a test.
 #[derive(Clone, Debug)]
-pub struct Wanted {
+pub struct JobSpec {
     pub number: u32,
     pub pieces: u32,
     pub priority: u16,
@@ -46,129 +46,129 @@
     pub near: Option<Locality>,
 }
 
-/// Returns work that nothing is special about.
-pub fn job(number: u32, pieces: u32) -> Wanted {
-    Wanted { number, pieces, priority: 0, bytes: 1_000, due_ms: 2_000, end_ms: 5_000, near: None }
+/// Returns a job with default settings.
+pub fn job(number: u32, pieces: u32) -> JobSpec {
+    JobSpec { number, pieces, priority: 0, bytes: 1_000, due_ms: 2_000, end_ms: 5_000, near: None }
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Mood {
-    Well,
-    Silent,
+enum Behaviour {
+    Normal,
+    Hanging,
     Failing(CallFailure),
     Slow(f64),
 }
 
-/// Desk, its targets and what came of its work.
-pub struct Site {
-    desk: Scheduler,
+/// Scheduler, its targets and the outcomes of its jobs.
+pub struct Harness {
+    scheduler: Scheduler,
     now: u64,
-    moods: Vec<Mood>,
+    behaviours: Vec<Behaviour>,
     running: BTreeMap<(u64, u64), (CallNumber, String, Vec<Item>)>,
     calls: Vec<Vec<u32>>,
-    offered: BTreeMap<u32, u64>,
-    ended: BTreeMap<u32, (u64, JobOutcome)>,
+    submitted: BTreeMap<u32, u64>,
+    finished: BTreeMap<u32, (u64, JobOutcome)>,
     freed: usize,
-    /// Time of a piece against what the pool says.
-    times: f64,
+    /// Ratio of the time of a piece to that of the pool.
+    piece_scale: f64,
 }
 
-impl Site {
-    /// Creates a site with targets in data centres `c0`, `c1` and so on.
+impl Harness {
+    /// Creates a harness with targets in data centres `c0`, `c1` and so on.
     pub fn new(targets: usize) -> Self {
-        let mut site = Self {
-            desk: Scheduler::new(POOL),
+        let mut harness = Self {
+            scheduler: Scheduler::new(POOL),
             now: 1_000,
-            moods: vec![Mood::Well; targets],
+            behaviours: vec![Behaviour::Normal; targets],
             running: BTreeMap::new(),
             calls: Vec::new(),
-            offered: BTreeMap::new(),
-            ended: BTreeMap::new(),
+            submitted: BTreeMap::new(),
+            finished: BTreeMap::new(),
             freed: 0,
-            times: 1.0,
+            piece_scale: 1.0,
         };
         let info = |n: usize| WorkerInfo {
             name: TargetName::new(&n.to_string()),
             centre: CentreName::new(&format!("c{n}")),
         };
-        site.input(Input::Workers((0..targets).map(info).collect()));
-        site
+        harness.input(Input::Workers((0..targets).map(info).collect()));
+        harness
     }
 
-    pub fn silence(&mut self, target: usize) {
-        self.moods[target] = Mood::Silent;
+    pub fn hang(&mut self, target: usize) {
+        self.behaviours[target] = Behaviour::Hanging;
     }
 
     pub fn fail(&mut self, target: usize, failure: CallFailure) {
-        self.moods[target] = Mood::Failing(failure);
+        self.behaviours[target] = Behaviour::Failing(failure);
     }
 
-    pub fn slow(&mut self, target: usize, times: f64) {
-        self.moods[target] = Mood::Slow(times);
+    pub fn slow(&mut self, target: usize, factor: f64) {
+        self.behaviours[target] = Behaviour::Slow(factor);
     }
 
-    /// Has pieces take so many times as long as the pool says.
-    pub fn pieces_take(&mut self, times: f64) {
-        self.times = times;
+    /// Sets the ratio of the time of a piece to that of the pool.
+    pub fn scale_piece_time(&mut self, factor: f64) {
+        self.piece_scale = factor;
     }
 
-    pub fn heal(&mut self, target: usize) {
-        self.moods[target] = Mood::Well;
+    pub fn recover(&mut self, target: usize) {
+        self.behaviours[target] = Behaviour::Normal;
     }
 
-    /// Returns the time after which a booking of work would begin.
-    pub fn drain(&mut self, wanted: &Wanted) -> Duration {
-        Duration::from_millis(self.booked(wanted).drain_ms)
+    /// Reserves capacity and returns the time until the job would start.
+    pub fn drain(&mut self, spec: &JobSpec) -> Duration {
+        Duration::from_millis(self.reserve(spec).drain_ms)
     }
 
-    /// Returns what a booking of work comes to.
-    pub fn booked(&mut self, wanted: &Wanted) -> ReservationEstimate {
-        let booking = Reservation {
-            id: id(wanted.number),
-            pieces: wanted.pieces,
-            priority: wanted.priority,
-            due_ms: wanted.due_ms,
+    /// Reserves capacity and returns the estimate.
+    pub fn reserve(&mut self, spec: &JobSpec) -> ReservationEstimate {
+        let reservation = Reservation {
+            id: id(spec.number),
+            pieces: spec.pieces,
+            priority: spec.priority,
+            due_ms: spec.due_ms,
         };
-        self.desk.reserve(self.time(), &booking).unwrap()
+        self.scheduler.reserve(self.time(), &reservation).unwrap()
     }
 
-    /// Books work, and gives the booking up where it would be late.
-    pub fn book(&mut self, wanted: &Wanted) -> bool {
-        let booked = self.booked(wanted);
-        let fits = booked.drain_ms + booked.run_ms <= wanted.due_ms && booked.harm_ms == 0;
+    /// Reserves capacity; cancels the reservation if the job would be late or make others late.
+    pub fn try_reserve(&mut self, spec: &JobSpec) -> bool {
+        let estimate = self.reserve(spec);
+        let fits = estimate.drain_ms + estimate.run_ms <= spec.due_ms && estimate.harm_ms == 0;
         if !fits {
-            self.input(Input::Cancel(id(wanted.number)));
+            self.input(Input::Cancel(id(spec.number)));
         }
         fits
     }
 
-    pub fn offer(&mut self, wanted: Wanted) {
-        self.offered.insert(wanted.number, self.now);
+    pub fn submit(&mut self, spec: JobSpec) {
+        self.submitted.insert(spec.number, self.now);
         self.input(Input::Submit(Job {
-            id: id(wanted.number),
-            pieces: wanted.pieces,
-            priority: wanted.priority,
+            id: id(spec.number),
+            pieces: spec.pieces,
+            priority: spec.priority,
             key: Some(Arc::from("key")),
             inputs: Arc::from([]),
-            bytes: wanted.bytes,
-            due_ms: wanted.due_ms,
-            end_ms: wanted.end_ms,
-            near: wanted.near,
+            bytes: spec.bytes,
+            due_ms: spec.due_ms,
+            end_ms: spec.end_ms,
+            near: spec.near,
         }));
     }
 
-    pub fn withdraw(&mut self, number: u32) {
+    pub fn cancel(&mut self, number: u32) {
         self.input(Input::Cancel(id(number)));
     }
 
-    /// Gives up the results of work that is done.
+    /// Releases the results of a finished job.
     pub fn release(&mut self, number: u32) {
-        if let Some((_, JobOutcome::Done(results))) = self.ended.get(&number).cloned() {
+        if let Some((_, JobOutcome::Done(results))) = self.finished.get(&number).cloned() {
             self.input(Input::Release(results));
         }
     }
 
-    /// Runs for a time in milliseconds.
+    /// Advances the clock by a time in milliseconds.
     pub fn run(&mut self, millis: u64) {
         for _ in 0..millis {
             self.now += 1;
@@ -177,21 +177,23 @@
                     break;
                 }
                 let (call, target, items) = entry.remove();
-                let mood = self.moods[target.parse::<usize>().unwrap()];
-                self.input(match mood {
-                    Mood::Failing(failure) => Input::Failed(call, failure),
-                    Mood::Silent => Input::Failed(call, CallFailure::Lost),
-                    Mood::Well | Mood::Slow(_) => Input::Answered(call, done(&target, &items)),
+                let behaviour = self.behaviours[target.parse::<usize>().unwrap()];
+                self.input(match behaviour {
+                    Behaviour::Failing(failure) => Input::Failed(call, failure),
+                    Behaviour::Hanging => Input::Failed(call, CallFailure::Lost),
+                    Behaviour::Normal | Behaviour::Slow(_) => {
+                        Input::Answered(call, done(&target, &items))
+                    }
                 });
             }
-            if self.desk.next_tick().is_some_and(|d| d <= self.time()) {
+            if self.scheduler.next_tick().is_some_and(|d| d <= self.time()) {
                 self.input(Input::Tick);
             }
         }
     }
 
     pub fn outcome(&self, number: u32) -> Option<&JobOutcome> {
-        self.ended.get(&number).map(|(_, o)| o)
+        self.finished.get(&number).map(|(_, o)| o)
     }
 
     pub fn is_done(&self, number: u32) -> bool {
@@ -199,21 +201,21 @@
     }
 
     pub fn took(&self, number: u32) -> Duration {
-        Duration::from_millis(self.ended[&number].0 - self.offered[&number])
+        Duration::from_millis(self.finished[&number].0 - self.submitted[&number])
     }
 
-    /// Returns the data centre in which work was done.
-    pub fn place(&self, number: u32) -> &str {
+    /// Returns the data centre in which a job ran.
+    pub fn centre_of(&self, number: u32) -> &str {
         let Some(JobOutcome::Done(results)) = self.outcome(number) else { return "nowhere" };
         results[0].split('/').next().unwrap()
     }
 
-    /// Returns the numbers of pieces of all calls.
+    /// Returns the number of pieces of each call.
     pub fn sizes(&self) -> Vec<usize> {
         self.calls.iter().map(Vec::len).collect()
     }
 
-    /// Returns the first work of each call.
+    /// Returns the first job of each call.
     pub fn order(&self) -> Vec<u32> {
         self.calls.iter().map(|c| c[0]).collect()
     }
@@ -222,8 +224,8 @@
         self.freed
     }
 
-    pub fn held(&self) -> u64 {
-        self.desk.summary().held_bytes
+    pub fn held_bytes(&self) -> u64 {
+        self.scheduler.summary().held_bytes
     }
 
     fn time(&self) -> Instant {
@@ -231,18 +233,18 @@
     }
 
     fn input(&mut self, input: Input) {
-        for action in self.desk.handle(self.time(), input) {
+        for action in self.scheduler.handle(self.time(), input) {
             match action {
                 Action::Run { call, worker, items, timeout } => {
                     let number = |i: &Item| i.job.request.parse().unwrap();
                     self.calls.push(items.iter().map(number).collect());
-                    let usual = POOL.call_overhead
-                        + POOL.piece_time.mul_f64(self.times) * items.len() as u32;
-                    let took = match self.moods[worker.as_str().parse::<usize>().unwrap()] {
-                        Mood::Well => usual,
-                        Mood::Silent => timeout,
-                        Mood::Failing(_) => Duration::from_millis(2),
-                        Mood::Slow(times) => usual.mul_f64(times),
+                    let normal = POOL.call_overhead
+                        + POOL.piece_time.mul_f64(self.piece_scale) * items.len() as u32;
+                    let took = match self.behaviours[worker.as_str().parse::<usize>().unwrap()] {
+                        Behaviour::Normal => normal,
+                        Behaviour::Hanging => timeout,
+                        Behaviour::Failing(_) => Duration::from_millis(2),
+                        Behaviour::Slow(factor) => normal.mul_f64(factor),
                     };
                     let end = self.now + took.as_millis() as u64;
                     self.running.insert((end, call.0), (call, worker.to_string(), items));
@@ -250,7 +252,7 @@
                 Action::Free { results, .. } => self.freed += results.len(),
                 Action::Reply { job, outcome } => {
                     let number = job.request.parse().unwrap();
-                    self.ended.insert(number, (self.now, outcome));
+                    self.finished.insert(number, (self.now, outcome));
                 }
             }
         }
--- a/hawthornkeel_core/tests/scheduler_partitions.rs
+++ b/hawthornkeel_core/tests/scheduler_partitions.rs
@@ -1,4 +1,4 @@
-//! Which desk does a pool's work for a request, and which targets it has.
+//! Assignment of requests and targets to schedulers.
 
 use hawthornkeel_core::fleet::ListedTarget;
 use hawthornkeel_core::fleet::TargetList;
@@ -16,8 +16,8 @@
     CentreName::new(name)
 }
 
-/// Returns a board with `count` targets in turn over the data centres a, b and c.
-fn board(count: u16) -> Balancer {
+/// Returns a balancer with `count` targets that are spread evenly over data centres a, b and c.
+fn balancer(count: u16) -> Balancer {
     let listed = |number: u16| ListedTarget {
         name: TargetName::new(&format!("t{number}")),
         pool: pool(),
@@ -27,55 +27,55 @@
         leaving: false,
         cold_ms: 0,
     };
-    let mut board = Balancer::default();
+    let mut balancer = Balancer::default();
     let targets = (0..count).map(listed).collect();
-    board.update(Instant::from_millis(1_000), &TargetList { targets, mark: 1 });
-    board
+    balancer.update(Instant::from_millis(1_000), &TargetList { targets, mark: 1 });
+    balancer
 }
 
 #[test]
-fn small_pools_keep_one_desk() {
-    let board = board(8);
-    let desk = board.scheduler_for(&pool(), Some(&centre("a")), "request");
-    assert_eq!((desk.centre.clone(), desk.part), (None, 0));
-    assert_eq!(board.workers(&desk).len(), 8);
-    assert_eq!(board.alternative_centre(&[&pool()], Some(&centre("a")), "request"), None);
+fn small_pools_use_one_scheduler() {
+    let balancer = balancer(8);
+    let scheduler = balancer.scheduler_for(&pool(), Some(&centre("a")), "request");
+    assert_eq!((scheduler.centre.clone(), scheduler.part), (None, 0));
+    assert_eq!(balancer.workers(&scheduler).len(), 8);
+    assert_eq!(balancer.alternative_centre(&[&pool()], Some(&centre("a")), "request"), None);
 }
 
 #[test]
-fn large_pools_stay_near() {
-    let board = board(15);
+fn large_pools_stay_local() {
+    let balancer = balancer(15);
     for request in ["one", "two", "three"] {
-        let desk = board.scheduler_for(&pool(), Some(&centre("b")), request);
-        assert_eq!(desk.centre, Some(centre("b")));
-        let makers = board.workers(&desk);
-        assert!(makers.len() == 5 && makers.iter().all(|m| m.centre == centre("b")));
-        let other = board.alternative_centre(&[&pool()], Some(&centre("b")), request);
-        assert!(other.is_some_and(|o| o != centre("b")));
+        let scheduler = balancer.scheduler_for(&pool(), Some(&centre("b")), request);
+        assert_eq!(scheduler.centre, Some(centre("b")));
+        let workers = balancer.workers(&scheduler);
+        assert!(workers.len() == 5 && workers.iter().all(|w| w.centre == centre("b")));
+        let alternative = balancer.alternative_centre(&[&pool()], Some(&centre("b")), request);
+        assert!(alternative.is_some_and(|c| c != centre("b")));
     }
 }
 
 #[test]
-fn many_targets_share_desks() {
-    let board = board(60);
-    let desk = |n: u32| board.scheduler_for(&pool(), Some(&centre("a")), &n.to_string());
-    let parts: std::collections::BTreeSet<u16> = (0..200).map(|n| desk(n).part).collect();
+fn many_targets_are_partitioned() {
+    let balancer = balancer(60);
+    let scheduler = |n: u32| balancer.scheduler_for(&pool(), Some(&centre("a")), &n.to_string());
+    let parts: std::collections::BTreeSet<u16> = (0..200).map(|n| scheduler(n).part).collect();
     assert_eq!(parts.len(), 4);
-    let mut makers: Vec<_> = (0..200).map(desk).flat_map(|d| board.workers(&d)).collect();
-    makers.sort_by(|a, b| a.name.cmp(&b.name));
-    makers.dedup();
-    assert_eq!(makers.len(), 20);
+    let mut workers: Vec<_> = (0..200).map(scheduler).flat_map(|s| balancer.workers(&s)).collect();
+    workers.sort_by(|a, b| a.name.cmp(&b.name));
+    workers.dedup();
+    assert_eq!(workers.len(), 20);
 }
 
 #[test]
-fn lost_centre_is_avoided() {
-    let mut board = board(15);
-    board.set_taken_out(Instant::from_millis(2_000), vec![centre("b")]);
+fn taken_out_centre_is_avoided() {
+    let mut balancer = balancer(15);
+    balancer.set_taken_out(Instant::from_millis(2_000), vec![centre("b")]);
     for number in 0..100 {
         let request = number.to_string();
-        let desk = board.scheduler_for(&pool(), Some(&centre("b")), &request);
-        assert!(desk.centre.is_some_and(|c| c != centre("b")));
-        let other = board.alternative_centre(&[&pool()], Some(&centre("a")), &request);
-        assert_eq!(other, Some(centre("c")));
+        let scheduler = balancer.scheduler_for(&pool(), Some(&centre("b")), &request);
+        assert!(scheduler.centre.is_some_and(|c| c != centre("b")));
+        let alternative = balancer.alternative_centre(&[&pool()], Some(&centre("a")), &request);
+        assert_eq!(alternative, Some(centre("c")));
     }
 }
--- a/hawthornkeel_core/tests/shared_retries.rs
+++ b/hawthornkeel_core/tests/shared_retries.rs
@@ -1,4 +1,4 @@
-//! Budget of repeats: what all entries send together stays within it, in any window.
+//! Retry budget: the retries of all entries together stay within it in every window.
 
 use std::time::Duration;
 
@@ -14,19 +14,19 @@
 #[case::few(8, 40)]
 #[case::many(69, 5)]
 #[case::idle(8, 0)]
-fn sum_in_window(#[case] entries: usize, #[case] requests_a_window: u64) {
-    let mut all = vec![RetryBucket::default(); entries];
-    let (mut repeats, mut requests) = (Vec::new(), Vec::new());
+fn budget_is_kept(#[case] entries: usize, #[case] requests_per_window: u64) {
+    let mut buckets = vec![RetryBucket::default(); entries];
+    let (mut retries, mut requests) = (Vec::new(), Vec::new());
     for ms in (0..40_000).step_by(20) {
         let now = Instant::from_millis(ms);
-        for one in &mut all {
-            if requests_a_window > 0 && ms % (10_000 / requests_a_window) < 20 {
-                one.record_request(&BUDGET, entries);
+        for bucket in &mut buckets {
+            if requests_per_window > 0 && ms % (10_000 / requests_per_window) < 20 {
+                bucket.record_request(&BUDGET, entries);
                 requests.push(ms);
             }
-            // Every entry wants to repeat all the time.
-            if one.try_take(now, &BUDGET, entries) {
-                repeats.push(ms);
+            // Every entry wants to retry all the time.
+            if bucket.try_take(now, &BUDGET, entries) {
+                retries.push(ms);
             }
         }
     }
@@ -34,8 +34,8 @@
         |times: &[u64], from| times.iter().filter(|t| (from..from + 10_000).contains(*t)).count();
     for from in (0..30_000).step_by(100) {
         let allowed = BUDGET.ratio * within(&requests, from) as f64 + BUDGET.slack;
-        let sent = within(&repeats, from);
+        let sent = within(&retries, from);
         assert!(sent as f64 <= allowed, "{sent} of {allowed} from {from} ms");
     }
-    assert!(!repeats.is_empty());
+    assert!(!retries.is_empty());
 }
--- a/hawthornkeel_core/tests/stage_scheduler.rs
+++ b/hawthornkeel_core/tests/stage_scheduler.rs
@@ -1,4 +1,4 @@
-//! Desk of a pool's stages on a virtual clock: bursts, slow and lost targets, room and places.
+//! Scheduler on a virtual clock: bursts, slow and lost targets, memory limits and locality.
 
 mod scheduler_harness;
 
@@ -11,266 +11,263 @@
 use hawthornkeel_core::stages::scheduler::CallFailure;
 use rstest::rstest;
 
-use crate::scheduler_harness::Site;
+use crate::scheduler_harness::Harness;
 use crate::scheduler_harness::job;
 
 #[test]
 fn pieces_share_calls() {
-    let mut site = Site::new(1);
+    let mut harness = Harness::new(1);
     for number in 0..9 {
-        site.offer(job(number, 1));
+        harness.submit(job(number, 1));
     }
-    site.run(2_000);
-    // The first found the target free; the others waited for it and went together.
-    assert_eq!(site.sizes(), [1, 8]);
-    assert!((0..9).all(|n| site.is_done(n)));
+    harness.run(2_000);
+    // The first job found the target free; the others waited and share the next call.
+    assert_eq!(harness.sizes(), [1, 8]);
+    assert!((0..9).all(|n| harness.is_done(n)));
 }
 
 #[test]
 fn urgent_goes_first() {
-    let mut site = Site::new(1);
-    site.offer(job(0, 8));
-    let late = |n| scheduler_harness::Wanted { due_ms: 3_000, ..job(n, 8) };
-    site.offer(late(1));
-    site.offer(scheduler_harness::Wanted { due_ms: 700, ..job(2, 8) });
-    site.run(2_000);
-    assert_eq!(site.order(), [0, 2, 1]);
+    let mut harness = Harness::new(1);
+    harness.submit(job(0, 8));
+    let late = |n| scheduler_harness::JobSpec { due_ms: 3_000, ..job(n, 8) };
+    harness.submit(late(1));
+    harness.submit(scheduler_harness::JobSpec { due_ms: 700, ..job(2, 8) });
+    harness.run(2_000);
+    assert_eq!(harness.order(), [0, 2, 1]);
 }
 
 #[test]
-fn burst_turned_away() {
-    let mut site = Site::new(4);
-    let (mut taken, mut refused) = (Vec::new(), 0);
-    // Twice what the four targets can do, for three seconds.
+fn excess_load_is_rejected() {
+    let mut harness = Harness::new(4);
+    let (mut accepted, mut refused) = (Vec::new(), 0);
+    // Twice the capacity of the four targets, for three seconds.
     for number in 0..600 {
-        let wanted = scheduler_harness::Wanted { due_ms: 900, ..job(number, 1) };
-        if site.book(&wanted) {
-            site.offer(wanted);
-            taken.push(number);
+        let spec = scheduler_harness::JobSpec { due_ms: 900, ..job(number, 1) };
+        if harness.try_reserve(&spec) {
+            harness.submit(spec);
+            accepted.push(number);
         } else {
             refused += 1;
         }
-        site.run(5);
+        harness.run(5);
     }
-    site.run(3_000);
-    let late = taken.iter().filter(|n| site.took(**n) > Duration::from_millis(1_000)).count();
-    assert!(taken.iter().all(|n| site.is_done(*n)));
+    harness.run(3_000);
+    let late = accepted.iter().filter(|n| harness.took(**n) > Duration::from_millis(1_000)).count();
+    assert!(accepted.iter().all(|n| harness.is_done(*n)));
     assert!(refused > 150, "{refused}");
-    assert!(late * 50 <= taken.len(), "{late} of {}", taken.len());
-    // The targets were not left idle for it.
-    assert!(taken.len() > 250, "{}", taken.len());
+    assert!(late * 50 <= accepted.len(), "{late} of {}", accepted.len());
+    // Most of the capacity was used.
+    assert!(accepted.len() > 250, "{}", accepted.len());
 }
 
 #[test]
-fn bookings_count() {
-    let mut site = Site::new(1);
-    let wanted = |n| scheduler_harness::Wanted { due_ms: 900, ..job(n, 8) };
-    let booked = (0..10).filter(|n| site.book(&wanted(*n))).count();
-    // Nothing has been offered, and still there is no room for more.
+fn reservations_use_capacity() {
+    let mut harness = Harness::new(1);
+    let spec = |n| scheduler_harness::JobSpec { due_ms: 900, ..job(n, 8) };
+    let booked = (0..10).filter(|n| harness.try_reserve(&spec(*n))).count();
+    // No job has been submitted, but the reservations use up the capacity.
     assert!((2..=4).contains(&booked), "{booked}");
-    site.withdraw(0);
-    assert!(site.book(&wanted(20)));
+    harness.cancel(0);
+    assert!(harness.try_reserve(&spec(20)));
 }
 
 #[test]
 fn lost_call_done_elsewhere() {
-    let mut site = Site::new(2);
-    site.silence(0);
-    site.offer(job(0, 2));
-    site.offer(job(1, 2));
-    site.run(1_500);
-    assert!(site.is_done(0) && site.is_done(1));
+    let mut harness = Harness::new(2);
+    harness.hang(0);
+    harness.submit(job(0, 2));
+    harness.submit(job(1, 2));
+    harness.run(1_500);
+    assert!(harness.is_done(0) && harness.is_done(1));
     assert!(
-        site.took(0) < Duration::from_millis(1_000) && site.took(1) < Duration::from_millis(1_000)
+        harness.took(0) < Duration::from_millis(1_000)
+            && harness.took(1) < Duration::from_millis(1_000)
     );
 }
 
 #[rstest]
 #[case::refused(CallFailure::Refused, 34)]
 #[case::unreached(CallFailure::Unreached, 4)]
-fn call_that_did_not_run_is_no_try(#[case] failure: CallFailure, #[case] most: usize) {
-    let mut site = Site::new(1);
-    site.fail(0, failure);
-    site.offer(job(0, 2));
-    site.run(2_000);
-    assert_eq!(site.outcome(0), None);
-    // One that is full is tried every 60 ms, one that is gone after a pause that doubles.
-    assert!(site.sizes().len() <= most, "{}", site.sizes().len());
-    site.heal(0);
-    site.run(2_500);
-    assert!(site.is_done(0));
+fn unrun_call_is_no_attempt(#[case] failure: CallFailure, #[case] most: usize) {
+    let mut harness = Harness::new(1);
+    harness.fail(0, failure);
+    harness.submit(job(0, 2));
+    harness.run(2_000);
+    assert_eq!(harness.outcome(0), None);
+    // A full target is tried every 60 ms, an unreachable one after pauses that double.
+    assert!(harness.sizes().len() <= most, "{}", harness.sizes().len());
+    harness.recover(0);
+    harness.run(2_500);
+    assert!(harness.is_done(0));
 }
 
 #[test]
 fn failing_target_ends_job() {
-    let mut site = Site::new(1);
-    site.fail(0, CallFailure::Lost);
-    site.offer(scheduler_harness::Wanted { end_ms: 30_000, ..job(0, 1) });
-    site.run(20_000);
-    assert_eq!(site.outcome(0), Some(&JobOutcome::Failed));
+    let mut harness = Harness::new(1);
+    harness.fail(0, CallFailure::Lost);
+    harness.submit(scheduler_harness::JobSpec { end_ms: 30_000, ..job(0, 1) });
+    harness.run(20_000);
+    assert_eq!(harness.outcome(0), Some(&JobOutcome::Failed));
 }
 
 #[test]
-fn late_at_once() {
-    let mut site = Site::new(1);
-    site.silence(0);
-    site.offer(job(0, 8));
-    site.offer(scheduler_harness::Wanted { end_ms: 400, ..job(1, 8) });
-    // It is told as soon as no call could end in time, not at its end.
-    site.run(300);
-    assert_eq!(site.outcome(1), Some(&JobOutcome::Late));
+fn late_job_fails_early() {
+    let mut harness = Harness::new(1);
+    harness.hang(0);
+    harness.submit(job(0, 8));
+    harness.submit(scheduler_harness::JobSpec { end_ms: 400, ..job(1, 8) });
+    // It is reported as soon as no call could end in time, before its end time.
+    harness.run(300);
+    assert_eq!(harness.outcome(1), Some(&JobOutcome::Late));
 }
 
 #[test]
-fn room_is_kept() {
-    let mut site = Site::new(1);
-    let large = |n| scheduler_harness::Wanted { bytes: 3_000_000, ..job(n, 5) };
+fn memory_limit_is_kept() {
+    let mut harness = Harness::new(1);
+    let large = |n| scheduler_harness::JobSpec { bytes: 3_000_000, ..job(n, 5) };
     for number in 0..3 {
-        site.offer(large(number));
-        site.run(1);
+        harness.submit(large(number));
+        harness.run(1);
     }
-    site.run(1_500);
-    assert!(site.held() <= 41_000_000);
-    let done = [0, 1, 2].map(|n| site.is_done(n));
-    assert_eq!(done, [true, true, false], "{:?}", site.sizes());
-    site.release(0);
-    site.run(600);
-    assert!(site.is_done(2));
+    harness.run(1_500);
+    assert!(harness.held_bytes() <= 41_000_000);
+    let done = [0, 1, 2].map(|n| harness.is_done(n));
+    assert_eq!(done, [true, true, false], "{:?}", harness.sizes());
+    harness.release(0);
+    harness.run(600);
+    assert!(harness.is_done(2));
 }
 
 #[test]
-fn waits_for_near() {
-    let mut site = Site::new(3);
+fn waits_for_local_target() {
+    let mut harness = Harness::new(3);
     let near = |wait_ms| Some(Locality { centre: CentreName::new("c0"), wait_ms });
-    site.offer(scheduler_harness::Wanted { near: near(400), ..job(0, 8) });
-    site.offer(scheduler_harness::Wanted { near: near(400), ..job(1, 8) });
-    site.offer(scheduler_harness::Wanted { near: near(100), ..job(2, 8) });
-    site.run(1_000);
-    assert_eq!((site.place(0), site.place(1)), ("c0", "c0"));
-    assert_ne!(site.place(2), "c0");
+    harness.submit(scheduler_harness::JobSpec { near: near(400), ..job(0, 8) });
+    harness.submit(scheduler_harness::JobSpec { near: near(400), ..job(1, 8) });
+    harness.submit(scheduler_harness::JobSpec { near: near(100), ..job(2, 8) });
+    harness.run(1_000);
+    assert_eq!((harness.centre_of(0), harness.centre_of(1)), ("c0", "c0"));
+    assert_ne!(harness.centre_of(2), "c0");
 }
 
 #[test]
-fn slow_target_left_out() {
-    let mut site = Site::new(2);
-    site.slow(0, 5.0);
+fn slow_target_is_avoided() {
+    let mut harness = Harness::new(2);
+    harness.slow(0, 5.0);
     for number in 0..40 {
-        site.offer(job(number, 1));
-        site.run(100);
+        harness.submit(job(number, 1));
+        harness.run(100);
     }
-    site.run(2_000);
-    let slow = (0..40).filter(|n| site.took(*n) > Duration::from_millis(900)).count();
+    harness.run(2_000);
+    let slow = (0..40).filter(|n| harness.took(*n) > Duration::from_millis(900)).count();
     assert!(slow <= 4, "{slow}");
 }
 
 #[test]
-fn withdrawn_results_freed() {
-    let mut site = Site::new(1);
-    site.offer(job(0, 2));
-    site.run(1_000);
-    assert_eq!(site.freed(), 0);
-    site.withdraw(0);
-    assert_eq!(site.freed(), 2);
+fn cancelled_results_are_freed() {
+    let mut harness = Harness::new(1);
+    harness.submit(job(0, 2));
+    harness.run(1_000);
+    assert_eq!(harness.freed(), 0);
+    harness.cancel(0);
+    assert_eq!(harness.freed(), 2);
 }
 
 #[test]
-fn late_work_waits() {
-    let mut site = Site::new(1);
-    site.offer(job(0, 8));
-    // Late already, and with the earlier due.
-    let late = scheduler_harness::Wanted {
+fn late_work_goes_last() {
+    let mut harness = Harness::new(1);
+    harness.submit(job(0, 8));
+    // Late already, with an earlier due time.
+    let late = scheduler_harness::JobSpec {
         due_ms: 0,
         priority: Timeliness::Late.priority(0),
         ..job(1, 8)
     };
-    site.offer(late);
-    site.offer(scheduler_harness::Wanted { due_ms: 1_200, ..job(2, 8) });
-    site.run(2_000);
-    assert_eq!(site.order(), [0, 2, 1]);
-    // It makes no new work wait.
-    site.offer(job(3, 8));
-    site.offer(scheduler_harness::Wanted {
+    harness.submit(late);
+    harness.submit(scheduler_harness::JobSpec { due_ms: 1_200, ..job(2, 8) });
+    harness.run(2_000);
+    assert_eq!(harness.order(), [0, 2, 1]);
+    // It does not delay new work.
+    harness.submit(job(3, 8));
+    harness.submit(scheduler_harness::JobSpec {
         due_ms: 0,
         priority: Timeliness::Late.priority(0),
         ..job(4, 8)
     });
-    assert!(site.book(&scheduler_harness::Wanted { due_ms: 900, ..job(5, 8) }));
+    assert!(harness.try_reserve(&scheduler_harness::JobSpec { due_ms: 900, ..job(5, 8) }));
 }
 
 #[test]
-fn late_work_expects_what_is_left() {
-    let booked = |flow_ms: Option<u64>| {
-        let mut site = Site::new(2);
+fn late_work_gets_residual_capacity() {
+    let drain = |flow_ms: Option<u64>| {
+        let mut harness = Harness::new(2);
         for number in 0..flow_ms.map_or(0, |f| 2_000 / f) {
-            site.offer(job(u32::try_from(number).unwrap(), 1));
-            site.run(flow_ms.unwrap());
+            harness.submit(job(u32::try_from(number).unwrap(), 1));
+            harness.run(flow_ms.unwrap());
         }
         let late =
-            scheduler_harness::Wanted { priority: Timeliness::Late.priority(0), ..job(5_000, 1) };
-        site.drain(&late)
+            scheduler_harness::JobSpec { priority: Timeliness::Late.priority(0), ..job(5_000, 1) };
+        harness.drain(&late)
     };
-    // Work in time that takes nine tenths of the targets leaves late work little.
-    assert!(
-        booked(Some(18)) > booked(Some(60)) * 2,
-        "{:?} {:?}",
-        booked(Some(18)),
-        booked(Some(60))
-    );
-    assert_eq!(booked(None), Duration::ZERO);
+    // Timely work that uses nine tenths of the capacity leaves little for late work.
+    assert!(drain(Some(18)) > drain(Some(60)) * 2, "{:?} {:?}", drain(Some(18)), drain(Some(60)));
+    assert_eq!(drain(None), Duration::ZERO);
 }
 
 #[test]
 fn estimates_learn_piece_times() {
-    let mut site = Site::new(2);
-    let one = |site: &mut Site, number| {
-        let booked = site.booked(&job(number, 8));
-        Duration::from_millis(booked.run_ms)
+    let mut harness = Harness::new(2);
+    let run_time = |harness: &mut Harness, number| {
+        let estimate = harness.reserve(&job(number, 8));
+        Duration::from_millis(estimate.run_ms)
     };
-    let before = one(&mut site, 9_000);
+    let before = run_time(&mut harness, 9_000);
     assert_eq!(before, Duration::from_millis(278));
-    // Pieces of this kind take half as long again, as their inputs are fetched as well.
-    site.pieces_take(1.5);
+    // Pieces of this kind take 1.5 times as long, because they also fetch their inputs.
+    harness.scale_piece_time(1.5);
     for number in 0..200 {
-        site.offer(job(number, 8));
-        site.run(250);
+        harness.submit(job(number, 8));
+        harness.run(250);
     }
-    let after = one(&mut site, 9_001);
+    let after = run_time(&mut harness, 9_001);
     assert!(after > Duration::from_millis(325), "{after:?}");
 }
 
 #[test]
-fn busy_targets_take_turns() {
-    let mut site = Site::new(3);
-    assert_eq!(site.booked(&job(900, 8)).slot_wait_ms, 0);
+fn busy_targets_have_slot_wait() {
+    let mut harness = Harness::new(3);
+    assert_eq!(harness.reserve(&job(900, 8)).slot_wait_ms, 0);
     for number in 0..3 {
-        site.offer(job(number, 8));
+        harness.submit(job(number, 8));
     }
-    // Three calls of 278 ms that end at any time: the first after a quarter, about.
-    assert_eq!(site.booked(&job(901, 8)).slot_wait_ms, 69);
+    // Three calls of 278 ms that end at independent times: the first after about a quarter.
+    assert_eq!(harness.reserve(&job(901, 8)).slot_wait_ms, 69);
 }
 
 #[rstest]
 #[case::routes_of_one_workspace(0, 1)]
 #[case::routes_of_a_later_workspace(16, 17)]
 #[case::workspaces_before_routes(2, 16)]
-fn higher_ranks_go_first(#[case] high: u16, #[case] low: u16) {
-    let mut site = Site::new(1);
-    site.offer(job(0, 8));
-    site.offer(scheduler_harness::Wanted { priority: low, ..job(1, 8) });
-    site.offer(scheduler_harness::Wanted { priority: high, due_ms: 2_300, ..job(2, 8) });
-    site.run(2_000);
-    assert_eq!(site.order(), [0, 2, 1]);
+fn higher_priorities_go_first(#[case] high: u16, #[case] low: u16) {
+    let mut harness = Harness::new(1);
+    harness.submit(job(0, 8));
+    harness.submit(scheduler_harness::JobSpec { priority: low, ..job(1, 8) });
+    harness.submit(scheduler_harness::JobSpec { priority: high, due_ms: 2_300, ..job(2, 8) });
+    harness.run(2_000);
+    assert_eq!(harness.order(), [0, 2, 1]);
 }
 
 #[test]
-fn lower_ranks_leave_room() {
-    let mut site = Site::new(2);
-    // Work of the highest rank takes two thirds of the targets.
+fn lower_priorities_leave_capacity() {
+    let mut harness = Harness::new(2);
+    // Work of the highest priority uses two thirds of the capacity.
     for number in 0..80 {
-        site.offer(job(number, 1));
-        site.run(25);
+        harness.submit(job(number, 1));
+        harness.run(25);
     }
-    let mut drain = |priority| site.drain(&scheduler_harness::Wanted { priority, ..job(5_000, 1) });
+    let mut drain =
+        |priority| harness.drain(&scheduler_harness::JobSpec { priority, ..job(5_000, 1) });
     let (high, low) = (drain(0), drain(1));
     assert!(low > high * 2, "{high:?} {low:?}");
 }
