--- a/hawthornkeel/src/trial.rs
+++ b/hawthornkeel/src/trial.rs
@@ -13,7 +13,7 @@
 use hawthornkeel_core::ids::Version;
 use hawthornkeel_core::lease::LeaseSettings;
 use hawthornkeel_core::names::WorkspaceName;
-use hawthornkeel_core::routing::types::Liveness;
+use hawthornkeel_core::routing::types::Lifecycle;
 use hawthornkeel_core::routing::types::TargetInfo;
 use indexmap::IndexMap;
 
@@ -66,9 +66,9 @@
 
 fn wiring() -> Wiring {
     let lease = LeaseSettings {
-        period: LEASE_PERIOD,
-        renew: LEASE_RENEW,
-        grant: GRANT,
+        lease_duration: LEASE_PERIOD,
+        renew_interval: LEASE_RENEW,
+        grant_duration: GRANT,
         ..LeaseSettings::default()
     };
     let claims = ClaimStore::Local(Rc::new(LocalState::default()));
@@ -108,7 +108,7 @@
                 address: Arc::from(server.address().to_string()),
                 pool: pool.name.clone(),
                 centre: CENTRE.into(),
-                liveness: Liveness::Live,
+                lifecycle: Lifecycle::Live,
             });
             monoio::spawn(server.serve(builtin::handle));
         }
@@ -121,7 +121,7 @@
     let workspace = document.workspaces.first().map_or("", |w| w.name.as_str());
     let mut text = String::from("Call a pipeline with:\n");
     for pipeline in &document.pipelines {
-        let key = if pipeline.has_unrepeatable() { " -H 'Idempotency-Key: first'" } else { "" };
+        let key = if pipeline.has_non_idempotent() { " -H 'Idempotency-Key: first'" } else { "" };
         let _ = writeln!(
             text,
             "  curl -sS http://{{address}}/v1/pipelines/{} \\\n    -H 'Authorization: Bearer \
