--- a/hawthornkeel_core/src/lease/issuer.rs
+++ b/hawthornkeel_core/src/lease/issuer.rs
@@ -1,4 +1,4 @@
-//! Issuer: hands out grants for calls to cold targets while its member holds the lease.
+//! Issuer: issues grants for calls to cold targets while its member holds the lease.
 
 use indexmap::IndexMap;
 
@@ -15,39 +15,41 @@
 use crate::names::TargetName;
 use crate::time::Instant;
 
-/// Message of an issuer to an entry.
+/// Message from an issuer to an entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct IssuerOutput {
-    /// Entry that the message goes to.
+    /// Entry that receives the message.
     pub to: MemberId,
     /// Message to send.
     pub message: GrantMessage,
 }
 
-/// Issuer of one data centre's grants; every lease voter has one and the holder's is active.
+/// Issuer of grants for the targets of one data centre.
+///
+/// Every lease voter has one, but only the lease holder's is active.
 #[derive(Debug)]
 pub struct Issuer {
     centre: CentreName,
     pools: IndexMap<PoolName, Pool>,
-    records: IndexMap<TargetName, TargetGrants>,
-    /// Win of the lease that the records belong to.
+    targets: IndexMap<TargetName, TargetGrants>,
+    /// Lease term that `targets` belongs to.
     term: u64,
     next_number: u64,
 }
 
 impl Issuer {
-    /// Creates an issuer that knows no target.
+    /// Creates an issuer without pools and targets.
     pub fn new(centre: CentreName) -> Self {
-        let (pools, records) = (IndexMap::new(), IndexMap::new());
-        Self { centre, pools, records, term: 0, next_number: 0 }
+        let (pools, targets) = (IndexMap::new(), IndexMap::new());
+        Self { centre, pools, targets, term: 0, next_number: 0 }
     }
 
-    /// Takes the document's pools, whose limits bound the grants.
+    /// Applies a new document, whose pools limit the number of grants.
     pub fn apply_document(&mut self, document: &Document) {
         self.pools = document.pools.iter().map(|p| (p.name.clone(), p.clone())).collect();
     }
 
-    /// Takes an entry's message; nothing happens unless `holder` holds the lease.
+    /// Handles an entry's message. It is ignored unless `holder` holds the lease.
     pub fn handle(
         &mut self,
         now: Instant,
@@ -55,13 +57,13 @@
         from: &MemberId,
         message: &GrantMessage,
     ) -> Vec<IssuerOutput> {
-        if !self.follow_lease(now, holder) {
+        if !self.update_term(now, holder) {
             return Vec::new();
         }
         match message {
             GrantMessage::Request { entry, number, target, pool } => {
-                let record = self.records.entry(target.clone()).or_default();
-                record.request(now, entry, *number, pool);
+                let grants = self.targets.entry(target.clone()).or_default();
+                grants.request(now, entry, *number, pool);
                 self.issue(now, holder, target)
             }
             GrantMessage::Release { grant, target, outcome, .. }
@@ -72,86 +74,86 @@
                 out
             }
             GrantMessage::Suspect { target, incarnation, doubt } => {
-                let Some(record) = self.records.get_mut(target) else {
+                let Some(grants) = self.targets.get_mut(target) else {
                     return Vec::new();
                 };
-                record.suspect(*incarnation, *doubt);
-                let others = record.members().filter(|m| *m != from);
+                grants.suspect(*incarnation, *doubt);
+                let others = grants.members().filter(|m| *m != from);
                 others.map(|m| IssuerOutput { to: m.clone(), message: message.clone() }).collect()
             }
             GrantMessage::Vouch { target, incarnation } => {
-                self.records.entry(target.clone()).or_default().vouch(from, *incarnation);
+                self.targets.entry(target.clone()).or_default().vouch(from, *incarnation);
                 Vec::new()
             }
             _ => Vec::new(),
         }
     }
 
-    /// Frees slots of expired grants and hands them out; to be called every 100 ms or so.
+    /// Reissues the slots of expired grants. Call this about every 100 ms.
     pub fn tick(&mut self, now: Instant, holder: &Holder) -> Vec<IssuerOutput> {
-        if !self.follow_lease(now, holder) {
+        if !self.update_term(now, holder) {
             return Vec::new();
         }
-        let waited = self.records.iter().filter(|(_, r)| r.has_waiters());
-        let targets: Vec<TargetName> = waited.map(|(name, _)| name.clone()).collect();
+        let waiting = self.targets.iter().filter(|(_, g)| g.has_waiters());
+        let targets: Vec<TargetName> = waiting.map(|(name, _)| name.clone()).collect();
         targets.iter().flat_map(|t| self.issue(now, holder, t)).collect()
     }
 
-    /// Returns the announcement that goes to all entries at each renewal of the lease.
+    /// Returns the announcement for all entries, to be sent at each renewal of the lease.
     pub fn announce(&self, now: Instant, holder: &Holder) -> Option<GrantMessage> {
         let (issuer, term) = (holder.id().clone(), holder.term());
         let centre = self.centre.clone();
         holder.holds(now).then_some(GrantMessage::Announce { centre, issuer, term })
     }
 
-    /// Forgets what an earlier win of the lease knew; returns whether the lease is held.
-    fn follow_lease(&mut self, now: Instant, holder: &Holder) -> bool {
+    /// Drops the state of an earlier lease term, and returns whether the lease is held.
+    fn update_term(&mut self, now: Instant, holder: &Holder) -> bool {
         if !holder.holds(now) {
             return false;
         }
         if self.term != holder.term() {
             self.term = holder.term();
-            self.records.clear();
+            self.targets.clear();
         }
         true
     }
 
-    /// Hands out the free slots of a target to the entries that wait for them.
+    /// Issues grants for the free slots of a target to the entries that wait for them.
     fn issue(&mut self, now: Instant, holder: &Holder, target: &TargetName) -> Vec<IssuerOutput> {
         let mut out = Vec::new();
-        let Some(record) = self.records.get_mut(target) else {
+        let Some(grants) = self.targets.get_mut(target) else {
             return out;
         };
-        let Some(pool) = self.pools.get(record.pool()) else {
+        let Some(pool) = self.pools.get(grants.pool()) else {
             return out;
         };
         if !holder.may_issue(now) {
             return out;
         }
-        let mut granted = record.repeated();
-        while let Some(new) = record.grant(now, holder, pool, self.next_number) {
+        let mut issued = grants.resent();
+        while let Some(grant) = grants.grant(now, holder, pool, self.next_number) {
             self.next_number += 1;
-            granted.push(new);
+            issued.push(grant);
         }
-        for one in granted {
-            let message = one.message(holder.id(), target, holder.settings().grant_duration);
-            out.push(IssuerOutput { to: one.entry, message });
+        for grant in issued {
+            let message = grant.message(holder.id(), target, holder.settings().grant_duration);
+            out.push(IssuerOutput { to: grant.entry, message });
         }
         out
     }
 
-    /// Takes a grant back.
+    /// Releases a grant, and returns the message that its target is warm if the call proves it.
     fn release(
         &mut self,
         target: &TargetName,
         grant: &GrantId,
         outcome: GrantOutcome,
     ) -> Vec<IssuerOutput> {
-        let Some(record) = self.records.get_mut(target) else {
+        let Some(grants) = self.targets.get_mut(target) else {
             return Vec::new();
         };
-        let warm_after = self.pools.get(record.pool()).map_or(u32::MAX, |p| p.warm_after);
-        let Some(released) = record.release(grant.number, outcome, warm_after) else {
+        let warm_after = self.pools.get(grants.pool()).map_or(u32::MAX, |p| p.warm_after);
+        let Some(released) = grants.release(grant.number, outcome, warm_after) else {
             return Vec::new();
         };
         if !released.warm {
--- a/hawthornkeel_core/src/lease/message.rs
+++ b/hawthornkeel_core/src/lease/message.rs
@@ -1,4 +1,4 @@
-//! Messages of the lease and of grants for calls to cold targets.
+//! Messages about leases, and about grants for calls to cold targets.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use crate::names::PoolName;
 use crate::names::TargetName;
 
-/// One run of an instance: a restarted instance is another member.
+/// Identity of one run of an instance. A restarted instance is a different member.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct MemberId {
     /// Name of the instance.
     pub name: InstanceName,
-    /// Number drawn at random at each start.
+    /// Random number generated at each start.
     pub boot: u64,
 }
 
@@ -27,76 +27,77 @@
     }
 }
 
-/// Message between a holder, or one that wants to be, and the voters of its data centre.
+/// Message between a lease holder or candidate and the voters of its data centre.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum VoteMessage {
-    /// Asks a voter for its vote, or to renew it.
+    /// Requests the vote of a voter, or its renewal.
     Ask {
-        /// Member that asks.
+        /// Member that requests the vote.
         holder: MemberId,
-        /// Number of the asking round; rises with each.
+        /// Number of the round, which increases with each.
         round: u64,
     },
-    /// Answers `Ask`.
+    /// Replies to `Ask`.
     Reply {
-        /// Member that asked.
+        /// Member that requested the vote.
         holder: MemberId,
         /// Name of the voter.
         voter: InstanceName,
-        /// Round of the ask.
+        /// Round of the request.
         round: u64,
-        /// Whether the vote is given for one lease period.
+        /// Whether the vote is granted for one lease duration.
         given: bool,
     },
-    /// Gives the vote back, on a planned stop or after a round that won too few votes.
+    /// Releases the vote, on a planned stop or after a round without a quorum.
     Resign {
-        /// Member that resigns.
+        /// Member that releases the vote.
         holder: MemberId,
-        /// Last round whose vote is given back.
+        /// Last round whose vote is released.
         round: u64,
     },
 }
 
-/// Identity of a grant: unique over issuers and entries.
+/// Identity of a grant, unique across all issuers.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct GrantId {
     /// Member that issued the grant.
     pub issuer: MemberId,
-    /// Number at the issuer.
+    /// Number of the grant at its issuer.
     pub number: u64,
 }
 
-/// What became of a call that was made under a grant.
+/// Outcome of a call that was made under a grant.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum GrantOutcome {
     /// No call was made.
     Unused,
-    /// The target answered in full.
+    /// The target sent a complete answer.
     Answered {
-        /// Incarnation that the answer named.
+        /// Incarnation that the answer reported.
         incarnation: Option<Incarnation>,
-        /// Times that the entry has seen connections to the target break.
+        /// Number of connections to the target that the entry has seen break.
         losses: u32,
     },
-    /// The call failed and no longer runs at the target.
+    /// The call failed and is no longer running on the target.
     Failed,
-    /// The call may still run at the target: the slot stays taken until the grant expires.
+    /// The call may still be running on the target. The slot stays occupied until the grant
+    /// expires.
     Unknown,
 }
 
-/// Why a target is suspected to have turned cold.
+/// Reason why a target is suspected to be cold.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum SuspectReason {
-    /// A connection broke: an answer of the same incarnation clears the doubt.
+    /// A connection broke. An answer of the same incarnation clears the suspicion.
     Restart,
-    /// The target turned slow or failed: it has to prove itself again.
+    /// The target became slow or failed. It must warm up again.
     Overload,
 }
 
 /// Message between an entry and the issuer of a data centre.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum GrantMessage {
-    /// Tells entries who issues grants; sent at each renewal of the lease.
+    /// Announces the issuer of grants to the entries. Sent at each renewal of the lease.
     Announce {
         /// Data centre of the targets.
         centre: CentreName,
@@ -105,29 +106,29 @@
         /// Number of times that the member has won the lease.
         term: u64,
     },
-    /// Asks for one call to a target.
+    /// Requests a grant for one call to a target.
     Request {
-        /// Entry that asks.
+        /// Entry that requests the grant.
         entry: MemberId,
-        /// Number at the entry; rises with each request.
+        /// Number of the request at the entry, which increases with each.
         number: u64,
         /// Target to be called.
         target: TargetName,
         /// Pool of the target.
         pool: PoolName,
     },
-    /// Allows one call.
+    /// Grants one call.
     Granted {
         /// Number of the request.
         number: u64,
-        /// Identity to release the grant with.
+        /// Identity of the grant, needed to release it.
         grant: GrantId,
         /// Target to be called.
         target: TargetName,
-        /// Time from the sending of the request until the call must have ended.
+        /// Time by which the call must have ended, measured from the sending of the request.
         lasts: Duration,
     },
-    /// Gives a grant back.
+    /// Releases a grant.
     Release {
         /// Identity of the grant.
         grant: GrantId,
@@ -135,10 +136,10 @@
         entry: MemberId,
         /// Target that was called.
         target: TargetName,
-        /// What became of the call.
+        /// Outcome of the call.
         outcome: GrantOutcome,
     },
-    /// Answers the release of an answered call to a target that counts as warm.
+    /// Reports that a target is warm, in reply to the release of a grant whose call was answered.
     Warm {
         /// Identity of the released grant.
         grant: GrantId,
@@ -147,16 +148,17 @@
         /// Incarnation that is warm.
         incarnation: Option<Incarnation>,
     },
-    /// Tells the issuer, and the issuer the entries, that a target may have turned cold.
+    /// Reports that a target may have become cold: from an entry to the issuer, which forwards it
+    /// to the other entries.
     Suspect {
-        /// Target that may be cold.
+        /// Target that is suspected.
         target: TargetName,
-        /// Incarnation that was known before.
+        /// Last known incarnation.
         incarnation: Option<Incarnation>,
-        /// Why it is suspected.
+        /// Reason for the suspicion.
         doubt: SuspectReason,
     },
-    /// Tells a new issuer that an incarnation of a target is warm.
+    /// Reports to a new issuer that an incarnation of a target is warm.
     Vouch {
         /// Target that is warm.
         target: TargetName,
--- a/hawthornkeel_core/src/lease/mod.rs
+++ b/hawthornkeel_core/src/lease/mod.rs
@@ -1,9 +1,10 @@
-//! Lease by a quorum of the voters of a data centre, for sends to cold targets.
+//! Quorum lease per data centre, which controls calls to cold targets.
 //!
-//! Each data centre has a fixed set of lease voters. At most one instance, the holder, has the
-//! votes of a quorum at any time, and only the holder hands out grants for calls to the data
-//! centre's cold targets. No clocks are compared: each side counts durations on its own clock, the
-//! receiver of a permission always from the time at which it sent its request.
+//! Each data centre has a fixed set of lease voters. At any time at most one instance, the holder,
+//! has the votes of a quorum, and only the holder issues grants for calls to the data centre's cold
+//! targets. Timestamps of different instances are never compared: each side measures durations on
+//! its own clock, and the receiver of a vote or grant measures from the time at which it sent its
+//! request.
 
 pub mod holder;
 pub mod issuer;
--- a/hawthornkeel_core/src/lease/settings.rs
+++ b/hawthornkeel_core/src/lease/settings.rs
@@ -5,11 +5,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Settings of leases and grants; the same at all instances of a fleet.
+/// Settings of leases and grants. They must be the same on all instances of a fleet.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseSettings {
-    /// Time for which a vote is given.
+    /// Time for which a vote is valid.
     #[serde(rename = "period")]
     pub lease_duration: Duration,
     /// Time between renewals of the lease.
@@ -18,13 +18,13 @@
     /// Longest time from a grant's request to the end of its call.
     #[serde(rename = "grant")]
     pub grant_duration: Duration,
-    /// Time after which an unanswered grant request is sent again.
+    /// Time after which an unanswered grant request is resent.
     #[serde(rename = "resend")]
     pub resend_timeout: Duration,
-    /// Time after which an unused grant is given back.
+    /// Time after which an unused grant is released.
     #[serde(rename = "unused")]
     pub unused_timeout: Duration,
-    /// Share by which the clocks of two instances may run apart, in parts per thousand.
+    /// Maximum difference of the clock rates of two instances, in parts per thousand.
     #[serde(rename = "drift")]
     pub drift_permille: u32,
 }
@@ -43,8 +43,9 @@
 }
 
 impl LeaseSettings {
-    /// Returns how long a giver must regard `span` as running, given the drift of clocks.
-    pub fn with_drift(&self, span: Duration) -> Duration {
-        span + span * self.drift_permille / 1000
+    /// Returns how long the issuer of a vote or grant must treat it as valid if the receiver may
+    /// use it for `duration` on its own clock.
+    pub fn with_drift(&self, duration: Duration) -> Duration {
+        duration + duration * self.drift_permille / 1000
     }
 }
--- a/hawthornkeel_core/src/lease/target_grants.rs
+++ b/hawthornkeel_core/src/lease/target_grants.rs
@@ -1,4 +1,4 @@
-//! What an issuer knows of one target: answers, grants in use and entries that wait for one.
+//! State of an issuer for one target: answers, active grants and entries that wait for a grant.
 
 use std::time::Duration;
 
@@ -17,47 +17,48 @@
 use crate::names::TargetName;
 use crate::time::Instant;
 
-/// Time for which a waiting request is kept unless it is sent again.
-const WAITER_AGE: Duration = Duration::from_secs(1);
+/// Time after which a waiting request is dropped unless it is resent.
+const WAITER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Grant in use.
+/// Grant that is in use.
 #[derive(Clone, Debug)]
-struct InUse {
+struct ActiveGrant {
     entry: MemberId,
     request: u64,
-    until: Instant,
-    /// Epoch of the record at which the grant was given.
+    expires_at: Instant,
+    /// Epoch of the target at which the grant was issued.
     epoch: u64,
-    /// Whether the entry asked again, so that it hasn't heard of the grant.
-    repeat: bool,
+    /// Whether the entry resent its request, because it has not received the grant.
+    resend: bool,
 }
 
-/// Answers that one entry got of a target that doesn't name its incarnation.
+/// Answers without an incarnation that one entry received from a target.
 ///
-/// Another entry's answers may be those of an earlier process, and nobody could tell.
+/// They are counted per entry: answers that another entry received may be from an earlier process
+/// of the target, which can't be detected without an incarnation.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct AnswerCount {
     losses: u32,
     answers: u32,
 }
 
-/// Request that waits for a slot.
+/// Grant request that waits for a free slot.
 #[derive(Clone, Copy, Debug)]
-struct Waiter {
+struct WaitingRequest {
     request: u64,
-    heard: Instant,
+    received_at: Instant,
 }
 
-/// Grant that was just given.
+/// Grant that was just issued.
 #[derive(Clone, Debug)]
-pub(crate) struct Granted {
+pub(crate) struct IssuedGrant {
     pub entry: MemberId,
     request: u64,
     number: u64,
 }
 
-impl Granted {
-    /// Returns the message that tells the entry.
+impl IssuedGrant {
+    /// Returns the message for the entry.
     pub fn message(&self, issuer: &MemberId, target: &TargetName, lasts: Duration) -> GrantMessage {
         let grant = GrantId { issuer: issuer.clone(), number: self.number };
         GrantMessage::Granted { number: self.request, grant, target: target.clone(), lasts }
@@ -66,29 +67,29 @@
 
 /// Grant that was just released.
 #[derive(Clone, Debug)]
-pub(crate) struct Released {
+pub(crate) struct ReleasedGrant {
     pub entry: MemberId,
     pub incarnation: Option<Incarnation>,
-    /// Whether the answer proves that the target is warm.
+    /// Whether the target now counts as warm.
     pub warm: bool,
 }
 
-/// What an issuer knows of one target.
+/// State of an issuer for one target.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TargetGrants {
     pool: PoolName,
     incarnation: Option<Incarnation>,
     answers: u32,
-    /// Answers without an incarnation, by entry.
-    seen: IndexMap<MemberId, Seen>,
-    /// Whether a vouch stands in for answers of the incarnation.
+    /// Number of answers without an incarnation, by entry.
+    unnamed_answers: IndexMap<MemberId, AnswerCount>,
+    /// Whether an entry vouched for the incarnation, which replaces the count of answers.
     vouched: bool,
-    /// Rises when answers of calls made before no longer count.
+    /// Increases when answers to calls made before no longer count.
     epoch: u64,
-    in_use: IndexMap<u64, InUse>,
-    waiters: IndexMap<MemberId, Waiter>,
-    /// Last request of each entry that was granted.
-    served: IndexMap<MemberId, u64>,
+    active: IndexMap<u64, ActiveGrant>,
+    waiters: IndexMap<MemberId, WaitingRequest>,
+    /// Last granted request of each entry.
+    last_granted: IndexMap<MemberId, u64>,
     members: IndexSet<MemberId>,
 }
 
@@ -98,130 +99,134 @@
         &self.pool
     }
 
-    /// Returns the entries that asked for the target or vouched for it.
+    /// Returns the entries that requested grants for the target or vouched for it.
     pub fn members(&self) -> impl Iterator<Item = &MemberId> {
         self.members.iter()
     }
 
-    /// Tells whether entries wait for a slot.
+    /// Returns whether any entry waits for a slot.
     pub fn has_waiters(&self) -> bool {
         !self.waiters.is_empty()
     }
 
-    /// Takes a request; a repeated one is answered by its first grant as long as that is in use.
+    /// Adds a request. A resent one gets its first grant again as long as that is in use.
     pub fn request(&mut self, now: Instant, entry: &MemberId, request: u64, pool: &PoolName) {
         self.pool = pool.clone();
         self.members.insert(entry.clone());
-        if self.served.get(entry).is_some_and(|last| request <= *last) {
-            let mut own = self.in_use.values_mut();
-            if let Some(use_) = own.find(|u| u.entry == *entry && u.request == request) {
-                use_.repeat = true;
+        if self.last_granted.get(entry).is_some_and(|last| request <= *last) {
+            let mut own = self.active.values_mut();
+            if let Some(grant) = own.find(|g| g.entry == *entry && g.request == request) {
+                grant.resend = true;
             }
             return;
         }
-        let waiter = self.waiters.entry(entry.clone()).or_insert(Waiter { request, heard: now });
+        let waiter = self
+            .waiters
+            .entry(entry.clone())
+            .or_insert(WaitingRequest { request, received_at: now });
         if request >= waiter.request {
-            *waiter = Waiter { request, heard: now };
+            *waiter = WaitingRequest { request, received_at: now };
         }
     }
 
-    /// Gives a slot to the entry that waits longest, where one is free.
+    /// Grants a free slot, if there is one, to the entry that has waited longest.
     pub fn grant(
         &mut self,
         now: Instant,
         holder: &Holder,
         pool: &Pool,
         number: u64,
-    ) -> Option<Granted> {
-        self.in_use.retain(|_, u| now < u.until);
-        self.waiters.retain(|_, w| now.since(w.heard) < WAITER_AGE);
-        if self.in_use.len() >= pool.cold_limit as usize {
+    ) -> Option<IssuedGrant> {
+        self.active.retain(|_, g| now < g.expires_at);
+        self.waiters.retain(|_, w| now.since(w.received_at) < WAITER_TIMEOUT);
+        if self.active.len() >= pool.cold_limit as usize {
             return None;
         }
         let (entry, waiter) = self.waiters.shift_remove_index(0)?;
         let settings = holder.settings();
-        let until = now + settings.with_drift(settings.grant_duration);
+        let expires_at = now + settings.with_drift(settings.grant_duration);
         let request = waiter.request;
         let epoch = self.epoch;
-        let in_use = InUse { entry: entry.clone(), request, until, epoch, repeat: false };
-        self.in_use.insert(number, in_use);
-        self.served.insert(entry.clone(), request);
-        Some(Granted { entry, request, number })
+        let grant = ActiveGrant { entry: entry.clone(), request, expires_at, epoch, resend: false };
+        self.active.insert(number, grant);
+        self.last_granted.insert(entry.clone(), request);
+        Some(IssuedGrant { entry, request, number })
     }
 
-    /// Returns the grants that entries asked for twice, so that they are told again.
-    pub fn repeated(&mut self) -> Vec<Granted> {
+    /// Returns the grants whose requests were resent, so that they are sent again.
+    pub fn resent(&mut self) -> Vec<IssuedGrant> {
         let mut out = Vec::new();
-        for (number, in_use) in self.in_use.iter_mut().filter(|(_, u)| u.repeat) {
-            in_use.repeat = false;
-            let entry = in_use.entry.clone();
-            out.push(Granted { entry, request: in_use.request, number: *number });
+        for (number, grant) in self.active.iter_mut().filter(|(_, g)| g.resend) {
+            grant.resend = false;
+            let entry = grant.entry.clone();
+            out.push(IssuedGrant { entry, request: grant.request, number: *number });
         }
         out
     }
 
-    /// Takes a grant back; `None` where it is not in use.
+    /// Releases a grant. Returns `None` if it is not active or its call may still be running.
     pub fn release(
         &mut self,
         number: u64,
         outcome: GrantOutcome,
         warm_after: u32,
-    ) -> Option<Released> {
+    ) -> Option<ReleasedGrant> {
         if outcome == GrantOutcome::Unknown {
             return None;
         }
-        let in_use = self.in_use.shift_remove(&number)?;
-        let entry = in_use.entry.clone();
-        let mut released = Released { entry: in_use.entry, incarnation: None, warm: false };
+        let grant = self.active.shift_remove(&number)?;
+        let entry = grant.entry.clone();
+        let mut released = ReleasedGrant { entry: grant.entry, incarnation: None, warm: false };
         match outcome {
             GrantOutcome::Answered { incarnation: Some(incarnation), .. }
-                if in_use.epoch == self.epoch =>
+                if grant.epoch == self.epoch =>
             {
-                self.answered(incarnation);
+                self.record_answer(incarnation);
                 released.incarnation = Some(incarnation);
                 released.warm = self.vouched || self.answers >= warm_after;
             }
-            GrantOutcome::Answered { incarnation: None, losses } if in_use.epoch == self.epoch => {
-                released.warm = self.answered_unnamed(entry, losses) >= warm_after;
+            GrantOutcome::Answered { incarnation: None, losses } if grant.epoch == self.epoch => {
+                released.warm = self.record_unnamed_answer(entry, losses) >= warm_after;
             }
-            GrantOutcome::Failed => self.forget(),
+            GrantOutcome::Failed => self.reset_answers(),
             _ => {}
         }
         Some(released)
     }
 
-    /// Counts an answer; one of another incarnation starts the count again.
-    fn answered(&mut self, incarnation: Incarnation) {
+    /// Counts an answer. If it is from another incarnation, the count restarts.
+    fn record_answer(&mut self, incarnation: Incarnation) {
         let same = self.incarnation == Some(incarnation);
         if !same && (self.answers > 0 || self.vouched) {
-            self.forget();
+            self.reset_answers();
         }
         self.incarnation = Some(incarnation);
         self.answers = self.answers.saturating_add(1);
     }
 
-    /// Counts an answer without an incarnation; returns the entry's count since its last loss.
-    fn answered_unnamed(&mut self, entry: MemberId, losses: u32) -> u32 {
-        let seen = self.seen.entry(entry).or_default();
-        if seen.losses != losses {
-            *seen = Seen { losses, answers: 0 };
+    /// Counts an answer without an incarnation, and returns the number of answers to the entry
+    /// since it last lost a connection to the target.
+    fn record_unnamed_answer(&mut self, entry: MemberId, losses: u32) -> u32 {
+        let count = self.unnamed_answers.entry(entry).or_default();
+        if count.losses != losses {
+            *count = AnswerCount { losses, answers: 0 };
         }
-        seen.answers = seen.answers.saturating_add(1);
-        seen.answers
+        count.answers = count.answers.saturating_add(1);
+        count.answers
     }
 
-    /// Takes the suspicion of an entry.
+    /// Handles the suspicion of an entry.
     pub fn suspect(&mut self, incarnation: Option<Incarnation>, doubt: SuspectReason) {
         let other = incarnation.is_some() && incarnation != self.incarnation;
         match doubt {
             _ if other => {}
-            // An answer that names its incarnation tells by itself whether there was a restart.
-            SuspectReason::Restart => self.seen.clear(),
-            SuspectReason::Overload => self.forget(),
+            // Answers with an incarnation reveal a restart by themselves.
+            SuspectReason::Restart => self.unnamed_answers.clear(),
+            SuspectReason::Overload => self.reset_answers(),
         }
     }
 
-    /// Takes an entry's word that an incarnation is warm, unless another has answered since.
+    /// Handles a report of an entry that an incarnation is warm, unless the target answered since.
     pub fn vouch(&mut self, entry: &MemberId, incarnation: Incarnation) {
         self.members.insert(entry.clone());
         if self.answers == 0 && self.epoch == 0 {
@@ -230,10 +235,10 @@
         }
     }
 
-    /// Starts the count of answers again.
-    fn forget(&mut self) {
+    /// Restarts the count of answers.
+    fn reset_answers(&mut self) {
         self.answers = 0;
-        self.seen.clear();
+        self.unnamed_answers.clear();
         self.vouched = false;
         self.epoch += 1;
     }
--- a/hawthornkeel_core/src/replica/action.rs
+++ b/hawthornkeel_core/src/replica/action.rs
@@ -1,4 +1,4 @@
-//! Inputs and actions of a replica.
+//! Inputs, actions and status of a replica.
 
 use bytes::Bytes;
 
@@ -19,34 +19,35 @@
 /// Input of a replica.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time passed: due at [`Replica::next_tick`](crate::replica::Replica::next_tick) at the latest.
+    /// A timer is due, see [`Replica::next_tick`](crate::replica::Replica::next_tick).
     Tick,
-    /// A message came in.
+    /// A message was received.
     ///
-    /// The caller has checked that the sender's certificate is for the name in it, and that this
-    /// instance has the control role: the leader adds whoever announces itself as a learner.
+    /// The caller has authenticated the sender under the name in the message and checked that the
+    /// sending instance has the control role: the leader adds any replica that announces itself as
+    /// a learner.
     Message(Message),
-    /// A save and all those before it are on disk.
+    /// A save and all earlier ones are on disk.
     Synced {
-        /// Number of the save.
+        /// Sequence number of the save.
         seq: SaveSeq,
     },
-    /// Commands to replicate, in order.
+    /// Commands to replicate, in this order.
     Propose(Vec<Proposal>),
     /// A linearizable read.
     Read(ReadId),
-    /// A change of the members.
+    /// A membership change.
     ChangeMembers(ProposalId, MembershipChange),
-    /// This replica is to stop: a leader hands over to a voter that has its whole log.
+    /// Requests a leadership transfer before a planned stop, to a voter that has the whole log.
     ///
-    /// It refuses proposals and reads from here on, and leads on after an election time in which
-    /// no voter was ready.
+    /// The leader rejects proposals and reads from now on. If no voter is ready within an election
+    /// timeout, it resumes as the leader. Other replicas ignore this input.
     TransferLeadership,
-    /// The replicated state as of an applied entry, asked for by [`Action::TakeSnapshot`].
+    /// Snapshot of the replicated state, as requested by [`Action::TakeSnapshot`].
     Snapshot {
-        /// Last entry that the state includes.
+        /// Index of the last entry included.
         index: LogIndex,
-        /// State, opaque to the log.
+        /// Serialized state, opaque to the log.
         data: Bytes,
     },
 }
@@ -54,40 +55,41 @@
 /// Command to replicate.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Proposal {
-    /// Number that outcomes refer to.
+    /// Identifier that the actions about its outcome carry.
     pub id: ProposalId,
-    /// Command, opaque to the log.
+    /// Serialized command, opaque to the log.
     pub data: Bytes,
 }
 
-/// Change of the members, one at a time.
+/// Membership change. Only one can be in progress at a time.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MembershipChange {
     /// Adds a learner.
     Add(Node),
-    /// Makes a learner a voter, which it can become only once it has caught up.
+    /// Promotes a learner that has caught up to a voter.
     Promote(ReplicaId),
     /// Removes a member other than the leader.
     ///
-    /// A replica that goes on running announces itself and is added again as a learner, and as a
-    /// voter if it is a founder's: it is stopped or taken out of the settings first.
+    /// A removed replica that is still running announces itself, is added again as a learner, and
+    /// becomes a voter again if the [`VoterPolicy`](crate::replica::VoterPolicy) allows it. Stop
+    /// it, or remove it from the settings, before removing it here.
     Remove(ReplicaId),
 }
 
-/// Action of a replica, to be carried out in order and before the next input is handed in.
+/// Action of a replica. Actions are executed in order and before the next input is handled.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Write to disk and sync; then hand in [`Input::Synced`] with the ticket.
+    /// Write to disk and sync, then report the sequence number with [`Input::Synced`].
     ///
-    /// Saves are carried out in order. Several may share one sync. A save that failed is never
-    /// reported as synced and none follows it: the process stops.
+    /// Saves are written in order and several may share one sync. A failed save is never reported
+    /// as synced and no save may follow it: the process stops.
     Save {
-        /// Number of the save.
+        /// Sequence number of the save.
         seq: SaveSeq,
-        /// What to write.
+        /// Data to write.
         save: Save,
     },
-    /// Send a message, which may be lost, doubled or reordered.
+    /// Send a message. It may be lost, duplicated or reordered.
     Send {
         /// Instance to send to.
         to: InstanceName,
@@ -96,122 +98,122 @@
     },
     /// Apply committed entries to the replicated state.
     Apply(Vec<CommittedEntry>),
-    /// Replace the replicated state by a snapshot's.
+    /// Replace the replicated state with the state of a snapshot.
     Restore(Snapshot),
-    /// Hand in the replicated state by [`Input::Snapshot`], now or later.
+    /// Provide the replicated state with [`Input::Snapshot`], now or later.
     TakeSnapshot,
-    /// Tell the proposer that its command will never be applied.
+    /// Report to the proposer that its command will never be applied.
     ProposalRejected {
-        /// Proposal.
+        /// Identifier of the proposal.
         id: ProposalId,
-        /// Why.
+        /// Reason.
         reason: RejectReason,
     },
-    /// Tell the proposer that the outcome of its command is not known.
+    /// Report to the proposer that it is unknown whether its command will be applied.
     OutcomeUnknown {
-        /// Proposal.
+        /// Identifier of the proposal.
         id: ProposalId,
     },
-    /// Answer a read from the state as it is now.
+    /// Answer a read from the current replicated state.
     ReadReady {
-        /// Read.
+        /// Identifier of the read.
         id: ReadId,
     },
-    /// Tell the reader that this replica can't answer.
+    /// Report to the reader that this replica can't answer.
     ReadRejected {
-        /// Read.
+        /// Identifier of the read.
         id: ReadId,
-        /// Why.
+        /// Reason.
         reason: RejectReason,
     },
-    /// Role, term, leader or members changed: for the log and for redirects.
+    /// Role, term, leader or members changed; used for logging and redirects.
     StatusChanged(Status),
 }
 
-/// What a save writes.
+/// Data that a save writes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Save {
     /// Hard state and log entries.
     Log {
         /// New hard state, if it changed.
         hard: Option<HardState>,
-        /// First position whose entry, and all after it, are dropped before the entries are added.
+        /// Index from which on entries are deleted before the new ones are appended.
         truncate: Option<LogIndex>,
-        /// Entries to add at the end of the log.
+        /// Entries to append to the log.
         entries: Vec<Entry>,
     },
-    /// Snapshot, which replaces the one before.
+    /// Snapshot, which replaces the previous one.
     Snapshot {
         /// Snapshot.
         snapshot: Snapshot,
-        /// Entries of the log that stay.
+        /// Log entries that are retained.
         retention: LogRetention,
     },
 }
 
-/// Entries of the log that stay after a snapshot.
+/// Log entries that are retained after a snapshot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LogRetention {
-    /// Entries from this position on stay; those before it may be dropped.
+    /// Retains the entries from this index on. Earlier ones may be deleted.
     ///
     /// Nothing waits for such a snapshot: it may reach the disk after later saves, as long as the
-    /// entries and the older snapshot are dropped only then.
+    /// old entries and the previous snapshot are deleted only after that.
     From(LogIndex),
-    /// All entries are dropped: the log goes on after the snapshot.
+    /// Deletes all entries. The log continues after the snapshot.
     Nothing,
 }
 
-/// Committed entry.
+/// Committed entry to apply.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CommittedEntry {
     /// Entry.
     pub entry: Entry,
-    /// Proposal that it came from, where it was made at this replica.
+    /// Proposal of this replica that the entry came from, if any.
     pub proposal: Option<ProposalId>,
 }
 
-/// Why a proposal or a read is refused.
+/// Reason why a proposal or a read is rejected.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RejectReason {
-    /// Another replica leads, if one is known.
+    /// This replica is not the leader; carries the leader if it is known.
     NotLeader(Option<Node>),
-    /// Too much is pending.
+    /// Too many bytes of proposals are pending.
     Busy,
-    /// The lease did not stand in time.
+    /// The leader got no valid lease within the read timeout.
     NoLease,
-    /// The members can't be changed like this now.
+    /// The membership change is invalid or not possible at the moment.
     ChangeNotAllowed,
 }
 
-/// Part that a replica plays at the moment.
+/// Role of a replica.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Role {
-    /// Belongs to no group.
+    /// Does not belong to a group.
     #[default]
     Empty,
-    /// Follows a leader, or waits for one.
+    /// Follows a leader or waits for one to be elected.
     Follower,
-    /// Asks whether it would be voted for.
+    /// Requests pre-votes.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads.
+    /// Leads the group in its term.
     Leader,
 }
 
-/// State of a replica for logs, redirects and operators.
+/// Status of a replica, used for logging, redirects and operators.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Status {
-    /// Part that it plays.
+    /// Current role.
     pub role: Role,
-    /// Term.
+    /// Current term.
     pub term: Term,
-    /// Leader of the term, if known.
+    /// Leader of the current term, if known.
     pub leader: Option<Node>,
-    /// Last committed entry known, which has been handed out for application.
+    /// Index of the last entry known to be committed, which was emitted to be applied.
     pub commit: LogIndex,
-    /// Last entry of the log.
+    /// Index of the last log entry.
     pub last_index: LogIndex,
-    /// Members.
+    /// Current members, committed or not.
     pub members: Members,
 }
--- a/hawthornkeel_core/src/replica/bootstrap.rs
+++ b/hawthornkeel_core/src/replica/bootstrap.rs
@@ -1,4 +1,4 @@
-//! How a replica without a group forms one or comes into one.
+//! Bootstrapping a group, and joining one as a replica without a group.
 
 use indexmap::IndexMap;
 use indexmap::IndexSet;
@@ -22,151 +22,159 @@
 use crate::replica::message::BootstrapConfig;
 use crate::replica::message::HelloReply;
 use crate::replica::message::Membership;
-use crate::replica::persistence::Gate;
+use crate::replica::persistence::SyncBarrier;
 use crate::time::Instant;
 
-/// Term of the founding entry.
-const FOUNDING_TERM: Term = Term(1);
+/// Term of the first entry, which lists the founders.
+const BOOTSTRAP_TERM: Term = Term(1);
 
-/// What a replica without a group knows of the others.
+/// State of a replica that does not belong to a group.
 #[derive(Debug)]
-pub(super) struct Formation {
-    /// When to announce itself next.
+pub(super) struct Bootstrap {
+    /// Time at which the next hello is due.
     pub(super) hello_at: Instant,
-    /// Founders that said that their disks are empty, by name.
-    empty: IndexMap<InstanceName, ReplicaId>,
-    /// Last forming founder that was told that this disk is empty.
-    told: Option<ReplicaId>,
-    /// Leader that a member spoke of.
-    leader: Option<Node>,
+    /// Founders that reported an empty disk, by name.
+    empty_founders: IndexMap<InstanceName, ReplicaId>,
+    /// Last identity of the coordinator to which an empty disk was reported.
+    reported_to: Option<ReplicaId>,
+    /// Leader that a member named.
+    known_leader: Option<Node>,
 }
 
-impl Formation {
-    /// Starts to know nothing.
+impl Bootstrap {
+    /// Creates the state of a replica that knows nothing about the others.
     pub(super) fn new(now: Instant) -> Self {
-        Self { hello_at: now, empty: IndexMap::new(), told: None, leader: None }
+        Self {
+            hello_at: now,
+            empty_founders: IndexMap::new(),
+            reported_to: None,
+            known_leader: None,
+        }
     }
 }
 
 impl Replica {
-    /// Announces this replica, which belongs to no group.
-    pub(super) fn say_hello(&mut self) {
-        let RoleState::Empty(formation) = &mut self.part else { return };
-        formation.hello_at = self.now + self.settings.hello_interval;
+    /// Announces this replica, which does not belong to a group.
+    pub(super) fn send_hello(&mut self) {
+        let RoleState::Empty(bootstrap) = &mut self.role_state else { return };
+        bootstrap.hello_at = self.now + self.settings.hello_interval;
         let mut names = self.settings.founders.clone();
-        names.extend(formation.leader.as_ref().map(|l| l.name.clone()));
+        names.extend(bootstrap.known_leader.as_ref().map(|l| l.name.clone()));
         names.retain(|n| *n != self.node.name);
         names.dedup();
         for name in names {
-            self.send_to(&name, None, Gate::Free, Body::Hello);
+            self.send_to(&name, None, SyncBarrier::None, Body::Hello);
         }
-        self.form();
+        self.try_bootstrap();
     }
 
-    /// Announces this replica again, because the entry that added it may have been lost.
-    pub(super) fn ask_to_be_added(&mut self) {
+    /// Announces this replica again, in case it was removed or the entry that added it was lost.
+    pub(super) fn request_membership(&mut self) {
         let members = self.log.members();
         let mut names = IndexSet::<InstanceName>::from_iter(self.settings.founders.clone());
         names.extend(members.0.into_iter().map(|m| m.node.name));
         names.shift_remove(&self.node.name);
         for name in names {
-            self.send_to(&name, None, Gate::Free, Body::Hello);
+            self.send_to(&name, None, SyncBarrier::None, Body::Hello);
         }
     }
 
-    /// Answers a replica that belongs to no group.
+    /// Replies to a replica that announced itself.
     pub(super) fn receive_hello(&mut self, from: Node) {
-        let forms = self.former() == Some(&from.name);
-        if let RoleState::Empty(formation) = &mut self.part {
+        let coordinator = self.bootstrap_coordinator() == Some(&from.name);
+        if let RoleState::Empty(bootstrap) = &mut self.role_state {
             if !self.settings.can_bootstrap {
                 return;
             }
-            if forms {
-                formation.told = Some(from.id);
+            if coordinator {
+                bootstrap.reported_to = Some(from.id);
             }
-            self.send(&from, Gate::Free, Body::HelloReply(HelloReply::Empty));
+            self.send(&from, SyncBarrier::None, Body::HelloReply(HelloReply::Empty));
             return;
         }
-        let membership = self.place_of(from.id);
+        let membership = self.membership_of(from.id);
         let reply = HelloReply::Member { membership, leader: self.leader.clone() };
-        self.send(&from, Gate::All, Body::HelloReply(reply));
-        self.note_hello(from);
+        self.send(&from, SyncBarrier::All, Body::HelloReply(reply));
+        self.record_hello(from);
     }
 
-    /// Takes in an answer to a hello.
+    /// Handles the reply to a hello.
     pub(super) fn receive_hello_reply(&mut self, from: Node, reply: HelloReply) {
-        let RoleState::Empty(formation) = &mut self.part else { return };
+        let RoleState::Empty(bootstrap) = &mut self.role_state else { return };
         match reply {
             HelloReply::Empty => {
-                formation.empty.insert(from.name, from.id);
-                self.form();
+                bootstrap.empty_founders.insert(from.name, from.id);
+                self.try_bootstrap();
             }
             HelloReply::Member { membership, leader } => {
-                formation.empty.shift_remove(&from.name);
-                formation.leader = leader.or(formation.leader.take());
-                self.take_place(&from, membership);
+                bootstrap.empty_founders.shift_remove(&from.name);
+                bootstrap.known_leader = leader.or(bootstrap.known_leader.take());
+                self.accept_membership(&from, membership);
             }
         }
     }
 
-    /// Returns the founder that forms the group.
-    fn former(&self) -> Option<&InstanceName> {
+    /// Returns the founder that creates the group.
+    fn bootstrap_coordinator(&self) -> Option<&InstanceName> {
         self.settings.founders.iter().min()
     }
 
-    /// Forms the group, once every founder has said that its disk is empty.
-    fn form(&mut self) {
-        let RoleState::Empty(formation) = &self.part else { return };
-        if self.former() != Some(&self.node.name) || !self.settings.can_bootstrap {
+    /// Creates the group once every founder has reported an empty disk.
+    fn try_bootstrap(&mut self) {
+        let RoleState::Empty(bootstrap) = &self.role_state else { return };
+        if self.bootstrap_coordinator() != Some(&self.node.name) || !self.settings.can_bootstrap {
             return;
         }
         let mut members = Vec::new();
         for name in &self.settings.founders {
             let own = *name == self.node.name;
-            let id = if own { Some(self.node.id) } else { formation.empty.get(name).copied() };
+            let id =
+                if own { Some(self.node.id) } else { bootstrap.empty_founders.get(name).copied() };
             let Some(id) = id else { return };
             let node = Node { id, name: name.clone() };
             members.push(Member { node, kind: MemberKind::Voter });
         }
         let group = GroupId(self.rng.random());
-        let founding = BootstrapConfig { group, members: Members(members) };
-        self.found(founding.clone());
-        self.announce(&founding);
+        let config = BootstrapConfig { group, members: Members(members) };
+        self.start_log(config.clone());
+        self.announce_group(&config);
     }
 
-    /// Takes up a place in a group that names this replica.
-    fn take_place(&mut self, from: &Node, membership: Membership) {
-        let RoleState::Empty(formation) = &self.part else { return };
-        // The former that this disk was last called empty to decides: an older one lost its disk.
-        // Where another founder took the older one's group up, a newer one can form none any more.
-        let current =
-            formation.told.is_none_or(|id| id == from.id) || self.former() != Some(&from.name);
+    /// Joins a group that has this replica as a member.
+    fn accept_membership(&mut self, from: &Node, membership: Membership) {
+        let RoleState::Empty(bootstrap) = &self.role_state else { return };
+        // Only the coordinator identity that was last told of the empty disk counts: if there was
+        // an earlier one, it lost its disk. Once another founder has accepted the group of the
+        // earlier one, the later one can't create another group, so replies of other founders
+        // always count.
+        let current = bootstrap.reported_to.is_none_or(|id| id == from.id)
+            || self.bootstrap_coordinator() != Some(&from.name);
         match membership {
-            Membership::Member(group) if current => self.join(group),
-            Membership::Founder(founding) if current => self.found(founding),
+            Membership::Member(group) if current => self.join_group(group),
+            Membership::Founder(config) if current => self.start_log(config),
             Membership::NonMember | Membership::Member(_) | Membership::Founder(_) => {}
         }
     }
 
-    /// Starts the log with the founding entry.
-    fn found(&mut self, founding: BootstrapConfig) {
-        self.join(founding.group);
-        self.set_hard(HardState { term: FOUNDING_TERM, ..self.hard });
-        self.add_entry(Payload::Members(founding.members));
+    /// Starts the log with the entry that lists the founders.
+    fn start_log(&mut self, config: BootstrapConfig) {
+        self.join_group(config.group);
+        self.set_hard(HardState { term: BOOTSTRAP_TERM, ..self.hard });
+        self.add_entry(Payload::Members(config.members));
     }
 
-    /// Tells the other founders of the group that was formed.
-    fn announce(&mut self, founding: &BootstrapConfig) {
+    /// Announces a new group to the other founders.
+    fn announce_group(&mut self, config: &BootstrapConfig) {
         let own = self.node.id;
-        for node in founding.members.voters().filter(|n| n.id != own) {
-            let membership = Membership::Founder(founding.clone());
+        for node in config.members.voters().filter(|n| n.id != own) {
+            let membership = Membership::Founder(config.clone());
             let reply = HelloReply::Member { membership, leader: None };
-            self.send(node, Gate::All, Body::HelloReply(reply));
+            self.send(node, SyncBarrier::All, Body::HelloReply(reply));
         }
     }
 
-    /// Returns what a replica without a group is to this replica's group.
-    fn place_of(&self, id: ReplicaId) -> Membership {
+    /// Returns the membership of another replica in this replica's group.
+    fn membership_of(&self, id: ReplicaId) -> Membership {
         let Some(group) = self.hard.group else { return Membership::NonMember };
         let first = self.log.get(log::next(LogIndex(0)));
         if let Some(Payload::Members(members)) = first.map(|e| &e.payload)
--- a/hawthornkeel_core/src/replica/election.rs
+++ b/hawthornkeel_core/src/replica/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-votes, votes and the time in which none is given.
+//! Elections: pre-votes, votes and the time during which none is granted.
 
 use indexmap::IndexSet;
 use rand::Rng;
@@ -12,60 +12,60 @@
 use crate::replica::message::Body;
 use crate::replica::message::VoteReply;
 use crate::replica::message::VoteRequest;
-use crate::replica::persistence::Gate;
+use crate::replica::persistence::SyncBarrier;
 
-/// Election times that a learner waits where a voter waits one.
-const LEARNER_WAIT: u32 = 2;
+/// Factor by which a learner waits longer than a voter before it starts a pre-vote.
+const LEARNER_TIMEOUT_FACTOR: u32 = 2;
 
-/// Votes or pre-votes that a candidate was given.
+/// Votes or pre-votes granted to a candidate.
 #[derive(Debug, Default)]
 pub(super) struct Votes {
     granted: IndexSet<ReplicaId>,
 }
 
 impl Replica {
-    /// Draws the time of the next election.
-    pub(super) fn arm_election(&mut self) {
-        let mut election = self.settings.election_timeout;
+    /// Resets the election timer to a random time.
+    pub(super) fn reset_election_timer(&mut self) {
+        let mut timeout = self.settings.election_timeout;
         if !self.log.members().is_voter(self.node.id) {
-            election *= LEARNER_WAIT;
+            timeout *= LEARNER_TIMEOUT_FACTOR;
         }
-        let spread = self.rng.random_range(0.0..1.0);
-        self.stand_at = self.now + election + election.mul_f64(spread);
+        let jitter = self.rng.random_range(0.0..1.0);
+        self.election_at = self.now + timeout + timeout.mul_f64(jitter);
     }
 
-    /// Tells whether a leader may still hold a lease that this replica took part in.
+    /// Returns whether a leader may still hold a lease based on a reply of this replica.
     pub(super) fn in_lease(&self) -> bool {
-        matches!(self.part, RoleState::Leader(_))
-            || self.heard.is_some_and(|h| self.now.since(h) < self.settings.election_timeout)
+        matches!(self.role_state, RoleState::Leader(_))
+            || self.last_contact.is_some_and(|c| self.now.since(c) < self.settings.election_timeout)
     }
 
-    /// Stands for election if this replica is a member: asks for pre-votes first.
+    /// Starts a pre-vote if this replica is a member.
     ///
-    /// A learner's own vote does not count. It stands because it may be the only one left with the
-    /// newest entry, which keeps it from voting for others: after a leader's disk was lost, no voter
-    /// might be electable.
-    pub(super) fn stand(&mut self) {
-        self.arm_election();
+    /// Learners are candidates as well, although their own vote does not count. A learner may be
+    /// the only replica left with the newest entry, and then it votes for nobody else. Without its
+    /// candidacy, nobody might be electable after the loss of the leader's disk.
+    pub(super) fn start_pre_vote(&mut self) {
+        self.reset_election_timer();
         self.leader = None;
         let members = self.log.members();
-        // A voter that nobody votes with may have been removed while it was away.
-        let alone = matches!(self.part, RoleState::PreCandidate(_));
-        if alone || !members.is_voter(self.node.id) {
-            self.ask_to_be_added();
+        // A voter whose pre-vote got no quorum may have been removed while it was unreachable.
+        let no_quorum = matches!(self.role_state, RoleState::PreCandidate(_));
+        if no_quorum || !members.is_voter(self.node.id) {
+            self.request_membership();
         }
         if members.get(self.node.id).is_none() {
-            self.part = RoleState::Follower;
+            self.role_state = RoleState::Follower;
             return;
         }
-        self.part = RoleState::PreCandidate(Votes::default());
-        let candidacy = self.candidacy();
-        self.ask(Gate::Free, Body::PreVote(candidacy));
+        self.role_state = RoleState::PreCandidate(Votes::default());
+        let request = self.vote_request();
+        self.send_to_voters(SyncBarrier::None, Body::PreVote(request));
         self.count_vote(self.node.id);
     }
 
-    /// Returns this replica's candidacy for the term after its own.
-    fn candidacy(&self) -> VoteRequest {
+    /// Returns this replica's vote request for the next term.
+    fn vote_request(&self) -> VoteRequest {
         VoteRequest {
             term: crate::ids::Term(self.hard.term.0 + 1),
             last_index: self.log.last(),
@@ -74,39 +74,40 @@
         }
     }
 
-    /// Sends a request to the other voters.
-    fn ask(&mut self, gate: Gate, body: Body) {
+    /// Sends a message to the other voters.
+    fn send_to_voters(&mut self, barrier: SyncBarrier, body: Body) {
         for node in self.log.members().voters() {
             if node.id != self.node.id {
-                self.send(node, gate, body.clone());
+                self.send(node, barrier, body.clone());
             }
         }
     }
 
-    /// Raises the term and asks for votes.
-    pub(super) fn ask_votes(&mut self, transfer: bool) {
-        let candidacy = VoteRequest { transfer, ..self.candidacy() };
+    /// Increments the term, votes for itself and requests votes.
+    pub(super) fn start_election(&mut self, transfer: bool) {
+        let request = VoteRequest { transfer, ..self.vote_request() };
         let vote = Some(self.node.id);
-        self.set_hard(HardState { term: candidacy.term, vote, ..self.hard });
-        self.part = RoleState::Candidate(Votes::default());
-        self.arm_election();
-        // The vote for itself and the log it stands for must outlast a stop.
-        self.ask(Gate::All, Body::Vote(candidacy));
+        self.set_hard(HardState { term: request.term, vote, ..self.hard });
+        self.role_state = RoleState::Candidate(Votes::default());
+        self.reset_election_timer();
+        // The own vote and the log that the request describes must survive a restart.
+        self.send_to_voters(SyncBarrier::All, Body::Vote(request));
         self.save_log();
         self.count_own_vote();
     }
 
-    /// Counts the vote for itself once it is on disk.
+    /// Counts the own vote once it is on disk.
     pub(super) fn count_own_vote(&mut self) {
-        if self.saves.is_synced(self.saves.gate(Gate::Hard)) {
+        if self.persistence.is_synced(self.persistence.barrier_seq(SyncBarrier::HardState)) {
             self.count_vote(self.node.id);
         }
     }
 
-    /// Counts a vote or pre-vote, and goes on if a quorum of the voters gave theirs.
+    /// Counts a vote or pre-vote, and proceeds once a quorum of the voters has granted theirs.
     fn count_vote(&mut self, from: ReplicaId) {
         let members = self.log.members();
-        let (RoleState::PreCandidate(votes) | RoleState::Candidate(votes)) = &mut self.part else {
+        let (RoleState::PreCandidate(votes) | RoleState::Candidate(votes)) = &mut self.role_state
+        else {
             return;
         };
         votes.granted.insert(from);
@@ -114,54 +115,54 @@
         if count < members.quorum() {
             return;
         }
-        if matches!(self.part, RoleState::PreCandidate(_)) {
-            self.ask_votes(false);
+        if matches!(self.role_state, RoleState::PreCandidate(_)) {
+            self.start_election(false);
         } else {
-            self.lead();
+            self.become_leader();
         }
     }
 
-    /// Tells whether a candidate's log holds all that this replica's log holds.
-    fn is_current(&self, candidacy: VoteRequest) -> bool {
+    /// Returns whether a candidate's log is at least as up to date as this replica's log.
+    fn is_log_up_to_date(&self, request: VoteRequest) -> bool {
         let own: (_, LogIndex) = (self.log.last_term(), self.log.last());
-        (candidacy.last_term, candidacy.last_index) >= own
+        (request.last_term, request.last_index) >= own
     }
 
-    /// Answers a request for a pre-vote.
-    pub(super) fn receive_pre_vote(&mut self, from: &Node, candidacy: VoteRequest) {
+    /// Replies to a pre-vote request.
+    pub(super) fn receive_pre_vote(&mut self, from: &Node, request: VoteRequest) {
         let granted =
-            !self.in_lease() && candidacy.term > self.hard.term && self.is_current(candidacy);
-        let reply = VoteReply { term: candidacy.term, granted };
-        self.send(from, Gate::Hard, Body::PreVoteReply(reply));
+            !self.in_lease() && request.term > self.hard.term && self.is_log_up_to_date(request);
+        let reply = VoteReply { term: request.term, granted };
+        self.send(from, SyncBarrier::HardState, Body::PreVoteReply(reply));
     }
 
-    /// Answers a request for a vote in this term.
-    pub(super) fn receive_vote(&mut self, from: &Node, candidacy: VoteRequest) {
-        let free = self.hard.vote.is_none_or(|v| v == from.id);
-        let granted = free
-            && candidacy.term == self.hard.term
+    /// Replies to a vote request for the current term.
+    pub(super) fn receive_vote(&mut self, from: &Node, request: VoteRequest) {
+        let can_vote = self.hard.vote.is_none_or(|v| v == from.id);
+        let granted = can_vote
+            && request.term == self.hard.term
             && self.leader.is_none()
-            && self.is_current(candidacy);
+            && self.is_log_up_to_date(request);
         if granted {
             self.set_hard(HardState { vote: Some(from.id), ..self.hard });
-            self.arm_election();
+            self.reset_election_timer();
         }
-        let reply = VoteReply { term: candidacy.term, granted };
-        self.send(from, Gate::All, Body::VoteReply(reply));
+        let reply = VoteReply { term: request.term, granted };
+        self.send(from, SyncBarrier::All, Body::VoteReply(reply));
     }
 
-    /// Takes in an answer to a request for a pre-vote.
+    /// Handles the reply to a pre-vote request.
     pub(super) fn receive_pre_vote_reply(&mut self, from: &Node, reply: VoteReply) {
-        let wanted = reply.term.0 == self.hard.term.0 + 1;
-        if reply.granted && wanted && matches!(self.part, RoleState::PreCandidate(_)) {
+        let current = reply.term.0 == self.hard.term.0 + 1;
+        if reply.granted && current && matches!(self.role_state, RoleState::PreCandidate(_)) {
             self.count_vote(from.id);
         }
     }
 
-    /// Takes in an answer to a request for a vote.
+    /// Handles the reply to a vote request.
     pub(super) fn receive_vote_reply(&mut self, from: &Node, reply: VoteReply) {
-        let wanted = reply.term == self.hard.term;
-        if reply.granted && wanted && matches!(self.part, RoleState::Candidate(_)) {
+        let current = reply.term == self.hard.term;
+        if reply.granted && current && matches!(self.role_state, RoleState::Candidate(_)) {
             self.count_vote(from.id);
         }
     }
--- a/hawthornkeel_core/src/replica/entry.rs
+++ b/hawthornkeel_core/src/replica/entry.rs
@@ -1,4 +1,4 @@
-//! Log entries, hard state, snapshots and members: what a replica keeps on its disk.
+//! Persistent data of a replica: log entries, hard state, snapshots and members.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -9,38 +9,38 @@
 use crate::ids::Term;
 use crate::names::InstanceName;
 
-/// Identity of a group of replicas, drawn when the group forms.
+/// Identifier of a group of replicas, generated at random when the group is bootstrapped.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct GroupId(pub u64);
 
-/// Number that a proposer gives to its proposal, unique among its pending ones.
+/// Identifier of a proposal, chosen by the proposer and unique among its pending proposals.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ProposalId(pub u64);
 
-/// Number that a reader gives to its read, unique among its pending ones.
+/// Identifier of a read, chosen by the reader and unique among its pending reads.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ReadId(pub u64);
 
-/// Number of a save, rising by one with each.
+/// Sequence number of a save, incremented by one for each.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct SaveSeq(pub u64);
 
-/// One replica: the identity of its data folder and the name of its instance.
+/// One replica, identified by its data folder and the name of its instance.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct Node {
-    /// Identity of its data folder.
+    /// Identifier of its data folder.
     pub id: ReplicaId,
-    /// Instance that it runs in.
+    /// Name of the instance that it runs in.
     pub name: InstanceName,
 }
 
-/// Part that a member plays in agreement.
+/// Whether a member votes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum MemberKind {
-    /// Receives the log, and neither votes nor counts.
+    /// Receives the log, but does not vote and does not count towards a quorum.
     Learner,
     /// Votes and counts towards a quorum.
     Voter,
@@ -51,7 +51,7 @@
 pub struct Member {
     /// Replica.
     pub node: Node,
-    /// Part that it plays.
+    /// Whether it votes.
     #[serde(rename = "standing")]
     pub kind: MemberKind,
 }
@@ -62,7 +62,7 @@
 pub struct Members(pub Vec<Member>);
 
 impl Members {
-    /// Returns the member with the identity `id`.
+    /// Returns the member with the given identifier.
     pub fn get(&self, id: ReplicaId) -> Option<&Member> {
         self.0.iter().find(|m| m.node.id == id)
     }
@@ -72,12 +72,12 @@
         self.0.iter().filter(|m| m.kind == MemberKind::Voter).map(|m| &m.node)
     }
 
-    /// Tells whether `id` is a voter.
+    /// Returns whether `id` is a voter.
     pub fn is_voter(&self, id: ReplicaId) -> bool {
         self.get(id).is_some_and(|m| m.kind == MemberKind::Voter)
     }
 
-    /// Returns the number of voters that make a quorum.
+    /// Returns the number of voters in a quorum.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
@@ -86,18 +86,18 @@
 /// Content of a log entry.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: the first entry of each leader.
+    /// No operation: the first entry that each leader appends in its term.
     Noop,
-    /// Command of the replicated state, opaque to the log.
+    /// Command for the replicated state, opaque to the log.
     Command(Bytes),
-    /// Members of the group from this entry on.
+    /// New members, which take effect as soon as the entry is in the log.
     Members(Members),
 }
 
 /// Entry of the replicated log.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Position.
+    /// Index in the log.
     pub index: LogIndex,
     /// Term of the leader that appended it.
     pub term: Term,
@@ -106,7 +106,7 @@
 }
 
 impl Entry {
-    /// Returns roughly the bytes that the entry takes in a message or on disk.
+    /// Returns the approximate size of the entry in a message or on disk, in bytes.
     pub fn size(&self) -> usize {
         const OVERHEAD_BYTES: usize = 24;
         const MEMBER_BYTES: usize = 48;
@@ -119,37 +119,37 @@
     }
 }
 
-/// State that a replica must have on disk before it answers.
+/// State that must be on disk before a replica sends messages that depend on it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct HardState {
-    /// Group that the replica belongs to, if any.
+    /// Group of the replica, if it belongs to one.
     pub group: Option<GroupId>,
     /// Latest term seen.
     pub term: Term,
-    /// Candidate voted for in that term.
+    /// Candidate that received the vote in this term.
     pub vote: Option<ReplicaId>,
 }
 
-/// Replicated state up to a log position.
+/// Snapshot of the replicated state as of a log entry.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Last entry that the state includes.
+    /// Index of the last entry included.
     pub index: LogIndex,
     /// Term of that entry.
     pub term: Term,
     /// Members as of that entry.
     pub members: Members,
-    /// State, opaque to the log.
+    /// Serialized state, opaque to the log.
     pub data: Bytes,
 }
 
-/// What a replica finds on its disk when it starts.
+/// State that a replica recovers from its disk at startup.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PersistedState {
-    /// Hard state: the default one for an empty disk.
+    /// Hard state, the default for an empty disk.
     pub hard: HardState,
     /// Latest snapshot, if any.
     pub snapshot: Option<Snapshot>,
-    /// Log entries in order, without gaps.
+    /// Log entries in order and without gaps.
     pub entries: Vec<Entry>,
 }
--- a/hawthornkeel_core/src/replica/leader_state.rs
+++ b/hawthornkeel_core/src/replica/leader_state.rs
@@ -1,4 +1,4 @@
-//! What a leader keeps besides its log.
+//! Volatile state of a leader.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,70 +15,70 @@
 use crate::replica::progress::Progress;
 use crate::time::Instant;
 
-/// Round of heartbeats.
+/// Round of heartbeats that was sent.
 #[derive(Clone, Copy, Debug)]
-struct Round {
+struct HeartbeatRound {
     number: u64,
-    sent: Instant,
+    sent_at: Instant,
 }
 
 /// Proposal that is not committed.
 #[derive(Clone, Copy, Debug)]
-struct Proposed {
+struct PendingProposal {
     index: LogIndex,
     id: ProposalId,
 }
 
-/// Read that waits for the lease.
+/// Read that waits for a valid lease.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Reader {
-    /// Read.
+pub(super) struct PendingRead {
+    /// Identifier of the read.
     pub(super) id: ReadId,
-    /// When it came in.
-    pub(super) since: Instant,
+    /// Time at which it was received.
+    pub(super) received_at: Instant,
 }
 
-/// What a leader keeps besides its log.
+/// Volatile state of a leader.
 #[derive(Debug)]
-pub(super) struct Leader {
-    /// When it began to lead.
-    pub(super) since: Instant,
-    /// First entry of its own term.
-    pub(super) first: LogIndex,
-    /// When the next heartbeat is due.
-    pub(super) beat_at: Instant,
-    /// Members other than itself.
+pub(super) struct LeaderState {
+    /// Time at which it became the leader.
+    pub(super) elected_at: Instant,
+    /// Index of the first entry of its term.
+    pub(super) term_start: LogIndex,
+    /// Time at which the next heartbeat is due.
+    pub(super) heartbeat_at: Instant,
+    /// Replication progress of the other members.
     pub(super) peers: IndexMap<ReplicaId, Progress>,
-    /// Reads that wait for the lease.
-    pub(super) readers: VecDeque<Reader>,
-    /// Replicas without a group that announced themselves, by name.
+    /// Reads that wait for a valid lease.
+    pub(super) pending_reads: VecDeque<PendingRead>,
+    /// Replicas that announced themselves and are not members, by name.
     pub(super) joining: IndexMap<InstanceName, ReplicaId>,
-    /// When to give up handing over, while that is under way.
-    pub(super) hand_until: Option<Instant>,
-    /// Proposals that are not committed, in bytes.
+    /// Time at which a leadership transfer in progress is aborted.
+    pub(super) transfer_deadline: Option<Instant>,
+    /// Size of the proposed entries that are not committed, in bytes.
     pub(super) pending_bytes: usize,
-    rounds: VecDeque<Round>,
-    proposals: VecDeque<Proposed>,
+    rounds: VecDeque<HeartbeatRound>,
+    proposals: VecDeque<PendingProposal>,
 }
 
-impl Leader {
-    /// Starts with the first entry of its own term at `first`.
-    pub(super) fn new(first: LogIndex, now: Instant) -> Self {
+impl LeaderState {
+    /// Creates the state of a leader whose first entry is at `term_start`.
+    pub(super) fn new(term_start: LogIndex, now: Instant) -> Self {
         Self {
-            since: now,
-            first,
-            beat_at: now,
+            elected_at: now,
+            term_start,
+            heartbeat_at: now,
             peers: IndexMap::new(),
-            readers: VecDeque::new(),
+            pending_reads: VecDeque::new(),
             joining: IndexMap::new(),
-            hand_until: None,
+            transfer_deadline: None,
             pending_bytes: 0,
             rounds: VecDeque::new(),
             proposals: VecDeque::new(),
         }
     }
 
-    /// Brings the peers in line with the members; new ones start at the end of the log.
+    /// Updates the peers to match the members. New ones start at the end of the log.
     pub(super) fn set_members(
         &mut self,
         members: &Members,
@@ -94,27 +94,27 @@
         }
     }
 
-    /// Starts a round of heartbeats and forgets those older than `keep`.
-    pub(super) fn start_round(&mut self, now: Instant, keep: Duration) -> u64 {
-        while self.rounds.front().is_some_and(|r| now.since(r.sent) > keep) {
+    /// Starts a round of heartbeats, drops those older than `max_age`, and returns its number.
+    pub(super) fn start_round(&mut self, now: Instant, max_age: Duration) -> u64 {
+        while self.rounds.front().is_some_and(|r| now.since(r.sent_at) > max_age) {
             self.rounds.pop_front();
         }
         let number = self.rounds.back().map_or(1, |r| r.number + 1);
-        self.rounds.push_back(Round { number, sent: now });
+        self.rounds.push_back(HeartbeatRound { number, sent_at: now });
         number
     }
 
-    /// Returns the sending time of a round, if it is still known.
+    /// Returns the time at which a round was sent, if it is still known.
     pub(super) fn round_sent(&self, number: u64) -> Option<Instant> {
-        self.rounds.iter().find(|r| r.number == number).map(|r| r.sent)
+        self.rounds.iter().find(|r| r.number == number).map(|r| r.sent_at)
     }
 
-    /// Notes a proposal.
+    /// Records a proposal.
     pub(super) fn add_proposal(&mut self, index: LogIndex, id: ProposalId) {
-        self.proposals.push_back(Proposed { index, id });
+        self.proposals.push_back(PendingProposal { index, id });
     }
 
-    /// Takes the proposal of an entry that is now committed, if it was made here.
+    /// Removes and returns the proposal of a committed entry, if it came from one of this leader.
     pub(super) fn take_proposal(&mut self, entry: &Entry) -> Option<ProposalId> {
         let front = *self.proposals.front()?;
         if front.index != entry.index {
@@ -125,12 +125,12 @@
         Some(front.id)
     }
 
-    /// Returns the proposals that are not committed.
-    pub(super) fn open_proposals(&self) -> impl Iterator<Item = ProposalId> {
+    /// Returns the proposals whose entries are not committed.
+    pub(super) fn pending_proposals(&self) -> impl Iterator<Item = ProposalId> {
         self.proposals.iter().map(|p| p.id)
     }
 
-    /// Returns the value that a quorum of the voters has reached, given each one's value.
+    /// Returns the highest value that a quorum of the voters has reached.
     pub(super) fn quorum_value<T: Copy + Ord>(
         &self,
         members: &Members,
--- a/hawthornkeel_core/src/replica/leadership_transfer.rs
+++ b/hawthornkeel_core/src/replica/leadership_transfer.rs
@@ -1,56 +1,57 @@
-//! Planned change of the leader.
+//! Leadership transfer before a planned stop.
 
 use crate::replica::Replica;
 use crate::replica::RoleState;
 use crate::replica::entry::Node;
 use crate::replica::message::Body;
-use crate::replica::persistence::Gate;
+use crate::replica::persistence::SyncBarrier;
 
 impl Replica {
-    /// Begins to hand over, if this replica leads.
-    pub(super) fn start_hand_over(&mut self) {
-        let until = self.now + self.settings.election_timeout;
-        let RoleState::Leader(leader) = &mut self.part else { return };
-        leader.hand_until = Some(until);
-        self.hand_over();
+    /// Starts a leadership transfer if this replica is the leader.
+    pub(super) fn start_transfer(&mut self) {
+        let deadline = self.now + self.settings.election_timeout;
+        let RoleState::Leader(leader) = &mut self.role_state else { return };
+        leader.transfer_deadline = Some(deadline);
+        self.try_transfer();
     }
 
-    /// Hands over once all is committed and a voter has the whole log.
-    pub(super) fn hand_over(&mut self) {
-        let RoleState::Leader(leader) = &mut self.part else { return };
-        let Some(until) = leader.hand_until else { return };
-        if until <= self.now {
-            leader.hand_until = None;
+    /// Transfers leadership once the whole log is committed and a voter has all of it.
+    pub(super) fn try_transfer(&mut self) {
+        let RoleState::Leader(leader) = &mut self.role_state else { return };
+        let Some(deadline) = leader.transfer_deadline else { return };
+        if deadline <= self.now {
+            leader.transfer_deadline = None;
             return;
         }
         if self.commit < self.log.last() {
             return;
         }
         let Some(node) = self.successor() else { return };
-        self.send(&node, Gate::Free, Body::TimeoutNow);
-        // The lease ends here: votes may be given against it from now on.
+        self.send(&node, SyncBarrier::None, Body::TimeoutNow);
+        // Gives up the lease: voters may vote for the successor from now on.
         self.step_down();
     }
 
-    /// Returns a voter that answers and has the whole log on disk.
+    /// Returns the voter with the latest contact that has the whole log on disk.
     fn successor(&self) -> Option<Node> {
-        let RoleState::Leader(leader) = &self.part else { return None };
+        let RoleState::Leader(leader) = &self.role_state else { return None };
         let ready = leader.peers.iter().filter(|(_, p)| {
-            p.matched == self.log.last() && self.now.since(p.heard) < self.settings.election_timeout
+            p.match_index == self.log.last()
+                && self.now.since(p.last_contact) < self.settings.election_timeout
         });
         let members = self.log.members();
-        let latest = ready
+        let successor = ready
             .filter(|(id, _)| members.is_voter(**id))
-            .max_by_key(|(_, progress)| progress.heard);
-        latest.and_then(|(id, _)| members.get(*id)).map(|m| m.node.clone())
+            .max_by_key(|(_, progress)| progress.last_contact);
+        successor.and_then(|(id, _)| members.get(*id)).map(|m| m.node.clone())
     }
 
-    /// Stands for election at once, as the leader asked.
-    pub(super) fn take_over(&mut self) {
-        let voter = self.log.members().is_voter(self.node.id);
-        if voter && matches!(self.part, RoleState::Follower) {
+    /// Starts an election at once, at the request of the leader.
+    pub(super) fn receive_timeout_now(&mut self) {
+        let is_voter = self.log.members().is_voter(self.node.id);
+        if is_voter && matches!(self.role_state, RoleState::Follower) {
             self.leader = None;
-            self.ask_votes(true);
+            self.start_election(true);
         }
     }
 }
--- a/hawthornkeel_core/src/replica/log.rs
+++ b/hawthornkeel_core/src/replica/log.rs
@@ -1,4 +1,4 @@
-//! Log in memory: entries after a base, and the members that they set.
+//! In-memory log: the entries after a base index, and the members that they define.
 
 use std::collections::VecDeque;
 
@@ -10,34 +10,34 @@
 use crate::replica::entry::Payload;
 use crate::replica::entry::Snapshot;
 
-/// Returns the position after `index`.
+/// Returns the index after `index`.
 pub(super) fn next(index: LogIndex) -> LogIndex {
     LogIndex(index.0 + 1)
 }
 
-/// Returns the position before `index`, or zero.
+/// Returns the index before `index`, or zero.
 pub(super) fn previous(index: LogIndex) -> LogIndex {
     LogIndex(index.0.saturating_sub(1))
 }
 
-/// Members from a log position on.
+/// Members in effect from a log index on.
 #[derive(Clone, Debug, Default)]
-struct Config {
+struct MembershipConfig {
     index: LogIndex,
     members: Members,
 }
 
-/// Log entries after a base.
+/// Log entries after a base index.
 #[derive(Debug, Default)]
 pub(super) struct Log {
     base: LogIndex,
     base_term: Term,
     entries: VecDeque<Entry>,
-    configs: Vec<Config>,
+    configs: Vec<MembershipConfig>,
 }
 
 impl Log {
-    /// Restores the log that a disk holds.
+    /// Recovers the log from a snapshot and the entries on disk.
     pub(super) fn recover(
         snapshot: Option<&Snapshot>,
         entries: Vec<Entry>,
@@ -57,7 +57,8 @@
         Ok(log)
     }
 
-    /// Adds one entry from a disk; those that the snapshot at `start` includes set no members.
+    /// Adds an entry from the disk. Entries that the snapshot at `start` includes define no
+    /// members.
     fn recover_entry(&mut self, start: LogIndex, entry: Entry) -> Result<(), RecoverError> {
         let first = self.entries.is_empty() && self.base == start;
         if first && entry.index <= start {
@@ -76,20 +77,21 @@
         Ok(())
     }
 
-    /// Replaces the log by a snapshot.
+    /// Clears the log and continues after a snapshot.
     pub(super) fn reset(&mut self, snapshot: &Snapshot) {
         self.base = snapshot.index;
         self.base_term = snapshot.term;
         self.entries.clear();
-        self.configs = vec![Config { index: snapshot.index, members: snapshot.members.clone() }];
+        self.configs =
+            vec![MembershipConfig { index: snapshot.index, members: snapshot.members.clone() }];
     }
 
-    /// Returns the position before the first entry held.
+    /// Returns the index before the first entry in memory.
     pub(super) fn base(&self) -> LogIndex {
         self.base
     }
 
-    /// Returns the position of the last entry.
+    /// Returns the index of the last entry.
     pub(super) fn last(&self) -> LogIndex {
         LogIndex(self.base.0 + self.entries.len() as u64)
     }
@@ -99,7 +101,7 @@
         self.entries.back().map_or(self.base_term, |e| e.term)
     }
 
-    /// Returns the entry at `index`, if held.
+    /// Returns the entry at `index`, if it is in memory.
     pub(super) fn get(&self, index: LogIndex) -> Option<&Entry> {
         let offset = index.0.checked_sub(self.base.0 + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
@@ -113,7 +115,7 @@
         self.get(index).map(|e| e.term)
     }
 
-    /// Returns entries from `from` on: at least one where there is one, and `max_bytes` at most.
+    /// Returns entries from `from` on, of `max_bytes` in total at most but at least one if any.
     pub(super) fn batch(&self, from: LogIndex, max_bytes: usize) -> Vec<Entry> {
         let mut entries = Vec::new();
         let mut bytes = 0;
@@ -129,27 +131,27 @@
         entries
     }
 
-    /// Returns the entries after `after` up to `last`.
-    pub(super) fn span(&self, after: LogIndex, last: LogIndex) -> Vec<Entry> {
+    /// Returns the entries after `after` up to and including `last`.
+    pub(super) fn range(&self, after: LogIndex, last: LogIndex) -> Vec<Entry> {
         (after.0 + 1..=last.0).filter_map(|i| self.get(LogIndex(i)).cloned()).collect()
     }
 
-    /// Adds an entry at the end.
+    /// Appends an entry.
     pub(super) fn append(&mut self, entry: Entry) {
         if let Payload::Members(members) = &entry.payload {
-            self.configs.push(Config { index: entry.index, members: members.clone() });
+            self.configs.push(MembershipConfig { index: entry.index, members: members.clone() });
         }
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from `from` on.
+    /// Removes the entries from `from` on.
     pub(super) fn truncate(&mut self, from: LogIndex) {
         let keep = from.0.saturating_sub(self.base.0 + 1);
         self.entries.truncate(usize::try_from(keep).unwrap_or(usize::MAX));
         self.configs.retain(|c| c.index < from);
     }
 
-    /// Drops the entries up to `upto`, which a snapshot includes.
+    /// Removes the entries up to and including `upto`, which a snapshot includes.
     pub(super) fn compact(&mut self, upto: LogIndex) {
         while self.base < upto {
             let Some(entry) = self.entries.pop_front() else { break };
@@ -158,12 +160,12 @@
         }
     }
 
-    /// Returns the members that are in force, committed or not.
+    /// Returns the members in effect, committed or not.
     pub(super) fn members(&self) -> Members {
         self.configs.last().map(|c| c.members.clone()).unwrap_or_default()
     }
 
-    /// Returns the position from which the members in force are so.
+    /// Returns the index of the entry that defines the members in effect.
     pub(super) fn members_index(&self) -> LogIndex {
         self.configs.last().map_or(LogIndex(0), |c| c.index)
     }
@@ -174,8 +176,8 @@
         config.map(|c| c.members.clone()).unwrap_or_default()
     }
 
-    /// Forgets members that were replaced at or before `index`.
-    pub(super) fn forget_members(&mut self, index: LogIndex) {
+    /// Drops members that were replaced at or before `index`.
+    pub(super) fn drop_old_configs(&mut self, index: LogIndex) {
         let stale = self.configs.iter().filter(|c| c.index <= index).count().saturating_sub(1);
         self.configs.drain(..stale);
     }
--- a/hawthornkeel_core/src/replica/membership.rs
+++ b/hawthornkeel_core/src/replica/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the members, one at a time, and the repair of a lost replica.
+//! Membership changes, one at a time, and the automatic replacement of lost replicas.
 
 use std::time::Duration;
 
@@ -17,17 +17,17 @@
 use crate::replica::settings::VoterPolicy;
 
 impl Replica {
-    /// Takes in a change of the members.
+    /// Starts a membership change, or rejects it.
     pub(super) fn change(&mut self, id: ProposalId, change: MembershipChange) {
-        if !matches!(self.part, RoleState::Leader(_)) {
+        if !matches!(self.role_state, RoleState::Leader(_)) {
             let reason = RejectReason::NotLeader(self.leader.clone());
             self.actions.push(Action::ProposalRejected { id, reason });
             return;
         }
-        match self.changed(&change) {
+        match self.members_after(&change) {
             Some(members) => {
                 let index = self.set_members(members);
-                self.note_proposal(index, id);
+                self.track_proposal(index, id);
                 self.replicate();
             }
             None => self
@@ -36,31 +36,31 @@
         }
     }
 
-    /// Notes a replica without a group, which the leader may add.
-    pub(super) fn note_hello(&mut self, from: Node) {
+    /// Records a replica that announced itself, so that the leader adds it.
+    pub(super) fn record_hello(&mut self, from: Node) {
         let known = self.log.members().get(from.id).is_some();
-        if let RoleState::Leader(leader) = &mut self.part
+        if let RoleState::Leader(leader) = &mut self.role_state
             && !known
         {
             leader.joining.insert(from.name, from.id);
         }
     }
 
-    /// Adds replicas that announced themselves, and replaces those that lost their disks.
+    /// Adds replicas that announced themselves, and replaces lost ones.
     pub(super) fn repair_members(&mut self) {
         let Some(change) = self.next_repair() else { return };
-        if let Some(members) = self.changed(&change) {
+        if let Some(members) = self.members_after(&change) {
             self.set_members(members);
         }
     }
 
-    /// Returns the change that repairs the members, if one is called for.
+    /// Returns the next change that repairs the membership, if one is needed.
     fn next_repair(&mut self) -> Option<MembershipChange> {
-        if !self.is_changeable() {
+        if !self.can_change_members() {
             return None;
         }
         let members = self.log.members();
-        let RoleState::Leader(leader) = &mut self.part else { return None };
+        let RoleState::Leader(leader) = &mut self.role_state else { return None };
         leader.joining.retain(|_, id| members.get(*id).is_none());
         if let Some((name, id)) = leader.joining.pop() {
             return Some(MembershipChange::Add(Node { id, name }));
@@ -69,25 +69,26 @@
         if let Some(lost) = lost {
             return Some(MembershipChange::Remove(lost.node.id));
         }
-        let ready = members.0.iter().find(|m| self.is_ready(m, &members))?;
+        let ready = members.0.iter().find(|m| self.is_promotable(m, &members))?;
         Some(MembershipChange::Promote(ready.node.id))
     }
 
-    /// Tells whether a silent member's instance runs another replica, which has caught up.
+    /// Returns whether an unresponsive member has been replaced by a replica that has caught up.
     fn is_replaced(&self, member: &Member, members: &Members) -> bool {
-        let same = self.is_silent(member.node.id)
-            && others(member, members).any(|other| self.has_caught_up(other.node.id));
-        same || self.is_given_up(member, members)
+        let replaced = self.is_unresponsive(member.node.id)
+            && same_instance_members(member, members)
+                .any(|other| self.has_caught_up(other.node.id));
+        replaced || self.is_replaceable(member, members)
     }
 
-    /// Tells whether a silent member's place is to go to a replica of another instance.
+    /// Returns whether an unresponsive member is to be replaced by a replica of another instance.
     ///
-    /// A silent learner's place is of use to nobody: it announces itself if it comes back.
-    fn is_given_up(&self, member: &Member, members: &Members) -> bool {
+    /// An unresponsive learner can always be removed: it announces itself when it comes back.
+    fn is_replaceable(&self, member: &Member, members: &Members) -> bool {
         let VoterPolicy::Open { max_voters, replace_after } = self.settings.voter_policy else {
             return false;
         };
-        if !self.is_silent_for(member.node.id, replace_after) {
+        if !self.is_unresponsive_for(member.node.id, replace_after) {
             return false;
         }
         let spare = |m: &&Member| m.kind == MemberKind::Learner && self.has_caught_up(m.node.id);
@@ -99,64 +100,64 @@
         }
     }
 
-    /// Tells whether a learner is to become a voter, after the one that it replaces was removed.
-    fn is_ready(&self, member: &Member, members: &Members) -> bool {
+    /// Returns whether a learner is to be promoted, after the replica that it replaces was removed.
+    fn is_promotable(&self, member: &Member, members: &Members) -> bool {
         member.kind == MemberKind::Learner
-            && self.is_admitted(member, members)
+            && self.is_vote_eligible(member, members)
             && self.has_caught_up(member.node.id)
-            && others(member, members).next().is_none()
+            && same_instance_members(member, members).next().is_none()
     }
 
-    /// Tells whether the settings allow a learner to become a voter.
-    fn is_admitted(&self, member: &Member, members: &Members) -> bool {
+    /// Returns whether the settings allow a learner to become a voter.
+    fn is_vote_eligible(&self, member: &Member, members: &Members) -> bool {
         match self.settings.voter_policy {
             VoterPolicy::Founders => self.settings.founders.contains(&member.node.name),
             VoterPolicy::Open { max_voters, .. } => members.voters().count() < max_voters,
         }
     }
 
-    /// Tells whether a member did not answer for an election time.
-    fn is_silent(&self, id: ReplicaId) -> bool {
-        self.is_silent_for(id, self.settings.election_timeout)
+    /// Returns whether there was no message from a member for an election timeout.
+    fn is_unresponsive(&self, id: ReplicaId) -> bool {
+        self.is_unresponsive_for(id, self.settings.election_timeout)
     }
 
-    /// Tells whether a member did not answer for `time`.
-    fn is_silent_for(&self, id: ReplicaId, time: Duration) -> bool {
-        let RoleState::Leader(leader) = &self.part else { return false };
-        let heard = leader.peers.get(&id).map(|p| p.heard);
-        heard.is_some_and(|h| self.now.since(h) > time)
+    /// Returns whether there was no message from a member for `timeout`.
+    fn is_unresponsive_for(&self, id: ReplicaId, timeout: Duration) -> bool {
+        let RoleState::Leader(leader) = &self.role_state else { return false };
+        let contact = leader.peers.get(&id).map(|p| p.last_contact);
+        contact.is_some_and(|c| self.now.since(c) > timeout)
     }
 
-    /// Tells whether a member answers and has nearly the whole log on disk.
+    /// Returns whether a member is responsive and has nearly the whole log on disk.
     fn has_caught_up(&self, id: ReplicaId) -> bool {
-        let RoleState::Leader(leader) = &self.part else { return false };
+        let RoleState::Leader(leader) = &self.role_state else { return false };
         if id == self.node.id {
             return true;
         }
-        // One that is lost again would weaken the quorum as a voter.
-        if self.is_silent(id) {
+        // An unresponsive replica would reduce the fault tolerance as a voter.
+        if self.is_unresponsive(id) {
             return false;
         }
         leader.peers.get(&id).is_some_and(|p| {
-            p.matched >= leader.first
-                && p.matched.0 + self.settings.catchup_entries >= self.log.last().0
+            p.match_index >= leader.term_start
+                && p.match_index.0 + self.settings.catchup_entries >= self.log.last().0
         })
     }
 
-    /// Tells whether the members may be changed now.
+    /// Returns whether the members may be changed now.
     ///
-    /// The last change and an entry of the own term must be committed, or two leaders could each
-    /// have a quorum of different members.
-    fn is_changeable(&self) -> bool {
-        let RoleState::Leader(leader) = &self.part else { return false };
-        leader.hand_until.is_none()
-            && self.commit >= leader.first
+    /// The previous change and an entry of the current term must be committed. Otherwise two
+    /// leaders could have disjoint quorums.
+    fn can_change_members(&self) -> bool {
+        let RoleState::Leader(leader) = &self.role_state else { return false };
+        leader.transfer_deadline.is_none()
+            && self.commit >= leader.term_start
             && self.log.members_index() <= self.commit
     }
 
-    /// Returns the members after a change, if it is allowed.
-    fn changed(&self, change: &MembershipChange) -> Option<Members> {
-        if !self.is_changeable() {
+    /// Returns the members after a change, or `None` if it is not allowed.
+    fn members_after(&self, change: &MembershipChange) -> Option<Members> {
+        if !self.can_change_members() {
             return None;
         }
         let mut members = self.log.members();
@@ -176,21 +177,25 @@
         Some(members)
     }
 
-    /// Appends new members, which are in force at once.
+    /// Appends an entry with new members, which take effect at once, and returns its index.
     fn set_members(&mut self, members: Members) -> crate::ids::LogIndex {
         let index = self.add_entry(Payload::Members(members.clone()));
         let (own, now) = (self.node.id, self.now);
-        if let RoleState::Leader(leader) = &mut self.part {
+        if let RoleState::Leader(leader) = &mut self.role_state {
             leader.set_members(&members, own, crate::replica::log::previous(index), now);
         }
-        // Where fewer voters are left, more may be committed already.
+        // With fewer voters, more entries may be committed already.
         self.advance_commit();
         index
     }
 }
 
-/// Returns the other members that ran in the same instance.
-fn others<'a>(member: &'a Member, members: &'a Members) -> impl Iterator<Item = &'a Member> {
-    let same = |m: &&Member| m.node.name == member.node.name && m.node.id != member.node.id;
-    members.0.iter().filter(same)
+/// Returns the other members with the same instance name.
+fn same_instance_members<'a>(
+    member: &'a Member,
+    members: &'a Members,
+) -> impl Iterator<Item = &'a Member> {
+    let same_instance =
+        |m: &&Member| m.node.name == member.node.name && m.node.id != member.node.id;
+    members.0.iter().filter(same_instance)
 }
--- a/hawthornkeel_core/src/replica/message.rs
+++ b/hawthornkeel_core/src/replica/message.rs
@@ -1,4 +1,4 @@
-//! Messages between replicas.
+//! Messages between replicas of a group.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -15,11 +15,11 @@
 /// Message from one replica to another.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// Sender: its name must be the one that the connection is authenticated for.
+    /// Sender. Its name must match the authenticated peer of the connection.
     pub from: Node,
-    /// Identity of the receiver, or `None` where the sender knows only its name.
+    /// Identifier of the receiver, or `None` if the sender knows only its name.
     pub to: Option<ReplicaId>,
-    /// Group of the sender, if it has one.
+    /// Group of the sender, if it belongs to one.
     pub group: Option<GroupId>,
     /// Term of the sender.
     pub term: Term,
@@ -30,45 +30,45 @@
 /// Content of a message.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// Announces a replica that is not a member of a group.
+    /// Announces a replica that is not, or may no longer be, a member of a group.
     Hello,
-    /// Answers a hello.
+    /// Replies to `Hello`.
     HelloReply(HelloReply),
-    /// Asks whether a vote would be given, without a change of term.
+    /// Asks whether a vote would be granted, without incrementing the term.
     PreVote(VoteRequest),
-    /// Answers a pre-vote.
+    /// Replies to `PreVote`.
     PreVoteReply(VoteReply),
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote(VoteRequest),
-    /// Answers a vote request.
+    /// Replies to `Vote`.
     VoteReply(VoteReply),
-    /// Asks a voter to stand for election at once; the leader has given up its lease.
+    /// Asks a voter to start an election at once. The leader has given up its lease.
     #[serde(rename = "TakeOver")]
     TimeoutNow,
-    /// Renews the leader's lease.
+    /// Extends the leader's lease and announces the commit index.
     Heartbeat(Heartbeat),
-    /// Answers a heartbeat.
+    /// Replies to `Heartbeat`.
     HeartbeatReply(HeartbeatReply),
     /// Carries log entries.
     Append(Append),
-    /// Answers log entries, once they are on disk.
+    /// Replies to `Append`, once the entries are on disk.
     AppendReply(AppendReply),
-    /// Carries a part of a snapshot.
+    /// Carries a chunk of a snapshot.
     #[serde(rename = "Part")]
     SnapshotChunk(SnapshotChunk),
-    /// Answers a part of a snapshot.
+    /// Replies to `SnapshotChunk`.
     #[serde(rename = "PartReply")]
     SnapshotChunkReply(SnapshotChunkReply),
 }
 
-/// Answer to a hello.
+/// Reply to [`Body::Hello`].
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum HelloReply {
-    /// The sender belongs to no group either.
+    /// The sender does not belong to a group either.
     Empty,
     /// The sender belongs to a group.
     Member {
-        /// What the receiver of this answer is to that group.
+        /// Membership of the receiver in that group.
         #[serde(rename = "place")]
         membership: Membership,
         /// Leader of the group, if known.
@@ -76,116 +76,117 @@
     },
 }
 
-/// What a replica without a group is to a group.
+/// Membership of a replica in the group of the sender.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Membership {
     /// Not a member.
     #[serde(rename = "Stranger")]
     NonMember,
-    /// A member of this group that has not taken part yet.
+    /// Member of this group that has not joined yet.
     Member(GroupId),
-    /// One of the first members, while the log still begins with them.
+    /// One of the first members. Only used while the log still starts with the entry that lists
+    /// them.
     Founder(BootstrapConfig),
 }
 
-/// Founding record: the first members of a group.
+/// Initial configuration of a group.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct BootstrapConfig {
-    /// Identity of the group.
+    /// Identifier of the group.
     pub group: GroupId,
     /// First members, all voters.
     pub members: Members,
 }
 
-/// Request for a vote or a pre-vote.
+/// Vote or pre-vote request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct VoteRequest {
-    /// Term that the candidate would lead.
+    /// Term of the election.
     pub term: Term,
-    /// Last entry of the candidate's log.
+    /// Index of the last entry in the candidate's log.
     pub last_index: LogIndex,
     /// Term of that entry.
     pub last_term: Term,
-    /// Whether the leader of the term before has given up its lease for this candidate.
+    /// Whether the previous leader gave up its lease in a leadership transfer to this candidate.
     #[serde(rename = "handed")]
     pub transfer: bool,
 }
 
-/// Answer to a request for a vote or a pre-vote.
+/// Reply to a vote or pre-vote request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct VoteReply {
-    /// Term that was asked for.
+    /// Term of the request.
     pub term: Term,
-    /// Whether the vote is given.
+    /// Whether the vote is granted.
     pub granted: bool,
 }
 
 /// Heartbeat of a leader.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Number of the round, which the answer repeats.
+    /// Number of the heartbeat round, echoed in the reply.
     pub round: u64,
-    /// Last entry that is committed and that the receiver is known to have.
+    /// Index of the last committed entry that the receiver is known to have.
     pub commit: LogIndex,
 }
 
-/// Answer to a heartbeat.
+/// Reply to a heartbeat.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// Number of the round.
+    /// Number of the heartbeat round.
     pub round: u64,
 }
 
-/// Log entries for a follower.
+/// Log entries sent to a follower.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Append {
-    /// Position of the entry before the first one carried.
+    /// Index of the entry before `entries`.
     pub prev_index: LogIndex,
     /// Term of that entry.
     pub prev_term: Term,
-    /// Last entry that is committed.
+    /// Index of the last committed entry.
     pub commit: LogIndex,
     /// Entries in order.
     pub entries: Vec<Entry>,
 }
 
-/// Answer to log entries.
+/// Reply to log entries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum AppendReply {
-    /// The follower has the leader's log up to this position on disk.
+    /// The follower has the leader's log up to this index on disk.
     Stored(LogIndex),
-    /// The follower's log differs at `prev`; the leader may go on from `hint`.
+    /// The follower's log does not match at `prev`; the leader may continue after `hint`.
     #[serde(rename = "Differs")]
     Mismatch {
-        /// Position that was asked about.
+        /// Index that was compared.
         prev: LogIndex,
-        /// Last position at which the logs may agree.
+        /// Last index at which the logs may match.
         hint: LogIndex,
     },
 }
 
-/// Part of a snapshot.
+/// Chunk of a snapshot.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// Last entry that the snapshot includes.
+    /// Index of the last entry that the snapshot includes.
     pub index: LogIndex,
     /// Term of that entry.
     pub last_term: Term,
     /// Members as of that entry.
     pub members: Members,
-    /// Offset of the part, in bytes.
+    /// Offset of the chunk, in bytes.
     pub offset: u64,
-    /// Size of the whole snapshot, in bytes.
+    /// Total size of the snapshot, in bytes.
     pub total: u64,
-    /// Data of the part.
+    /// Content of the chunk.
     pub data: Bytes,
 }
 
-/// Answer to a part of a snapshot.
+/// Reply to a chunk of a snapshot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotChunkReply {
-    /// Last entry that the snapshot includes.
+    /// Index of the last entry that the snapshot includes.
     pub index: LogIndex,
-    /// Bytes received so far without gaps.
+    /// Contiguous bytes received so far.
     pub received: u64,
 }
--- a/hawthornkeel_core/src/replica/mod.rs
+++ b/hawthornkeel_core/src/replica/mod.rs
@@ -1,23 +1,24 @@
-//! Replicated log: elections, replication, snapshots and membership.
+//! Raft-style replicated log: elections, log replication, snapshots and membership changes.
 //!
-//! A [`Replica`] is driven by [`Replica::handle`] and does no I/O. The clock that `now` comes from
-//! must be monotonic, go on while the process or machine is stopped (`CLOCK_BOOTTIME` on Linux),
-//! and be read right before each call.
+//! A [`Replica`] is a state machine without I/O, driven by [`Replica::handle`]. The clock behind
+//! `now` must be monotonic, must advance while the process or machine is suspended
+//! (`CLOCK_BOOTTIME` on Linux), and must be read immediately before each call.
 //!
 //! # Identity
 //!
-//! A [`ReplicaId`](crate::ids::ReplicaId) belongs to a data folder, not to an instance: it is drawn
-//! when the folder is empty. Agreement counts identities, so a replica that lost its disk is
-//! another replica. It belongs to no group, answers no vote, and is added by the leader as a
-//! learner, sent the log, and made a voter in place of the lost one once it has caught up.
+//! A [`ReplicaId`](crate::ids::ReplicaId) identifies a data folder, not an instance: it is
+//! generated when the folder is empty. Quorums count these identities, so a replica that lost its
+//! disk comes back as a different replica. It belongs to no group and does not vote. The leader
+//! adds it as a learner, sends it the log, and promotes it to a voter in place of the lost replica
+//! once it has caught up.
 //!
-//! # Formation
+//! # Bootstrap
 //!
-//! The founder with the lowest name draws the first group, and only after every founder has told
-//! that very identity that its own disk is empty. The group is a log entry that names the identities
-//! of all founders; the other founders adopt it only if it names their own. A founder that comes
-//! back with an empty disk after that meets members, so it can't form a group again, and is not
-//! named by the group that stands, so it can't vote in it.
+//! The founder with the lowest name creates the group, and only after every other founder has
+//! reported to this exact identity that its own disk is empty. The first log entry lists the
+//! identities of all founders; the other founders accept it only if it contains their own. A
+//! founder that later returns with an empty disk is answered by members of the group, so it can't
+//! create a second group. Its new identity is not among the members, so it can't vote either.
 
 pub mod action;
 pub mod entry;
@@ -46,14 +47,14 @@
 use crate::ids::ReplicaId;
 use crate::ids::Term;
 use crate::names::InstanceName;
-use crate::replica::bootstrap::Formation;
+use crate::replica::bootstrap::Bootstrap;
 use crate::replica::election::Votes;
-use crate::replica::follower::Incoming;
-use crate::replica::leader_state::Leader;
+use crate::replica::follower::IncomingSnapshot;
+use crate::replica::leader_state::LeaderState;
 use crate::replica::log::Log;
-use crate::replica::persistence::Gate;
-use crate::replica::persistence::Held;
-use crate::replica::persistence::Saves;
+use crate::replica::persistence::DeferredMessage;
+use crate::replica::persistence::Persistence;
+use crate::replica::persistence::SyncBarrier;
 use crate::time::Instant;
 
 pub use crate::replica::action::Action;
@@ -84,14 +85,14 @@
 pub use crate::replica::settings::ReplicaSettings;
 pub use crate::replica::settings::VoterPolicy;
 
-/// Part that a replica plays, with what it needs for it.
+/// Role of a replica with the state that only this role needs.
 #[derive(Debug)]
 enum RoleState {
-    Empty(Formation),
+    Empty(Bootstrap),
     Follower,
     PreCandidate(Votes),
     Candidate(Votes),
-    Leader(Box<Leader>),
+    Leader(Box<LeaderState>),
 }
 
 /// One replica of the log.
@@ -103,30 +104,35 @@
     now: Instant,
     hard: HardState,
     log: Log,
-    saves: Saves,
-    part: RoleState,
-    /// Leader of the term, if known.
+    persistence: Persistence,
+    role_state: RoleState,
+    /// Leader of the current term, if known.
     leader: Option<Node>,
-    /// Last contact with a leader, or the start: no vote is given for an election time after it.
-    heard: Option<Instant>,
-    /// When to stand for election next.
-    stand_at: Instant,
+    /// Last contact with a leader, or the start of the process.
+    ///
+    /// No vote is granted until an election timeout has passed since then.
+    last_contact: Option<Instant>,
+    /// Time at which the next pre-vote starts.
+    election_at: Instant,
     commit: LogIndex,
     snapshot: Option<Snapshot>,
-    /// Entries applied since the last snapshot, in bytes.
-    grown: usize,
-    /// Whether a snapshot was asked for and not handed in.
-    asked: bool,
+    /// Size of the entries applied since the last snapshot, in bytes.
+    applied_bytes: usize,
+    /// Whether a snapshot was requested and has not been provided yet.
+    snapshot_requested: bool,
     /// Snapshot that is being received.
-    incoming: Option<Incoming>,
+    incoming_snapshot: Option<IncomingSnapshot>,
     actions: Vec<Action>,
-    outgoing: Vec<Held>,
-    held: VecDeque<Held>,
+    /// Messages of the input that is being handled.
+    outgoing: Vec<DeferredMessage>,
+    /// Messages of earlier inputs that wait for a save.
+    deferred: VecDeque<DeferredMessage>,
     status: Status,
 }
 
 impl Replica {
-    /// Creates a replica on an empty data folder: it forms a group or waits to be added to one.
+    /// Creates a replica on an empty data folder: it bootstraps a group or waits to be added to
+    /// one.
     pub fn new(node: Node, settings: ReplicaSettings, rng: ChaCha8Rng, now: Instant) -> Self {
         Self {
             node,
@@ -135,30 +141,30 @@
             now,
             hard: HardState::default(),
             log: Log::default(),
-            saves: Saves::default(),
-            part: RoleState::Empty(Formation::new(now)),
+            persistence: Persistence::default(),
+            role_state: RoleState::Empty(Bootstrap::new(now)),
             leader: None,
-            heard: None,
-            stand_at: now,
+            last_contact: None,
+            election_at: now,
             commit: LogIndex(0),
             snapshot: None,
-            grown: 0,
-            asked: false,
-            incoming: None,
+            applied_bytes: 0,
+            snapshot_requested: false,
+            incoming_snapshot: None,
             actions: Vec::new(),
             outgoing: Vec::new(),
-            held: VecDeque::new(),
+            deferred: VecDeque::new(),
             status: Status::default(),
         }
     }
 
-    /// Creates a replica from what its disk holds.
+    /// Recovers a replica from its persisted state.
     ///
-    /// The first actions of [`Replica::handle`] restore the state from the snapshot, if any.
+    /// If there is a snapshot, the first actions of [`Replica::handle`] restore the state from it.
     ///
     /// # Errors
     ///
-    /// Returns an error where the log has a gap.
+    /// Returns [`RecoverError::Gap`] if the log has a gap.
     pub fn recover(
         node: Node,
         settings: ReplicaSettings,
@@ -171,12 +177,13 @@
             return Ok(replica);
         }
         replica.log = Log::recover(stored.snapshot.as_ref(), stored.entries)?;
-        replica.saves = Saves::new(replica.log.last());
+        replica.persistence = Persistence::new(replica.log.last());
         replica.hard = stored.hard;
-        replica.part = RoleState::Follower;
-        // What it promised to a leader before it stopped is not on disk: it waits that time out.
-        replica.heard = Some(now);
-        replica.arm_election();
+        replica.role_state = RoleState::Follower;
+        // Heartbeats acknowledged before the restart are not on disk. A lease based on them may
+        // still be valid, so no vote is granted for one election timeout.
+        replica.last_contact = Some(now);
+        replica.reset_election_timer();
         if let Some(snapshot) = stored.snapshot {
             replica.commit = snapshot.index;
             replica.actions.push(Action::Restore(snapshot.clone()));
@@ -186,10 +193,11 @@
         Ok(replica)
     }
 
-    /// Takes in one input at `now` and returns what is to be done, in order.
+    /// Handles one input at `now` and returns the resulting actions, in order.
     pub fn handle(&mut self, now: Instant, input: Input) -> Vec<Action> {
         self.now = self.now.max(now);
-        // Timers go first, so that a leader that was stopped and continued gives up its lease.
+        // Timers are checked first, so that a leader that was suspended steps down before it
+        // serves.
         self.advance();
         match input {
             Input::Tick => {}
@@ -198,63 +206,64 @@
             Input::Propose(proposals) => self.propose(proposals),
             Input::Read(id) => self.read(id),
             Input::ChangeMembers(id, change) => self.change(id, change),
-            Input::TransferLeadership => self.start_hand_over(),
-            Input::Snapshot { index, data } => self.take_snapshot(index, data),
+            Input::TransferLeadership => self.start_transfer(),
+            Input::Snapshot { index, data } => self.store_snapshot(index, data),
         }
         self.finish()
     }
 
-    /// Returns the point at which [`Input::Tick`] is due.
+    /// Returns the time at which the next [`Input::Tick`] is due.
     pub fn next_tick(&self) -> Instant {
-        match &self.part {
-            RoleState::Empty(formation) => formation.hello_at,
-            RoleState::Leader(leader) => leader.beat_at,
+        match &self.role_state {
+            RoleState::Empty(bootstrap) => bootstrap.hello_at,
+            RoleState::Leader(leader) => leader.heartbeat_at,
             RoleState::Follower | RoleState::PreCandidate(_) | RoleState::Candidate(_) => {
-                self.stand_at
+                self.election_at
             }
         }
     }
 
-    /// Returns the replica's state.
+    /// Returns the replica's status.
     pub fn status(&self) -> &Status {
         &self.status
     }
 
-    /// Tells whether this replica leads and its lease stands at `now`.
+    /// Returns whether this replica is the leader and its lease is valid at `now`.
     pub fn has_lease(&self, now: Instant) -> bool {
-        match &self.part {
-            RoleState::Leader(leader) => self.lease_stands(leader, now),
+        match &self.role_state {
+            RoleState::Leader(leader) => self.is_lease_valid(leader, now),
             _ => false,
         }
     }
 
-    /// Does what has become due.
+    /// Runs the timers that are due.
     fn advance(&mut self) {
-        match &self.part {
-            RoleState::Empty(formation) if formation.hello_at <= self.now => self.say_hello(),
+        match &self.role_state {
+            RoleState::Empty(bootstrap) if bootstrap.hello_at <= self.now => self.send_hello(),
             RoleState::Leader(_) => self.advance_leader(),
             RoleState::Follower | RoleState::PreCandidate(_) | RoleState::Candidate(_)
-                if self.stand_at <= self.now =>
+                if self.election_at <= self.now =>
             {
-                self.stand();
+                self.start_pre_vote();
             }
             _ => {}
         }
     }
 
-    /// Notes that a save is on disk, and what follows from it.
+    /// Records that a save is on disk, and counts the own vote or log position that it makes
+    /// durable.
     fn synced(&mut self, seq: SaveSeq) {
-        self.saves.synced(seq);
-        match &self.part {
+        self.persistence.synced(seq);
+        match &self.role_state {
             RoleState::Candidate(_) => self.count_own_vote(),
             RoleState::Leader(_) => self.advance_commit(),
             _ => {}
         }
     }
 
-    /// Returns the role for the status.
+    /// Returns the role that [`Status`] reports.
     fn role(&self) -> Role {
-        match &self.part {
+        match &self.role_state {
             RoleState::Empty(_) => Role::Empty,
             RoleState::Follower => Role::Follower,
             RoleState::PreCandidate(_) => Role::PreCandidate,
@@ -263,31 +272,37 @@
         }
     }
 
-    /// Changes the hard state, which is saved before anything that rests on it leaves.
+    /// Changes the hard state. It is saved before any message that depends on it is sent.
     fn set_hard(&mut self, hard: HardState) {
         if hard != self.hard {
             self.hard = hard;
-            self.saves.set_hard(hard);
+            self.persistence.set_hard(hard);
         }
     }
 
-    /// Adds an entry to the log.
+    /// Appends an entry of the current term to the log and returns its index.
     fn add_entry(&mut self, payload: Payload) -> LogIndex {
         let index = log::next(self.log.last());
         let entry = Entry { index, term: self.hard.term, payload };
-        self.saves.add(entry.clone());
+        self.persistence.add_entry(entry.clone());
         self.log.append(entry);
         index
     }
 
     /// Queues a message to a replica.
-    fn send(&mut self, to: &Node, gate: Gate, body: Body) {
-        self.send_to(&to.name, Some(to.id), gate, body);
+    fn send(&mut self, to: &Node, barrier: SyncBarrier, body: Body) {
+        self.send_to(&to.name, Some(to.id), barrier, body);
     }
 
     /// Queues a message to an instance.
-    fn send_to(&mut self, to: &InstanceName, id: Option<ReplicaId>, gate: Gate, body: Body) {
-        // What is changed but not yet numbered belongs to the gate as well.
+    fn send_to(
+        &mut self,
+        to: &InstanceName,
+        id: Option<ReplicaId>,
+        barrier: SyncBarrier,
+        body: Body,
+    ) {
+        // Unsaved changes get a sequence number first, so that the barrier covers them.
         self.save_log();
         let message = Message {
             from: self.node.clone(),
@@ -296,29 +311,29 @@
             term: self.hard.term,
             body,
         };
-        let seq = self.saves.gate(gate);
-        self.outgoing.push(Held { seq, to: to.clone(), message });
+        let seq = self.persistence.barrier_seq(barrier);
+        self.outgoing.push(DeferredMessage { seq, to: to.clone(), message });
     }
 
-    /// Turns what changed into a save.
+    /// Emits a save with the changes of the hard state and the log, if any.
     fn save_log(&mut self) {
         let last = self.log.last();
-        if let Some((seq, save)) = self.saves.take(last) {
+        if let Some((seq, save)) = self.persistence.take_save(last) {
             self.actions.push(Action::Save { seq, save });
         }
     }
 
-    /// Hands out committed entries up to `commit`.
+    /// Advances the commit index to `commit` and emits the committed entries.
     fn apply(&mut self, commit: LogIndex) {
         let commit = commit.min(self.log.last());
         if commit <= self.commit {
             return;
         }
-        let entries = self.log.span(self.commit, commit);
-        self.grown += entries.iter().map(Entry::size).sum::<usize>();
+        let entries = self.log.range(self.commit, commit);
+        self.applied_bytes += entries.iter().map(Entry::size).sum::<usize>();
         self.commit = commit;
         let applied = entries.into_iter().map(|entry| {
-            let proposal = match &mut self.part {
+            let proposal = match &mut self.role_state {
                 RoleState::Leader(leader) => leader.take_proposal(&entry),
                 _ => None,
             };
@@ -326,32 +341,32 @@
         });
         let applied = applied.collect();
         self.actions.push(Action::Apply(applied));
-        self.ask_snapshot();
+        self.request_snapshot();
     }
 
-    /// Ends an input: saves what changed, and sends what waits for nothing any more.
+    /// Finishes an input: saves changes, and sends the messages whose saves are on disk.
     fn finish(&mut self) -> Vec<Action> {
         self.save_log();
-        self.held.extend(self.outgoing.drain(..));
+        self.deferred.extend(self.outgoing.drain(..));
         let term = self.hard.term;
         let mut waiting = VecDeque::new();
-        for held in std::mem::take(&mut self.held) {
-            // An answer of an older term is of no use to anyone.
-            if held.message.term < term {
+        for deferred in std::mem::take(&mut self.deferred) {
+            // Messages of an older term are obsolete.
+            if deferred.message.term < term {
                 continue;
             }
-            if self.saves.is_synced(held.seq) {
-                self.actions.push(Action::Send { to: held.to, message: held.message });
+            if self.persistence.is_synced(deferred.seq) {
+                self.actions.push(Action::Send { to: deferred.to, message: deferred.message });
             } else {
-                waiting.push_back(held);
+                waiting.push_back(deferred);
             }
         }
-        self.held = waiting;
+        self.deferred = waiting;
         self.update_status();
         std::mem::take(&mut self.actions)
     }
 
-    /// Brings the status up to date and reports changes of role, term, leader and members.
+    /// Updates the status and reports changes of role, term, leader and members.
     fn update_status(&mut self) {
         let status = Status {
             role: self.role(),
@@ -371,8 +386,8 @@
         self.status = status;
     }
 
-    /// Takes up the term of a message and follows whoever leads it.
-    fn follow_term(&mut self, term: Term) {
+    /// Adopts a higher term from a message and becomes a follower without a known leader.
+    fn observe_term(&mut self, term: Term) {
         if term > self.hard.term {
             self.step_down();
             self.leader = None;
@@ -381,12 +396,12 @@
     }
 }
 
-/// Why a replica can't start from what its disk holds.
+/// Reason why a replica can't recover from its persisted state.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RecoverError {
-    /// An entry is missing: the one after `after` is not there.
+    /// Log entries are missing.
     Gap {
-        /// Last position before the gap.
+        /// Index of the last entry before the gap.
         after: LogIndex,
     },
 }
@@ -394,7 +409,7 @@
 impl fmt::Display for RecoverError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Gap { after } => write!(f, "log has a gap after entry {after}"),
+            Self::Gap { after } => write!(f, "log entries are missing after index {after}"),
         }
     }
 }
--- a/hawthornkeel_core/src/replica/persistence.rs
+++ b/hawthornkeel_core/src/replica/persistence.rs
@@ -1,4 +1,4 @@
-//! What is on disk, and the messages that wait for it.
+//! Tracking of saves and of the messages that wait for them.
 
 use std::collections::VecDeque;
 
@@ -10,90 +10,92 @@
 use crate::replica::entry::SaveSeq;
 use crate::replica::message::Message;
 
-/// What must be on disk before a message leaves.
+/// State that must be on disk before a message is sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Gate {
+pub(super) enum SyncBarrier {
     /// Nothing.
-    Free,
-    /// The hard state as it was when the message was made.
-    Hard,
-    /// Everything saved when the message was made.
+    None,
+    /// The hard state as of the creation of the message.
+    HardState,
+    /// Everything saved up to the creation of the message.
     All,
 }
 
 /// Message that waits for a save.
 #[derive(Debug)]
-pub(super) struct Held {
-    /// Save that must be on disk, and all before it.
+pub(super) struct DeferredMessage {
+    /// Sequence number of the save that must be on disk with all earlier ones.
     pub(super) seq: SaveSeq,
-    /// Receiver.
+    /// Name of the receiving instance.
     pub(super) to: InstanceName,
-    /// Message.
+    /// Message to send.
     pub(super) message: Message,
 }
 
-/// Save that is not yet on disk.
+/// Save that is not on disk yet.
 #[derive(Clone, Copy, Debug)]
-struct Pending {
+struct PendingSave {
     seq: SaveSeq,
-    /// Last entry that is on disk once it is.
-    last: LogIndex,
+    /// Index of the last log entry on disk after this save.
+    last_index: LogIndex,
 }
 
-/// What is saved, on disk and about to be saved.
+/// Changes to be saved, saves in progress and the state that is on disk.
 #[derive(Debug, Default)]
-pub(super) struct Saves {
-    issued: SaveSeq,
-    synced: SaveSeq,
+pub(super) struct Persistence {
+    last_issued: SaveSeq,
+    last_synced: SaveSeq,
+    /// Last save that contains the hard state.
     hard_seq: SaveSeq,
-    durable: LogIndex,
-    pending: VecDeque<Pending>,
+    durable_index: LogIndex,
+    pending: VecDeque<PendingSave>,
     hard: Option<HardState>,
     truncate: Option<LogIndex>,
     entries: Vec<Entry>,
 }
 
-impl Saves {
-    /// Starts with a disk that holds the log up to `durable`.
-    pub(super) fn new(durable: LogIndex) -> Self {
-        Self { durable, ..Self::default() }
+impl Persistence {
+    /// Creates the state for a disk that holds the log up to `durable_index`.
+    pub(super) fn new(durable_index: LogIndex) -> Self {
+        Self { durable_index, ..Self::default() }
     }
 
-    /// Returns the last entry on disk.
+    /// Returns the index of the last entry on disk.
     ///
-    /// It is part of the log only while this replica leads: it asks for votes after all that it cut
-    /// off before is off the disk too, and a leader cuts nothing off.
-    pub(super) fn durable(&self) -> LogIndex {
-        self.durable
+    /// Only meaningful on a leader, where this entry is part of the log: vote requests are sent
+    /// after earlier truncations have reached the disk, and a leader never truncates its log.
+    pub(super) fn durable_index(&self) -> LogIndex {
+        self.durable_index
     }
 
-    /// Tells whether `seq` and all before it are on disk.
+    /// Returns whether the save `seq` and all earlier ones are on disk.
     pub(super) fn is_synced(&self, seq: SaveSeq) -> bool {
-        seq <= self.synced
+        seq <= self.last_synced
     }
 
-    /// Notes a new hard state.
+    /// Records a new hard state.
     pub(super) fn set_hard(&mut self, hard: HardState) {
         self.hard = Some(hard);
     }
 
-    /// Notes an entry added at the end of the log.
-    pub(super) fn add(&mut self, entry: Entry) {
+    /// Records an entry appended to the log.
+    pub(super) fn add_entry(&mut self, entry: Entry) {
         self.entries.push(entry);
     }
 
-    /// Notes that the log was cut before `from`.
+    /// Records that the log was truncated from `from` on.
     pub(super) fn truncate(&mut self, from: LogIndex) {
         self.entries.retain(|e| e.index < from);
         self.truncate = Some(self.truncate.map_or(from, |t| t.min(from)));
     }
 
-    /// Takes what has to be saved, if anything, as one save that leaves the log at `last`.
-    pub(super) fn take(&mut self, last: LogIndex) -> Option<(SaveSeq, Save)> {
+    /// Returns the recorded changes as one save after which the log ends at `last`, if there are
+    /// any.
+    pub(super) fn take_save(&mut self, last: LogIndex) -> Option<(SaveSeq, Save)> {
         if self.hard.is_none() && self.truncate.is_none() && self.entries.is_empty() {
             return None;
         }
-        let seq = self.issue(last);
+        let seq = self.issue_seq(last);
         if self.hard.is_some() {
             self.hard_seq = seq;
         }
@@ -105,33 +107,33 @@
         Some((seq, save))
     }
 
-    /// Numbers a save that leaves the log on disk at `last`.
-    pub(super) fn issue(&mut self, last: LogIndex) -> SaveSeq {
-        self.issued = SaveSeq(self.issued.0 + 1);
-        self.pending.push_back(Pending { seq: self.issued, last });
-        self.issued
+    /// Assigns a sequence number to a save after which the log on disk ends at `last`.
+    pub(super) fn issue_seq(&mut self, last: LogIndex) -> SaveSeq {
+        self.last_issued = SaveSeq(self.last_issued.0 + 1);
+        self.pending.push_back(PendingSave { seq: self.last_issued, last_index: last });
+        self.last_issued
     }
 
-    /// Notes that `seq` and all before it are on disk.
+    /// Records that the save `seq` and all earlier ones are on disk.
     pub(super) fn synced(&mut self, seq: SaveSeq) {
-        // A ticket that was never issued would count what is not on disk.
-        let seq = seq.min(self.issued);
-        self.synced = self.synced.max(seq);
+        // A number that was never issued must not make later saves count as synced.
+        let seq = seq.min(self.last_issued);
+        self.last_synced = self.last_synced.max(seq);
         while let Some(pending) = self.pending.front().copied() {
-            if pending.seq > self.synced {
+            if pending.seq > self.last_synced {
                 break;
             }
-            self.durable = pending.last;
+            self.durable_index = pending.last_index;
             self.pending.pop_front();
         }
     }
 
-    /// Returns the save that a message made now must wait for.
-    pub(super) fn gate(&self, gate: Gate) -> SaveSeq {
-        match gate {
-            Gate::Free => SaveSeq(0),
-            Gate::Hard => self.hard_seq,
-            Gate::All => self.issued,
+    /// Returns the save that a message created now must wait for.
+    pub(super) fn barrier_seq(&self, barrier: SyncBarrier) -> SaveSeq {
+        match barrier {
+            SyncBarrier::None => SaveSeq(0),
+            SyncBarrier::HardState => self.hard_seq,
+            SyncBarrier::All => self.last_issued,
         }
     }
 }
--- a/hawthornkeel_core/src/replica/progress.rs
+++ b/hawthornkeel_core/src/replica/progress.rs
@@ -1,4 +1,4 @@
-//! How far a member has the leader's log, and what is on its way to it.
+//! Replication progress of a member, as seen by the leader.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,162 +8,164 @@
 use crate::replica::settings::ReplicaSettings;
 use crate::time::Instant;
 
-/// How the leader sends to a member.
+/// How the leader replicates to a member.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Flow {
-    /// One message at a time, until the point where the logs agree is known.
+pub(super) enum ReplicationState {
+    /// One message at a time, until the index at which the logs match is known.
     Probe,
-    /// As many messages as the limits allow.
+    /// Pipelined messages, within the limits on unacknowledged ones.
     Replicate,
-    /// Parts of a snapshot, one at a time.
+    /// Chunks of a snapshot, one at a time.
     Snapshot {
-        /// Last entry that the snapshot includes.
+        /// Index of the last entry that the snapshot includes.
         index: LogIndex,
-        /// Bytes that the member has.
+        /// Bytes that the member has received.
         received: u64,
     },
 }
 
-/// Message with entries that was not answered.
+/// Message with entries that is not acknowledged.
 #[derive(Clone, Copy, Debug)]
-struct Inflight {
-    last: LogIndex,
+struct InflightAppend {
+    last_index: LogIndex,
     bytes: usize,
 }
 
-/// How far a member has the leader's log.
+/// Replication progress of a member.
 #[derive(Debug)]
 pub(super) struct Progress {
-    /// Last entry that the member has on disk.
-    pub(super) matched: LogIndex,
-    /// Next entry to send.
-    pub(super) next: LogIndex,
-    /// How to send.
-    pub(super) flow: Flow,
-    /// Sending time of the last heartbeat that the member answered.
-    pub(super) acked: Option<Instant>,
+    /// Index of the last entry known to be on the member's disk.
+    pub(super) match_index: LogIndex,
+    /// Index of the next entry to send.
+    pub(super) next_index: LogIndex,
+    /// Replication state.
+    pub(super) state: ReplicationState,
+    /// Time at which the last acknowledged heartbeat was sent.
+    pub(super) acked_at: Option<Instant>,
     /// Time of the last message from the member.
-    pub(super) heard: Instant,
-    /// Time of the last message with entries or parts, or of the last progress, while one is out.
-    sent: Option<Instant>,
-    inflight: VecDeque<Inflight>,
-    bytes: usize,
+    pub(super) last_contact: Instant,
+    /// Start of the resend timeout, while a message with entries or a chunk is not acknowledged.
+    ///
+    /// Time at which it was sent, or of the last progress since.
+    sent_at: Option<Instant>,
+    inflight: VecDeque<InflightAppend>,
+    inflight_bytes: usize,
 }
 
 impl Progress {
-    /// Starts at the end of the leader's log.
+    /// Creates the progress of a new member, starting at the end of the leader's log.
     pub(super) fn new(last: LogIndex, now: Instant) -> Self {
         Self {
-            matched: LogIndex(0),
-            next: log::next(last),
-            flow: Flow::Probe,
-            acked: None,
-            heard: now,
-            sent: None,
+            match_index: LogIndex(0),
+            next_index: log::next(last),
+            state: ReplicationState::Probe,
+            acked_at: None,
+            last_contact: now,
+            sent_at: None,
             inflight: VecDeque::new(),
-            bytes: 0,
+            inflight_bytes: 0,
         }
     }
 
-    /// Tells whether another message with entries or parts may be sent.
-    pub(super) fn has_room(&self, settings: &ReplicaSettings) -> bool {
-        match self.flow {
-            Flow::Probe | Flow::Snapshot { .. } => self.sent.is_none(),
-            Flow::Replicate => {
+    /// Returns whether another message with entries or a chunk may be sent.
+    pub(super) fn can_send(&self, settings: &ReplicaSettings) -> bool {
+        match self.state {
+            ReplicationState::Probe | ReplicationState::Snapshot { .. } => self.sent_at.is_none(),
+            ReplicationState::Replicate => {
                 self.inflight.len() < settings.inflight_messages
-                    && self.bytes < settings.inflight_bytes
+                    && self.inflight_bytes < settings.inflight_bytes
             }
         }
     }
 
-    /// Notes a message with entries up to `last`.
+    /// Records that entries up to `last` were sent.
     pub(super) fn sent_entries(&mut self, last: LogIndex, bytes: usize, now: Instant) {
-        if self.flow == Flow::Replicate {
-            self.inflight.push_back(Inflight { last, bytes });
-            self.bytes += bytes;
-            self.next = log::next(last);
-            self.sent.get_or_insert(now);
+        if self.state == ReplicationState::Replicate {
+            self.inflight.push_back(InflightAppend { last_index: last, bytes });
+            self.inflight_bytes += bytes;
+            self.next_index = log::next(last);
+            self.sent_at.get_or_insert(now);
         } else {
-            self.sent = Some(now);
+            self.sent_at = Some(now);
         }
     }
 
-    /// Notes a part of a snapshot.
-    pub(super) fn sent_part(&mut self, now: Instant) {
-        self.sent = Some(now);
+    /// Records that a chunk of a snapshot was sent.
+    pub(super) fn sent_chunk(&mut self, now: Instant) {
+        self.sent_at = Some(now);
     }
 
-    /// Notes that the member has the log up to `index` on disk.
+    /// Handles an acknowledgement that the member has the log up to `index` on disk.
     pub(super) fn stored(&mut self, index: LogIndex, now: Instant) {
-        if let Flow::Snapshot { index: wanted, .. } = self.flow
+        if let ReplicationState::Snapshot { index: wanted, .. } = self.state
             && index < wanted
         {
             return;
         }
-        if index > self.matched {
-            self.matched = index;
-            self.sent = Some(now);
+        if index > self.match_index {
+            self.match_index = index;
+            self.sent_at = Some(now);
         }
         while let Some(first) = self.inflight.front().copied() {
-            if first.last > self.matched {
+            if first.last_index > self.match_index {
                 break;
             }
-            self.bytes -= first.bytes;
+            self.inflight_bytes -= first.bytes;
             self.inflight.pop_front();
         }
-        self.flow = Flow::Replicate;
-        self.next = self.next.max(log::next(self.matched));
+        self.state = ReplicationState::Replicate;
+        self.next_index = self.next_index.max(log::next(self.match_index));
         if self.inflight.is_empty() {
-            self.next = log::next(self.matched);
-            self.sent = None;
+            self.next_index = log::next(self.match_index);
+            self.sent_at = None;
         }
     }
 
-    /// Notes that the member's log differs at `prev` and may agree at `hint`.
-    pub(super) fn differs(&mut self, prev: LogIndex, hint: LogIndex) {
-        let stale = prev <= self.matched || prev >= self.next;
-        if stale || matches!(self.flow, Flow::Snapshot { .. }) {
+    /// Handles a reply that the member's log does not match at `prev` and may match at `hint`.
+    pub(super) fn mismatch(&mut self, prev: LogIndex, hint: LogIndex) {
+        let stale = prev <= self.match_index || prev >= self.next_index;
+        if stale || matches!(self.state, ReplicationState::Snapshot { .. }) {
             return;
         }
         let next = prev.min(log::next(hint));
         self.probe(next);
     }
 
-    /// Notes that the member has `received` bytes of the snapshot at `index`.
+    /// Handles an acknowledgement that the member has `received` bytes of the snapshot at `index`.
     pub(super) fn received(&mut self, index: LogIndex, received: u64) {
-        if let Flow::Snapshot { index: wanted, received: known } = &mut self.flow
+        if let ReplicationState::Snapshot { index: wanted, received: known } = &mut self.state
             && *wanted == index
             && *known != received
         {
             *known = received;
-            self.sent = None;
+            self.sent_at = None;
         }
     }
 
-    /// Goes over to sending the snapshot at `index`.
+    /// Switches to sending the snapshot at `index`.
     pub(super) fn start_snapshot(&mut self, index: LogIndex) {
-        self.probe(log::next(self.matched));
-        self.flow = Flow::Snapshot { index, received: 0 };
+        self.probe(log::next(self.match_index));
+        self.state = ReplicationState::Snapshot { index, received: 0 };
     }
 
-    /// Goes back to sending one message at a time, from `next`.
+    /// Switches to sending one message at a time, starting with the entry at `next`.
     pub(super) fn probe(&mut self, next: LogIndex) {
-        self.flow = Flow::Probe;
-        self.next = next.max(log::next(self.matched));
+        self.state = ReplicationState::Probe;
+        self.next_index = next.max(log::next(self.match_index));
         self.inflight.clear();
-        self.bytes = 0;
-        self.sent = None;
+        self.inflight_bytes = 0;
+        self.sent_at = None;
     }
 
-    /// Sends again what was not answered for too long.
-    pub(super) fn check_resend(&mut self, resend: Duration, now: Instant) {
-        let late = self.sent.is_some_and(|s| now.since(s) >= resend);
-        if !late {
+    /// Allows a resend if there was no acknowledgement for `timeout`.
+    pub(super) fn check_resend(&mut self, timeout: Duration, now: Instant) {
+        let expired = self.sent_at.is_some_and(|s| now.since(s) >= timeout);
+        if !expired {
             return;
         }
-        match self.flow {
-            Flow::Replicate => self.probe(log::next(self.matched)),
-            Flow::Probe | Flow::Snapshot { .. } => self.sent = None,
+        match self.state {
+            ReplicationState::Replicate => self.probe(log::next(self.match_index)),
+            ReplicationState::Probe | ReplicationState::Snapshot { .. } => self.sent_at = None,
         }
     }
 }
--- a/hawthornkeel_core/src/replica/receive.rs
+++ b/hawthornkeel_core/src/replica/receive.rs
@@ -1,4 +1,4 @@
-//! Sorts out messages by group, receiver and term.
+//! Dispatch of messages by receiver, group and term.
 
 use crate::replica::Replica;
 use crate::replica::RoleState;
@@ -7,13 +7,13 @@
 use crate::replica::message::Body;
 use crate::replica::message::HeartbeatReply;
 use crate::replica::message::Message;
-use crate::replica::persistence::Gate;
+use crate::replica::persistence::SyncBarrier;
 
 impl Replica {
-    /// Takes in a message.
+    /// Handles a message, and ignores one for another replica.
     pub(super) fn receive(&mut self, message: Message) {
-        let stranger = message.to.is_some_and(|id| id != self.node.id);
-        if stranger || message.from.id == self.node.id {
+        let misaddressed = message.to.is_some_and(|id| id != self.node.id);
+        if misaddressed || message.from.id == self.node.id {
             return;
         }
         match message.body {
@@ -23,69 +23,70 @@
         }
     }
 
-    /// Takes in a message between members of one group.
+    /// Handles a message between members of a group.
     fn receive_member(&mut self, message: Message) {
         let Some(group) = message.group else { return };
         match self.hard.group {
             Some(own) if own != group => return,
             Some(_) => {}
             None if is_from_leader(&message.body) && message.to == Some(self.node.id) => {
-                self.join(group);
+                self.join_group(group);
             }
             None => return,
         }
         match &message.body {
-            // Neither changes the term by itself: a member that was cut off disturbs nobody.
-            Body::PreVote(candidacy) => self.receive_pre_vote(&message.from, *candidacy),
-            Body::Vote(candidacy) if self.in_lease() && !candidacy.transfer => {}
-            // Comes from voters whose term may be lower than the candidate's.
+            // Neither changes the term by itself, so that a member that was partitioned does not
+            // disrupt the group when it returns.
+            Body::PreVote(request) => self.receive_pre_vote(&message.from, *request),
+            Body::Vote(request) if self.in_lease() && !request.transfer => {}
+            // May come from a voter with a lower term than the candidate's.
             Body::PreVoteReply(reply) => {
-                self.follow_term(message.term);
+                self.observe_term(message.term);
                 self.receive_pre_vote_reply(&message.from, *reply);
             }
             _ => self.receive_in_term(message),
         }
     }
 
-    /// Takes in a message that raises the term.
+    /// Handles a message whose term is adopted if it is higher.
     fn receive_in_term(&mut self, message: Message) {
-        self.follow_term(message.term);
+        self.observe_term(message.term);
         if message.term < self.hard.term {
-            self.answer_old_leader(&message);
+            self.answer_stale_leader(&message);
             return;
         }
         let from = message.from;
         match message.body {
-            Body::Vote(candidacy) => self.receive_vote(&from, candidacy),
+            Body::Vote(request) => self.receive_vote(&from, request),
             Body::VoteReply(reply) => self.receive_vote_reply(&from, reply),
-            Body::TimeoutNow => self.take_over(),
+            Body::TimeoutNow => self.receive_timeout_now(),
             Body::Heartbeat(heartbeat) => self.receive_heartbeat(&from, heartbeat),
             Body::HeartbeatReply(reply) => self.receive_heartbeat_reply(&from, reply),
             Body::Append(append) => self.receive_append(&from, append),
             Body::AppendReply(reply) => self.receive_append_reply(&from, reply),
-            Body::SnapshotChunk(part) => self.receive_part(&from, part),
-            Body::SnapshotChunkReply(reply) => self.receive_part_reply(&from, reply),
+            Body::SnapshotChunk(chunk) => self.receive_chunk(&from, chunk),
+            Body::SnapshotChunkReply(reply) => self.receive_chunk_reply(&from, reply),
             Body::Hello | Body::HelloReply(_) | Body::PreVote(_) | Body::PreVoteReply(_) => {}
         }
     }
 
-    /// Tells the leader of an older term that it leads no more.
-    fn answer_old_leader(&mut self, message: &Message) {
+    /// Notifies the leader of an older term of the current one.
+    fn answer_stale_leader(&mut self, message: &Message) {
         if let Body::Heartbeat(heartbeat) = &message.body {
             let reply = HeartbeatReply { round: heartbeat.round };
-            self.send(&message.from, Gate::Hard, Body::HeartbeatReply(reply));
+            self.send(&message.from, SyncBarrier::HardState, Body::HeartbeatReply(reply));
         }
     }
 
-    /// Joins a group whose leader knows this replica by its identity.
-    pub(super) fn join(&mut self, group: GroupId) {
-        self.part = RoleState::Follower;
+    /// Joins a group that lists the identifier of this replica.
+    pub(super) fn join_group(&mut self, group: GroupId) {
+        self.role_state = RoleState::Follower;
         self.set_hard(HardState { group: Some(group), ..self.hard });
-        self.arm_election();
+        self.reset_election_timer();
     }
 }
 
-/// Tells whether only a leader sends such messages.
+/// Returns whether only leaders send such messages.
 fn is_from_leader(body: &Body) -> bool {
     matches!(body, Body::Heartbeat(_) | Body::Append(_) | Body::SnapshotChunk(_))
 }
--- a/hawthornkeel_core/src/replica/settings.rs
+++ b/hawthornkeel_core/src/replica/settings.rs
@@ -1,64 +1,67 @@
-//! Settings of the replicated log.
+//! Settings of a replica.
 
 use std::time::Duration;
 
 use crate::names::InstanceName;
 
-/// Which learners become voters by themselves.
+/// Which learners are promoted to voters automatically.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum VoterPolicy {
-    /// Only those of the founders' instances.
+    /// Only replicas of the founders.
     #[default]
     Founders,
-    /// Any control instance, for deployments that replace instances by others.
+    /// Replicas of any control instance, for deployments that replace instances with new ones.
     Open {
-        /// Voters, at most; further replicas stay learners and take the place of lost voters.
+        /// Maximum number of voters. Further replicas remain learners and replace lost voters.
         max_voters: usize,
-        /// Time without an answer after which a learner takes the place of a voter.
+        /// Time without a message from a voter after which a learner replaces it.
         replace_after: Duration,
     },
 }
 
-/// Settings of a replica, which all replicas of a group should share.
+/// Settings of a replica. All replicas of a group should use the same.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReplicaSettings {
-    /// Instances that form the first group, and whose replicas may become voters by themselves.
+    /// Instances that bootstrap the group, and whose replicas are promoted to voters automatically.
     pub founders: Vec<InstanceName>,
-    /// Whether this replica may take part in forming the first group.
+    /// Whether this replica may take part in bootstrapping a group.
     ///
-    /// Not on a folder that may have been lost: a group may stand that none of the others is in.
+    /// Must be `false` if its data folder may have been lost: a group may already exist to which
+    /// none of the other founders belongs any more.
     pub can_bootstrap: bool,
-    /// Who may become a voter beside the founders.
+    /// Which learners are promoted to voters automatically.
     pub voter_policy: VoterPolicy,
-    /// Time without a leader after which a replica may vote for another.
+    /// Time without contact to a leader after which a replica may vote for another one.
     ///
-    /// A follower waits between one and two times this long before it stands for election.
+    /// A follower waits for a random time between one and two times this long before it starts a
+    /// pre-vote.
     pub election_timeout: Duration,
     /// Time between heartbeats.
     pub heartbeat_interval: Duration,
-    /// Part of `election_timeout` that the leader's lease leaves unused, as allowance for clock drift.
+    /// Margin for clock drift by which the leader's lease is shorter than `election_timeout`.
     pub clock_drift: Duration,
-    /// Time after which entries that were not answered are sent again.
+    /// Time after which entries or chunks are resent if there is no reply.
     pub resend_timeout: Duration,
-    /// Time between hellos of a replica that belongs to no group.
+    /// Time between hellos of a replica that does not belong to a group.
     pub hello_interval: Duration,
-    /// Time that a read waits for the leader's lease at most.
+    /// Maximum time that a read waits for the leader's lease.
     pub read_timeout: Duration,
-    /// Entries applied since the last snapshot that call for the next, once they are as large as it.
+    /// Number of entries applied since the last snapshot after which the next one is taken,
+    /// provided that they are at least as large as the last one.
     pub snapshot_entries: u64,
-    /// Entries before a snapshot that stay in the log for slow followers.
+    /// Number of entries before a snapshot that are retained in the log for slow followers.
     pub retain_entries: u64,
-    /// Entries that a learner may lack when it becomes a voter.
+    /// Maximum number of entries that a learner may lack to be promoted to a voter.
     pub catchup_entries: u64,
-    /// Size of one message's entries, in bytes.
+    /// Maximum size of the entries in one message, in bytes. A single entry may be larger.
     pub append_bytes: usize,
-    /// Messages with entries on their way to one follower, at most.
+    /// Maximum number of unacknowledged messages with entries per follower.
     pub inflight_messages: usize,
-    /// Entries on their way to one follower, in bytes at most.
+    /// Maximum size of the unacknowledged entries per follower, in bytes.
     pub inflight_bytes: usize,
-    /// Proposed entries that are not committed, in bytes at most.
+    /// Maximum size of the proposed entries that are not committed, in bytes.
     pub pending_bytes: usize,
-    /// Size of one part of a snapshot, in bytes.
+    /// Maximum size of a chunk of a snapshot, in bytes.
     pub chunk_bytes: usize,
 }
 
