--- a/hawthornkeel_core/benches/log_costs.rs
+++ b/hawthornkeel_core/benches/log_costs.rs
@@ -1,9 +1,9 @@
-//! Processor time and messages of the replicated log, with three replicas in one thread.
+//! CPU time and messages of the replicated log, with all replicas in one thread.
 //!
-//! `cargo bench -p hawthornkeel_core --bench log_costs`; disks and network take no time here.
+//! Run with `cargo bench -p hawthornkeel_core --bench log_costs`. Disk and network latency is zero.
 
 use std::collections::VecDeque;
-use std::time::Instant as Clock;
+use std::time::Instant as StdInstant;
 
 use bytes::Bytes;
 use hawthornkeel_core::ids::ReplicaId;
@@ -20,10 +20,10 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Size of a command, in bytes: about that of a claim.
+/// Size of a command in bytes, about that of a claim.
 const COMMAND_BYTES: usize = 200;
 
-/// Replicas whose inputs are handed over at once.
+/// Group of replicas without disk and network latency.
 struct Group {
     replicas: Vec<Replica>,
     queue: VecDeque<(usize, Input)>,
@@ -47,6 +47,7 @@
         Self { replicas, queue, now: 0, applied: 0, messages: 0, bytes: 0 }
     }
 
+    /// Processes all queued inputs and those that result from them.
     fn drain(&mut self) {
         while let Some((i, input)) = self.queue.pop_front() {
             for action in self.replicas[i].handle(Instant::from_micros(self.now), input) {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Lets time pass to the next deadline.
+    /// Advances the time to the next tick of any replica.
     fn step(&mut self) {
         let due = self.replicas.iter().map(|r| r.next_tick().as_micros()).min().unwrap();
         self.now = self.now.max(due);
@@ -80,6 +81,7 @@
         self.drain();
     }
 
+    /// Returns the leader, after running the group until there is one.
     fn leader(&mut self) -> usize {
         loop {
             if let Some(i) = self.replicas.iter().position(|r| r.status().role == Role::Leader) {
@@ -90,13 +92,13 @@
     }
 }
 
-/// Commits `count` commands in batches, and prints what one costs.
+/// Commits `count` commands in batches, and prints the costs per command.
 fn measure_commits(size: usize, batch: u64, count: u64) {
     let mut group = Group::new(size);
     let leader = group.leader();
     let data = Bytes::from(vec![1; COMMAND_BYTES]);
     let (applied, messages, bytes) = (group.applied, group.messages, group.bytes);
-    let start = Clock::now();
+    let start = StdInstant::now();
     for first in (0..count).step_by(batch as usize) {
         let proposal = |id| Proposal { id: ProposalId(id), data: data.clone() };
         let proposals = (first..first + batch).map(proposal).collect();
@@ -114,13 +116,13 @@
     );
 }
 
-/// Lets an idle group run, and prints what a second of it costs.
+/// Runs an idle group, and prints the costs per second.
 fn measure_idle(size: usize) {
     const SECONDS: u64 = 600;
     let mut group = Group::new(size);
     group.leader();
     let (messages, bytes, end) = (group.messages, group.bytes, group.now + SECONDS * 1_000_000);
-    let start = Clock::now();
+    let start = StdInstant::now();
     while group.now < end {
         group.step();
     }
--- a/hawthornkeel_core/tests/leader_rules.rs
+++ b/hawthornkeel_core/tests/leader_rules.rs
@@ -1,5 +1,4 @@
-//! Rules of a leader, on one replica that is handed its messages: what it commits and when it may
-//! answer.
+//! Commit and lease rules of a leader, tested on a single replica with synthetic messages.
 
 use std::time::Duration;
 
@@ -42,13 +41,13 @@
     Entry { index: LogIndex(index), term: Term(term), payload }
 }
 
-/// Replica 1 of three, whose log holds an entry of term 2 that may not be committed.
-struct Alone {
+/// Replica 1 of three, whose log ends with an entry of term 2 that may not be committed.
+struct Harness {
     replica: Replica,
     now: Instant,
 }
 
-impl Alone {
+impl Harness {
     fn new() -> Self {
         let member = |id| Member { node: node(id), kind: MemberKind::Voter };
         let members = Members((1..=3).map(member).collect());
@@ -64,7 +63,7 @@
         Self { replica, now }
     }
 
-    /// Hands in an input; what is to be saved is synced at once.
+    /// Handles an input, and reports all saves as synced at once.
     fn handle(&mut self, input: Input) -> Vec<Action> {
         let mut actions = self.replica.handle(self.now, input);
         let seqs = actions.iter().filter_map(|action| match action {
@@ -77,20 +76,20 @@
         actions
     }
 
-    /// Hands in a message of replica 2 in the term that the replica is in.
+    /// Handles a message of replica 2 in the current term.
     fn receive(&mut self, body: Body) -> Vec<Action> {
         let term = self.replica.status().term;
         self.receive_from(2, term, body)
     }
 
-    /// Hands in a message.
+    /// Handles a message.
     fn receive_from(&mut self, id: u64, term: Term, body: Body) -> Vec<Action> {
         let to = Some(ReplicaId(1));
         let message = Message { from: node(id), to, group: Some(GROUP), term, body };
         self.handle(Input::Message(message))
     }
 
-    /// Makes it the leader of term 4, and returns what it does as its first.
+    /// Makes the replica the leader of term 4, and returns its first actions.
     fn elect(&mut self) -> Vec<Action> {
         self.now = self.replica.next_tick();
         self.handle(Input::Tick);
@@ -116,58 +115,62 @@
 
 #[test]
 fn older_entries_wait_for_own_term() {
-    let mut alone = Alone::new();
-    alone.elect();
-    // A quorum has entry 2 of term 2, and yet another leader might replace it.
-    alone.receive(Body::AppendReply(AppendReply::Stored(LogIndex(2))));
-    assert_eq!(alone.replica.status().commit, LogIndex(0));
-    alone.receive(Body::AppendReply(AppendReply::Stored(LogIndex(3))));
-    assert_eq!(alone.replica.status().commit, LogIndex(3));
+    let mut harness = Harness::new();
+    harness.elect();
+    // A quorum has entry 2 of term 2, but another leader could still replace it.
+    harness.receive(Body::AppendReply(AppendReply::Stored(LogIndex(2))));
+    assert_eq!(harness.replica.status().commit, LogIndex(0));
+    harness.receive(Body::AppendReply(AppendReply::Stored(LogIndex(3))));
+    assert_eq!(harness.replica.status().commit, LogIndex(3));
 }
 
 #[test]
-fn lease_counts_from_sending() {
-    let mut alone = Alone::new();
-    let round = round(&alone.elect());
-    let sent = alone.now;
+fn lease_starts_at_sending() {
+    let mut harness = Harness::new();
+    let round = round(&harness.elect());
+    let sent = harness.now;
     let settings = ReplicaSettings::default();
-    // The answer was on its way for long.
-    alone.now = sent + Duration::from_millis(400);
-    alone.receive(Body::HeartbeatReply(HeartbeatReply { round }));
+    // The reply arrives late.
+    harness.now = sent + Duration::from_millis(400);
+    harness.receive(Body::HeartbeatReply(HeartbeatReply { round }));
     let end = sent + (settings.election_timeout - settings.clock_drift);
-    assert!(alone.replica.has_lease(alone.now));
-    assert!(!alone.replica.has_lease(end));
+    assert!(harness.replica.has_lease(harness.now));
+    assert!(!harness.replica.has_lease(end));
 }
 
 #[test]
 fn own_log_counts_once_synced() {
-    let mut alone = Alone::new();
-    alone.elect();
-    alone.receive(Body::AppendReply(AppendReply::Stored(LogIndex(3))));
+    let mut harness = Harness::new();
+    harness.elect();
+    harness.receive(Body::AppendReply(AppendReply::Stored(LogIndex(3))));
     let proposal =
         hawthornkeel_core::replica::Proposal { id: Default::default(), data: "x".into() };
-    let actions = alone.replica.handle(alone.now, Input::Propose(vec![proposal]));
-    alone.receive(Body::AppendReply(AppendReply::Stored(LogIndex(4))));
-    assert_eq!(alone.replica.status().commit, LogIndex(3), "counted what is not on its disk");
+    let actions = harness.replica.handle(harness.now, Input::Propose(vec![proposal]));
+    harness.receive(Body::AppendReply(AppendReply::Stored(LogIndex(4))));
+    assert_eq!(
+        harness.replica.status().commit,
+        LogIndex(3),
+        "counted an entry that is not on its disk"
+    );
     let Some(Action::Save { seq, .. }) = actions.first() else { panic!("{actions:?}") };
-    alone.handle(Input::Synced { seq: *seq });
-    assert_eq!(alone.replica.status().commit, LogIndex(4));
+    harness.handle(Input::Synced { seq: *seq });
+    assert_eq!(harness.replica.status().commit, LogIndex(4));
 }
 
 #[test]
 fn heartbeat_withholds_vote() {
-    let mut alone = Alone::new();
+    let mut harness = Harness::new();
     let election = ReplicaSettings::default().election_timeout;
-    alone.now = alone.now + election;
-    alone.receive(Body::Heartbeat(Heartbeat { round: 1, commit: LogIndex(1) }));
-    let heard = alone.now;
-    let vote =
+    harness.now = harness.now + election;
+    harness.receive(Body::Heartbeat(Heartbeat { round: 1, commit: LogIndex(1) }));
+    let heard = harness.now;
+    let request =
         VoteRequest { term: Term(4), last_index: LogIndex(9), last_term: Term(3), transfer: false };
-    // The pre-vote may have been given before the heartbeat.
-    alone.now = heard + (election - Duration::from_millis(1));
-    alone.receive_from(3, Term(4), Body::Vote(vote));
-    assert_eq!(alone.replica.status().term, Term(3), "voted while a lease may stand");
-    alone.now = heard + election;
-    alone.receive_from(3, Term(4), Body::Vote(vote));
-    assert_eq!(alone.replica.status().term, Term(4));
+    // The pre-vote may have been granted before the heartbeat.
+    harness.now = heard + (election - Duration::from_millis(1));
+    harness.receive_from(3, Term(4), Body::Vote(request));
+    assert_eq!(harness.replica.status().term, Term(3), "voted while a lease may be valid");
+    harness.now = heard + election;
+    harness.receive_from(3, Term(4), Body::Vote(request));
+    assert_eq!(harness.replica.status().term, Term(4));
 }
--- a/hawthornkeel_core/tests/lease_safety.rs
+++ b/hawthornkeel_core/tests/lease_safety.rs
@@ -1,4 +1,4 @@
-//! At most one member holds a lease, whatever happens to messages, members and voters.
+//! At most one member holds a lease at any time, under message, member and clock faults.
 
 use std::time::Duration;
 
@@ -27,14 +27,14 @@
     }
 }
 
-/// Member with its voter, on a clock of its own.
+/// Member with its voter and its own clock.
 struct Member {
     voter: Voter,
     holder: Holder,
     boot: u64,
     offset: f64,
     rate: f64,
-    frozen_until: u64,
+    paused_until: u64,
 }
 
 impl Member {
@@ -54,7 +54,7 @@
             boot,
             offset,
             rate,
-            frozen_until: 0,
+            paused_until: 0,
         }
     }
 
@@ -63,22 +63,22 @@
     }
 }
 
-/// Returns what a clock shows that runs at `rate` and started `offset` milliseconds before.
+/// Returns the time of a clock that runs at `rate` and is `offset` milliseconds ahead at the start.
 fn clock(millis: u64, offset: f64, rate: f64) -> Instant {
     Instant::from_micros(((offset + millis as f64 * rate) * 1000.0) as u64)
 }
 
-/// Message on its way.
-struct Flight {
+/// Message in flight.
+struct InFlightMessage {
     due: u64,
     to: usize,
     message: VoteMessage,
 }
 
-/// Sends a message that may be lost, doubled or late.
+/// Sends a message that may be lost, duplicated or delayed.
 fn send(
     rng: &mut ChaCha8Rng,
-    flights: &mut Vec<Flight>,
+    in_flight: &mut Vec<InFlightMessage>,
     now: u64,
     to: usize,
     message: &VoteMessage,
@@ -91,12 +91,12 @@
     for _ in 0..copies {
         let late = rng.random_range(0..100) < 5;
         let delay = if late { rng.random_range(100..6_000) } else { rng.random_range(1..20) };
-        flights.push(Flight { due: now + delay, to, message: message.clone() });
+        in_flight.push(InFlightMessage { due: now + delay, to, message: message.clone() });
     }
 }
 
-/// Plays members that die, freeze and restart; returns the number of terms that were won.
-fn play(seed: u64, count: usize) -> u64 {
+/// Simulates members that restart and pause, and returns how often a lease was acquired or renewed.
+fn simulate(seed: u64, count: usize) -> u64 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let names: Vec<InstanceName> = (0..count).map(|i| format!("m{i}").as_str().into()).collect();
     let mut members: Vec<Member> = Vec::new();
@@ -104,57 +104,58 @@
         let (offset, rate) = (rng.random_range(0.0..1e6), rng.random_range(0.995..1.005));
         members.push(Member::new(index, rng.random(), 0, offset, rate, &names));
     }
-    let mut flights: Vec<Flight> = Vec::new();
-    let mut terms = 0;
-    // Last time at which each run of a member could issue a grant.
+    let mut in_flight: Vec<InFlightMessage> = Vec::new();
+    let mut renewals = 0;
+    // Last time at which each run of a member could issue grants.
     let mut issued = IndexMap::new();
     for now in (0..END_MILLIS).step_by(STEP_MILLIS as usize) {
-        disturb(&mut rng, &mut members, now, &names);
-        let (due, later) = flights.drain(..).partition(|f: &Flight| f.due <= now);
-        flights = later;
-        let due: Vec<Flight> = due;
+        inject_faults(&mut rng, &mut members, now, &names);
+        let (due, later) = in_flight.drain(..).partition(|f: &InFlightMessage| f.due <= now);
+        in_flight = later;
+        let due: Vec<InFlightMessage> = due;
         for flight in due {
             let member = &mut members[flight.to];
-            if now < member.frozen_until {
-                flights.push(Flight { due: member.frozen_until, ..flight });
+            if now < member.paused_until {
+                in_flight.push(InFlightMessage { due: member.paused_until, ..flight });
                 continue;
             }
             let at = member.now(now);
             if member.holder.handle(at, &flight.message) {
-                terms += 1;
+                renewals += 1;
             }
             if let Some(reply) = member.voter.handle(at, &flight.message) {
                 let VoteMessage::Reply { holder, .. } = &reply else { panic!("{reply:?}") };
                 let to = names.iter().position(|n| *n == holder.name).unwrap();
-                send(&mut rng, &mut flights, now, to, &reply);
+                send(&mut rng, &mut in_flight, now, to, &reply);
             }
         }
-        for member in members.iter_mut().filter(|m| now >= m.frozen_until) {
+        for member in members.iter_mut().filter(|m| now >= m.paused_until) {
             let at = member.now(now);
             if let Some(ask) = member.holder.tick(at) {
-                (0..count).for_each(|to| send(&mut rng, &mut flights, now, to, &ask));
+                (0..count).for_each(|to| send(&mut rng, &mut in_flight, now, to, &ask));
             }
         }
-        check(&members, &mut issued, now);
+        check_invariants(&members, &mut issued, now);
     }
-    terms
+    renewals
 }
 
-/// Lets members restart or freeze now and then.
-fn disturb(rng: &mut ChaCha8Rng, members: &mut [Member], now: u64, names: &[InstanceName]) {
+/// Restarts or pauses members at random.
+fn inject_faults(rng: &mut ChaCha8Rng, members: &mut [Member], now: u64, names: &[InstanceName]) {
     for (index, member) in members.iter_mut().enumerate() {
         let draw = rng.random_range(0..4_000);
         if draw == 0 {
             let (offset, rate) = (member.offset, member.rate);
             *member = Member::new(index, rng.random(), now, offset, rate, names);
         } else if draw < 3 {
-            member.frozen_until = now + rng.random_range(500..8_000);
+            member.paused_until = now + rng.random_range(500..8_000);
         }
     }
 }
 
-/// Checks that one member holds the lease, and that it waits out the grants of others.
-fn check(members: &[Member], issued: &mut IndexMap<u64, u64>, now: u64) {
+/// Checks that at most one member holds the lease, and that it issues no grant while grants of an
+/// earlier run can be in use.
+fn check_invariants(members: &[Member], issued: &mut IndexMap<u64, u64>, now: u64) {
     let holds = |m: &&Member| m.holder.holds(m.now(now));
     let holders = members.iter().filter(holds).count();
     assert!(holders <= 1, "{holders} members hold the lease at {now} ms");
@@ -163,30 +164,30 @@
     };
     let boot = members[index].boot;
     for (_, last) in issued.iter().filter(|(other, _)| **other != boot) {
-        let waited = now - last;
-        assert!(waited >= 3_000, "issues {waited} ms after another run at {now} ms");
+        let elapsed = now - last;
+        assert!(elapsed >= 3_000, "issues {elapsed} ms after another run at {now} ms");
     }
     issued.insert(boot, now);
 }
 
 #[rstest]
 fn one_holder_at_a_time(#[values(1, 2, 3, 5)] members: usize) {
-    let mut won = 0;
+    let mut renewals = 0;
     for seed in 0..12 {
-        won += play(seed, members);
+        renewals += simulate(seed, members);
     }
-    assert!(won > 100, "{won} rounds won");
+    assert!(renewals > 100, "{renewals} rounds won");
 }
 
 #[test]
-fn lone_voter_works_and_waits_out_its_last_run() {
+fn single_voter_acquires_lease() {
     let names: Vec<InstanceName> = vec!["m0".into()];
     let mut member = Member::new(0, 1, 0, 0.0, 1.0, &names);
     let mut first_issue = None;
     for now in (0..10_000).step_by(10) {
         let at = member.now(now);
         if let Some(ask) = member.holder.tick(at) {
-            // A round that is given back has no answer.
+            // The release of a round has no reply.
             if let Some(reply) = member.voter.handle(at, &ask) {
                 member.holder.handle(at, &reply);
             }
@@ -195,12 +196,12 @@
             first_issue = Some(now);
         }
     }
-    let first = first_issue.expect("a lone voter wins its lease");
-    assert!((5_000..6_500).contains(&first), "{first} ms: lease period and longest grant");
+    let first = first_issue.expect("a single voter acquires its lease");
+    assert!((5_000..6_500).contains(&first), "{first} ms: lease duration plus grant duration");
 }
 
 #[test]
-fn holder_that_hears_no_quorum_loses_its_lease_by_itself() {
+fn lease_expires_without_quorum() {
     let names: Vec<InstanceName> = vec!["m0".into(), "m1".into(), "m2".into()];
     let mut member = Member::new(0, 1, 0, 0.0, 1.0, &names);
     let Some(VoteMessage::Ask { holder, round }) = member.holder.tick(member.now(100)) else {
@@ -215,14 +216,14 @@
     member.holder.handle(Instant::from_millis(200), &reply("m1"));
     assert!(!member.holder.holds(Instant::from_millis(200)), "one of three");
     member.holder.handle(Instant::from_millis(200), &reply("m1"));
-    assert!(!member.holder.holds(Instant::from_millis(200)), "a doubled vote counts once");
+    assert!(!member.holder.holds(Instant::from_millis(200)), "a duplicate vote counts once");
     member.holder.handle(Instant::from_millis(900), &reply("m2"));
     assert!(member.holder.holds(Instant::from_millis(2_099)));
-    assert!(!member.holder.holds(Instant::from_millis(2_100)), "counted from the sending");
+    assert!(!member.holder.holds(Instant::from_millis(2_100)), "measured from the sending");
 }
 
 #[test]
-fn lease_is_safe_between_clocks_that_run_apart() {
+fn lease_tolerates_clock_drift() {
     let names: Vec<InstanceName> = vec!["slow".into(), "fast".into()];
     let mut slow = Member::new(0, 1, 0, 0.0, 0.995, &names[..1]);
     let mut fast = Member::new(1, 2, 0, 0.0, 1.005, &names);
@@ -240,11 +241,11 @@
             return;
         }
     }
-    panic!("the vote was never free again");
+    panic!("the vote never expired");
 }
 
 #[test]
-fn answers_to_a_round_given_back_count_no_more() {
+fn replies_to_released_round_are_ignored() {
     let names: Vec<InstanceName> = vec!["m0".into(), "m1".into(), "m2".into()];
     let mut member = Member::new(0, 1, 0, 0.0, 1.0, &names);
     let Some(VoteMessage::Ask { holder, round }) = member.holder.tick(member.now(100)) else {
@@ -257,8 +258,8 @@
         given,
     };
     member.holder.handle(member.now(110), &reply("m1", false));
-    let given_back = member.holder.tick(member.now(700));
-    assert_eq!(given_back, Some(VoteMessage::Resign { holder: holder.clone(), round }));
+    let released = member.holder.tick(member.now(700));
+    assert_eq!(released, Some(VoteMessage::Resign { holder: holder.clone(), round }));
     for voter in ["m0", "m2"] {
         member.holder.handle(member.now(710), &reply(voter, true));
     }
--- a/hawthornkeel_core/tests/lease_voters.rs
+++ b/hawthornkeel_core/tests/lease_voters.rs
@@ -1,4 +1,4 @@
-//! Choice of the voters of a data centre's lease.
+//! Selection of the voters for a data centre's lease.
 
 use hawthornkeel_core::lease::MemberId;
 use hawthornkeel_core::lease::voters::choose_voters;
@@ -16,10 +16,11 @@
         .collect()
 }
 
-fn own_votes(voters: &[InstanceName], all: &[EntryInfo]) -> usize {
-    let own =
+/// Returns the number of voters in the data centre `dc-1`.
+fn local_votes(voters: &[InstanceName], all: &[EntryInfo]) -> usize {
+    let local =
         |v: &&InstanceName| all.iter().any(|e| e.id.name == **v && e.centre.as_str() == "dc-1");
-    voters.iter().filter(own).count()
+    voters.iter().filter(local).count()
 }
 
 #[rstest]
@@ -28,18 +29,18 @@
 #[case(4, 5)]
 #[case(5, 5)]
 #[case(40, 5)]
-fn voters_are_odd_and_the_own_ones_a_majority(#[case] count: usize, #[case] expected: usize) {
+fn voter_count_is_odd(#[case] count: usize, #[case] expected: usize) {
     let all = entries(count);
     let voters = choose_voters(&"dc-1".into(), &all);
     assert_eq!(voters.len(), expected);
     let majority = voters.len() / 2 + 1;
-    assert!(own_votes(&voters, &all) >= majority, "a data centre that is cut off can vote");
+    assert!(local_votes(&voters, &all) >= majority, "an isolated data centre has a quorum");
     let survivors = voters.len() - 1;
-    assert!(survivors >= majority, "the loss of one instance leaves a majority");
+    assert!(survivors >= majority, "a quorum survives the loss of one instance");
 }
 
 #[test]
-fn every_instance_chooses_the_same_voters() {
+fn choice_is_deterministic() {
     let all = entries(2);
     let mut shuffled = all.clone();
     shuffled.reverse();
@@ -52,7 +53,7 @@
 #[case(3, 3)]
 #[case(4, 3)]
 #[case(8, 5)]
-fn voters_of_a_lone_data_centre_are_odd(#[case] count: usize, #[case] expected: usize) {
+fn single_centre_count_is_odd(#[case] count: usize, #[case] expected: usize) {
     let mut all = entries(count);
     all.retain(|e| e.centre.as_str() == "dc-1");
     assert_eq!(choose_voters(&"dc-1".into(), &all).len(), expected);
--- a/hawthornkeel_core/tests/open_members.rs
+++ b/hawthornkeel_core/tests/open_members.rs
@@ -1,4 +1,5 @@
-//! Membership open to any control instance: machines that are replaced by others at new addresses.
+//! Membership open to any control instance, for machines that are replaced by new ones at other
+//! addresses.
 
 mod simulation;
 
@@ -8,46 +9,46 @@
 use hawthornkeel_core::replica::VoterPolicy;
 
 use crate::simulation::Cluster;
-use crate::simulation::Variant;
+use crate::simulation::Defect;
 
-/// Time without an answer after which a learner takes a voter's place.
+/// Time without a message from a voter after which a learner replaces it.
 const REPLACE_AFTER: Duration = Duration::from_millis(1_500);
 
 fn cluster(seed: u64, size: usize) -> Cluster {
     let policy = VoterPolicy::Open { max_voters: 3, replace_after: REPLACE_AFTER };
-    Cluster::with_admission(seed, size, 3, Variant::Right, policy)
+    Cluster::with_voter_policy(seed, size, 3, Defect::None, policy)
 }
 
-fn is(cluster: &Cluster, voters: [&str; 3]) -> bool {
+fn has_voters(cluster: &Cluster, voters: [&str; 3]) -> bool {
     cluster.voters() == voters
 }
 
 #[test]
-fn further_instances_learn() {
+fn further_instances_stay_learners() {
     for seed in 0..20 {
         let mut cluster = cluster(seed, 5);
-        assert!(cluster.run_until(5_000, |c| is(c, ["i0", "i1", "i2"])), "seed {seed}");
+        assert!(cluster.run_until(5_000, |c| has_voters(c, ["i0", "i1", "i2"])), "seed {seed}");
         cluster.run(3_000);
         assert_eq!(cluster.voters(), ["i0", "i1", "i2"], "seed {seed}");
-        assert!(cluster.commits(0, 2_000), "seed {seed}");
-        // What is committed reaches the learners too.
+        assert!(cluster.commits_within(0, 2_000), "seed {seed}");
+        // Committed entries reach the learners as well.
         let reached = |c: &Cluster| c.machines.iter().all(|m| m.applied == c.machines[0].applied);
         assert!(cluster.run_until(2_000, reached), "seed {seed}");
     }
 }
 
 #[test]
-fn learner_takes_place() {
+fn learner_replaces_voter() {
     for seed in 0..20 {
         let mut cluster = cluster(seed, 4);
-        assert!(cluster.run_until(5_000, |c| is(c, ["i0", "i1", "i2"])), "seed {seed}");
+        assert!(cluster.run_until(5_000, |c| has_voters(c, ["i0", "i1", "i2"])), "seed {seed}");
         cluster.run(1_000);
-        assert!(cluster.commits(0, 2_000), "seed {seed}");
+        assert!(cluster.commits_within(0, 2_000), "seed {seed}");
         cluster.kill(1);
-        assert!(cluster.run_until(10_000, |c| is(c, ["i0", "i2", "i3"])), "seed {seed}");
-        // The group bears the loss of another now.
+        assert!(cluster.run_until(10_000, |c| has_voters(c, ["i0", "i2", "i3"])), "seed {seed}");
+        // The group now tolerates the loss of another voter.
         cluster.kill(2);
-        assert!(cluster.commits(100, 5_000), "seed {seed}");
+        assert!(cluster.commits_within(100, 5_000), "seed {seed}");
         assert_eq!(cluster.checker.fault, None, "seed {seed}");
     }
 }
@@ -55,7 +56,7 @@
 #[test]
 fn short_stop_changes_nothing() {
     let mut cluster = cluster(3, 4);
-    assert!(cluster.run_until(5_000, |c| is(c, ["i0", "i1", "i2"])));
+    assert!(cluster.run_until(5_000, |c| has_voters(c, ["i0", "i1", "i2"])));
     cluster.run(1_000);
     let follower = (0..3).find(|i| Some(*i) != cluster.leader()).unwrap();
     cluster.kill(follower);
@@ -66,15 +67,15 @@
 }
 
 #[test]
-fn replaced_voter_learns() {
+fn replaced_voter_becomes_learner() {
     for seed in 0..20 {
         let mut cluster = cluster(seed, 4);
-        assert!(cluster.run_until(5_000, |c| is(c, ["i0", "i1", "i2"])), "seed {seed}");
+        assert!(cluster.run_until(5_000, |c| has_voters(c, ["i0", "i1", "i2"])), "seed {seed}");
         cluster.run(1_000);
         cluster.kill(1);
-        assert!(cluster.run_until(10_000, |c| is(c, ["i0", "i2", "i3"])), "seed {seed}");
+        assert!(cluster.run_until(10_000, |c| has_voters(c, ["i0", "i2", "i3"])), "seed {seed}");
         cluster.start(1);
-        assert!(cluster.commits(0, 3_000), "seed {seed}");
+        assert!(cluster.commits_within(0, 3_000), "seed {seed}");
         let caught_up = |c: &Cluster| {
             let leader = c.leader().unwrap_or_default();
             c.machines[1].applied == c.machines[leader].applied
@@ -85,11 +86,12 @@
 }
 
 #[test]
-fn empty_disks_form_nothing() {
+fn empty_disks_form_no_group() {
     let mut cluster = cluster(7, 3);
-    assert!(cluster.run_until(5_000, |c| c.leads().is_some()));
-    cluster.set_forms(false);
-    // Beyond what may be lost: a new group would hide that what was acknowledged is gone.
+    assert!(cluster.run_until(5_000, |c| c.ready_leader().is_some()));
+    cluster.set_can_bootstrap(false);
+    // More disks are lost than the group tolerates. A new group would hide the loss of acknowledged
+    // entries.
     (0..3).for_each(|i| cluster.wipe(i));
     (0..3).for_each(|i| cluster.start(i));
     cluster.run(5_000);
--- a/hawthornkeel_core/tests/random_histories.rs
+++ b/hawthornkeel_core/tests/random_histories.rs
@@ -1,4 +1,4 @@
-//! Histories under random faults: nothing acknowledged is lost and no read is stale.
+//! Random fault injection: no acknowledged command is lost and no read is stale.
 //!
 //! `HAWTHORNKEEL_SEEDS=20000` runs more seeds, `HAWTHORNKEEL_SEED=17` runs one.
 
@@ -11,8 +11,8 @@
 use rand::Rng;
 
 use crate::simulation::Cluster;
-use crate::simulation::Variant;
-use crate::simulation::Weather;
+use crate::simulation::Defect;
+use crate::simulation::FaultRates;
 
 const SEEDS: u64 = 2_000;
 const THREADS: usize = 3;
@@ -21,69 +21,70 @@
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// One random fault.
-fn disturb(cluster: &mut Cluster) {
+/// Injects one random fault.
+fn inject_fault(cluster: &mut Cluster) {
     let i = cluster.rng.random_range(0..cluster.machines.len());
     match cluster.rng.random_range(0..12) {
         0 | 1 => cluster.kill(i),
-        2 | 3 if cluster.bears_loss() => cluster.wipe(i),
+        2 | 3 if cluster.tolerates_loss() => cluster.wipe(i),
         4 => {
             let time = cluster.rng.random_range(50_000..1_500_000);
-            cluster.freeze(i, time);
+            cluster.pause(i, time);
         }
-        5 => cluster.machines[i].cut = true,
+        5 => cluster.machines[i].isolated = true,
         6 => {
             (0..cluster.machines.len()).for_each(|i| cluster.kill(i));
             (0..cluster.machines.len()).for_each(|i| cluster.start(i));
         }
         7 => {
             let leader = cluster.leader().unwrap_or(i);
-            cluster.machines[leader].cut = true;
+            cluster.machines[leader].isolated = true;
         }
         8 => {
             let leader = cluster.leader().unwrap_or(i);
             cluster.handle(leader, Input::TransferLeadership);
         }
-        // The leader and another lose sight of each other, or only one of them does.
+        // The link between the leader and another machine fails in one or both directions.
         _ => {
             let leader = cluster.leader().unwrap_or(0);
-            cluster.links.insert((leader, i));
+            cluster.blocked_links.insert((leader, i));
             if cluster.rng.random_bool(0.5) {
-                cluster.links.insert((i, leader));
+                cluster.blocked_links.insert((i, leader));
             }
         }
     }
 }
 
-/// Ends what a fault began at one machine.
-fn mend(cluster: &mut Cluster) {
+/// Ends the faults of one machine and starts it if it is stopped.
+fn repair_machine(cluster: &mut Cluster) {
     let i = cluster.rng.random_range(0..cluster.machines.len());
-    cluster.machines[i].cut = false;
-    cluster.links.retain(|(from, to)| *from != i && *to != i);
+    cluster.machines[i].isolated = false;
+    cluster.blocked_links.retain(|(from, to)| *from != i && *to != i);
     cluster.start(i);
 }
 
-/// Runs one seed, and returns the cluster with what was found.
-fn run(seed: u64, variant: Variant) -> Cluster {
-    let mut cluster = Cluster::new(seed, 3 + (seed % 3) as usize, variant);
-    let bad = cluster.rng.random_bool(0.7);
-    let share = if bad { 0.05 } else { 0.0 };
-    cluster.weather = Weather { loss: share, doubling: share, late: share, slow_sync: share };
-    // Most groups form in peace, or little else would be tried.
+/// Runs one seed and returns the cluster, whose checker has the result.
+fn run_seed(seed: u64, defect: Defect) -> Cluster {
+    let mut cluster = Cluster::new(seed, 3 + (seed % 3) as usize, defect);
+    let lossy = cluster.rng.random_bool(0.7);
+    let share = if lossy { 0.05 } else { 0.0 };
+    cluster.fault_rates =
+        FaultRates { loss: share, duplication: share, delay: share, slow_sync: share };
+    // Most groups bootstrap without faults, so that the runs reach the later phases.
     if !seed.is_multiple_of(4) {
         cluster.run(1_000);
     }
     let size = cluster.machines.len();
     let sync_us = if cluster.rng.random_bool(0.3) { 30_000 } else { 3_000 };
-    cluster.machines.iter_mut().for_each(|m| m.sync_us = sync_us);
+    cluster.machines.iter_mut().for_each(|m| m.max_sync_us = sync_us);
     for step in 0..400 {
         let pause = cluster.rng.random_range(1..40);
         cluster.run(pause);
         if cluster.rng.random_bool(0.06) {
-            disturb(&mut cluster);
+            inject_fault(&mut cluster);
         }
         if cluster.rng.random_bool(0.2) {
-            mend(&mut cluster);
+            repair_machine(&mut cluster);
         }
         let any = cluster.rng.random_range(0..size);
         let likely = cluster.leader().unwrap_or(any);
@@ -92,40 +93,40 @@
         cluster.read(any);
         cluster.read(likely);
     }
-    settle(&mut cluster);
+    check_convergence(&mut cluster);
     cluster
 }
 
-/// Ends all faults, and checks that the group goes on and agrees.
-fn settle(cluster: &mut Cluster) {
-    const LAST: u64 = 1_000_000;
-    cluster.weather = Weather::default();
-    cluster.links.clear();
+/// Ends all faults, and checks that the group makes progress and converges.
+fn check_convergence(cluster: &mut Cluster) {
+    const FIRST_COMMAND: u64 = 1_000_000;
+    cluster.fault_rates = FaultRates::default();
+    cluster.blocked_links.clear();
     for i in 0..cluster.machines.len() {
-        cluster.machines[i].cut = false;
+        cluster.machines[i].isolated = false;
         cluster.start(i);
     }
     for attempt in 0..60 {
         cluster.run(500);
         if let Some(leader) = cluster.leader() {
-            cluster.propose(leader, LAST + attempt);
+            cluster.propose(leader, FIRST_COMMAND + attempt);
         }
-        let agreed = cluster.checker.accepted.range(LAST..).next().is_some()
+        let converged = cluster.checker.accepted.range(FIRST_COMMAND..).next().is_some()
             && cluster.machines.iter().all(|m| m.applied >= cluster.checker.known)
-            && cluster.checker.is_whole(cluster.machines.len());
-        if agreed || cluster.checker.fault.is_some() {
+            && cluster.checker.has_full_membership(cluster.machines.len());
+        if converged || cluster.checker.fault.is_some() {
             let applied = cluster.machines.iter().map(|m| m.applied).min().unwrap();
-            cluster.checker.finish(applied);
+            cluster.checker.check_end(applied);
             return;
         }
     }
     let roles = cluster.machines.iter().map(|m| m.replica.as_ref().map(|r| r.status().clone()));
     let states: Vec<_> = roles.collect();
-    cluster.checker.fault.get_or_insert(format!("no agreement after the faults: {states:?}"));
+    cluster.checker.fault.get_or_insert(format!("no convergence after the faults: {states:?}"));
 }
 
-/// Runs seeds on several threads, and returns the faults found with their seeds, in order.
-fn search(seeds: u64, variant: Variant) -> Vec<(u64, String)> {
+/// Runs seeds on several threads, and returns the violations found with their seeds, sorted.
+fn search(seeds: u64, defect: Defect) -> Vec<(u64, String)> {
     let next = AtomicU64::new(0);
     let work = || {
         let mut faults = Vec::new();
@@ -134,7 +135,7 @@
             if seed >= seeds {
                 return faults;
             }
-            if let Some(fault) = run(seed, variant).checker.fault {
+            if let Some(fault) = run_seed(seed, defect).checker.fault {
                 faults.push((seed, fault));
             }
         }
@@ -148,46 +149,46 @@
 }
 
 #[test]
-fn no_seed_finds_a_fault() {
+fn random_faults_cause_no_violation() {
     let faults = match number("HAWTHORNKEEL_SEED") {
         Some(seed) => {
-            let checker = run(seed, Variant::Right).checker;
+            let checker = run_seed(seed, Defect::None).checker;
             println!("accepted {}, answered {}", checker.accepted.len(), checker.answered);
             Vec::from_iter(checker.fault.map(|f| (seed, f)))
         }
-        None => search(number("HAWTHORNKEEL_SEEDS").unwrap_or(SEEDS), Variant::Right),
+        None => search(number("HAWTHORNKEEL_SEEDS").unwrap_or(SEEDS), Defect::None),
     };
     assert!(faults.is_empty(), "{} seeds failed, the first: {:?}", faults.len(), faults[0]);
 }
 
 #[test]
-fn histories_do_work() {
-    let checkers: Vec<_> = (0..20).map(|seed| run(seed, Variant::Right).checker).collect();
+fn histories_make_progress() {
+    let checkers: Vec<_> = (0..20).map(|seed| run_seed(seed, Defect::None).checker).collect();
     let accepted: usize = checkers.iter().map(|c| c.accepted.len()).sum();
     let answered: u64 = checkers.iter().map(|c| c.answered).sum();
     println!("accepted {accepted}, answered {answered} over 20 seeds");
     assert!(accepted > 20 * 100 && answered > 20 * 100, "accepted {accepted}, read {answered}");
 }
 
-/// Asserts that a variant is caught by a fault of the kind that it leads to.
-fn assert_caught(variant: Variant, kind: &str) {
-    let faults = search(300, variant);
+/// Asserts that the checker detects a defect by a violation whose text contains `kind`.
+fn assert_caught(defect: Defect, kind: &str) {
+    let faults = search(300, defect);
     let caught = faults.iter().find(|(_, f)| f.contains(kind));
-    println!("{variant:?}: {} of 300 seeds, such as {caught:?}", faults.len());
-    assert!(caught.is_some(), "{variant:?} is not caught: {faults:?}");
+    println!("{defect:?}: {} of 300 seeds, such as {caught:?}", faults.len());
+    assert!(caught.is_some(), "{defect:?} is not detected: {faults:?}");
 }
 
 #[test]
 fn reads_without_lease_are_caught() {
-    assert_caught(Variant::NoLease, "stale read");
+    assert_caught(Defect::NoLease, "stale read");
 }
 
 #[test]
 fn early_sync_is_caught() {
-    assert_caught(Variant::EarlySync, "where others have");
+    assert_caught(Defect::EarlySync, "where others have");
 }
 
 #[test]
 fn old_identity_is_caught() {
-    assert_caught(Variant::OldIdentity, "although its disk is lost");
+    assert_caught(Defect::OldIdentity, "although its disk is lost");
 }
--- a/hawthornkeel_core/tests/simulation/actions.rs
+++ b/hawthornkeel_core/tests/simulation/actions.rs
@@ -1,4 +1,4 @@
-//! What machines do with the actions of their replicas.
+//! Execution of the actions of the replicas.
 
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::replica::Action;
@@ -9,52 +9,53 @@
 use rand::Rng;
 
 use crate::simulation::Cluster;
+use crate::simulation::Defect;
 use crate::simulation::Event;
-use crate::simulation::Variant;
 
 impl Cluster {
-    pub(super) fn act(&mut self, i: usize, action: Action) {
+    pub(super) fn perform(&mut self, i: usize, action: Action) {
         let id = self.machines[i].disk.id;
         match action {
             Action::Save { seq, save } => {
                 let run = self.machines[i].run;
-                let slow = self.rng.random_bool(self.weather.slow_sync);
-                let longest = if slow { 300_000 } else { self.machines[i].sync_us };
+                let slow = self.rng.random_bool(self.fault_rates.slow_sync);
+                let longest = if slow { 300_000 } else { self.machines[i].max_sync_us };
                 let delay = self.rng.random_range(100..longest);
                 let delay = self.machines[i].disk.write(seq, save, self.now, delay);
-                self.post(delay, Event::Stored(i, run, seq));
-                let early = self.variant == Variant::EarlySync;
-                self.post(if early { 0 } else { delay }, Event::Synced(i, run, seq));
+                self.schedule(delay, Event::Written(i, run, seq));
+                let early = self.defect == Defect::EarlySync;
+                self.schedule(if early { 0 } else { delay }, Event::Synced(i, run, seq));
             }
             Action::Send { to, message } => self.send(i, &to, message),
             Action::Apply(applied) => {
                 for item in applied {
-                    self.checker.apply(id, self.machines[i].applied, &item.entry);
+                    self.checker.record_applied(id, self.machines[i].applied, &item.entry);
                     self.machines[i].applied = item.entry.index;
                     if let Some(proposal) = item.proposal {
-                        self.checker.accept(proposal.0, item.entry.index);
+                        self.checker.record_accepted(proposal.0, item.entry.index);
                     }
                 }
             }
             Action::Restore(snapshot) => self.machines[i].applied = snapshot.index,
             Action::TakeSnapshot => {
                 let (run, index) = (self.machines[i].run, self.machines[i].applied);
-                self.post(0, Event::State(i, run, index));
+                self.schedule(0, Event::Snapshot(i, run, index));
             }
             Action::ProposalRejected { id, .. } => {
-                self.checker.refused.insert(id.0);
+                self.checker.rejected.insert(id.0);
             }
             Action::OutcomeUnknown { id } => {
-                self.checker.lost.insert(id.0);
+                self.checker.unknown.insert(id.0);
             }
-            Action::ReadReady { id } => self.answer(i, id),
+            Action::ReadReady { id } => self.complete_read(i, id),
             Action::ReadRejected { id, .. } => {
                 self.machines[i].reads.remove(&id);
             }
             Action::StatusChanged(status) if status.role == Role::Leader => {
-                self.checker.lead(status.term, id);
-                if let Some(old) = self.old_lease() {
-                    self.checker.fail(format!("{id} leads while the lease of {old} stands"));
+                self.checker.record_leader(status.term, id);
+                if let Some(old) = self.stale_lease() {
+                    self.checker
+                        .record_fault(format!("{id} leads while the lease of {old} is valid"));
                 }
             }
             Action::StatusChanged(_) => {}
@@ -62,32 +63,32 @@
     }
 
     fn send(&mut self, i: usize, to: &InstanceName, message: Message) {
-        let counts = match &message.body {
+        let needs_disk = match &message.body {
             Body::VoteReply(reply) => reply.granted,
             Body::AppendReply(reply) => matches!(reply, AppendReply::Stored(_)),
             _ => false,
         };
-        if counts {
-            self.checker.count(message.from.id);
+        if needs_disk {
+            self.checker.check_identity(message.from.id);
         }
         let Some(j) = self.machines.iter().position(|m| m.name == *to) else { return };
         if matches!(message.body, Body::Append(_) | Body::SnapshotChunk(_)) {
             self.machines[j].received += 1;
         }
-        let blocked = self.machines[i].cut || self.links.contains(&(i, j));
-        if blocked || self.rng.random_bool(self.weather.loss) {
+        let blocked = self.machines[i].isolated || self.blocked_links.contains(&(i, j));
+        if blocked || self.rng.random_bool(self.fault_rates.loss) {
             return;
         }
-        let copies = if self.rng.random_bool(self.weather.doubling) { 2 } else { 1 };
+        let copies = if self.rng.random_bool(self.fault_rates.duplication) { 2 } else { 1 };
         for _ in 0..copies {
-            let late = self.rng.random_bool(self.weather.late);
+            let late = self.rng.random_bool(self.fault_rates.delay);
             let delay = self.rng.random_range(200..if late { 300_000 } else { 2_000 });
-            self.post(delay, Event::Deliver(j, message.clone()));
+            self.schedule(delay, Event::Deliver(j, message.clone()));
         }
     }
 
-    /// Returns a machine whose lease stands although another leads a later term.
-    fn old_lease(&self) -> Option<usize> {
+    /// Returns a machine whose lease is valid although another one leads a later term.
+    fn stale_lease(&self) -> Option<usize> {
         let leads = |i: &usize| {
             let status = self.machines[*i].replica.as_ref()?.status();
             (status.role == Role::Leader).then_some(status.term)
--- a/hawthornkeel_core/tests/simulation/disk.rs
+++ b/hawthornkeel_core/tests/simulation/disk.rs
@@ -1,4 +1,4 @@
-//! Disk of a machine: what is synced, and what is not yet.
+//! Simulated disk with synced and pending writes.
 
 use std::collections::VecDeque;
 
@@ -12,28 +12,28 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Disk of a machine.
+/// Simulated disk of a machine.
 pub struct Disk {
-    /// Identity drawn when it was empty.
+    /// Replica identifier, generated when the disk was empty.
     pub id: ReplicaId,
     synced: PersistedState,
     pending: VecDeque<(SaveSeq, Save)>,
-    /// Time of the last sync that was asked for, in microseconds.
-    busy: u64,
+    /// Completion time of the last scheduled sync, in microseconds.
+    busy_until: u64,
 }
 
 impl Disk {
     pub fn empty(id: impl Into<u64>) -> Self {
         let id = ReplicaId(id.into());
-        Self { id, synced: PersistedState::default(), pending: VecDeque::new(), busy: 0 }
+        Self { id, synced: PersistedState::default(), pending: VecDeque::new(), busy_until: 0 }
     }
 
-    /// Returns what a process finds when it starts.
+    /// Returns the state that a process recovers at startup.
     pub fn stored(&self) -> PersistedState {
         self.synced.clone()
     }
 
-    /// Returns the members that the log sets.
+    /// Returns the members that the log entries define.
     pub fn members(&self) -> Vec<Members> {
         let entries = self.synced.entries.iter();
         let set = entries.filter_map(|entry| match &entry.payload {
@@ -43,14 +43,14 @@
         set.collect()
     }
 
-    /// Takes a write, and returns the time until it is synced: syncs end in order.
+    /// Queues a write, and returns the time until it is synced. Syncs complete in order.
     pub fn write(&mut self, seq: SaveSeq, save: Save, now: u64, delay: u64) -> u64 {
         self.pending.push_back((seq, save));
-        self.busy = self.busy.max(now + delay);
-        self.busy - now
+        self.busy_until = self.busy_until.max(now + delay);
+        self.busy_until - now
     }
 
-    /// Ends the sync of a write and all before it.
+    /// Completes the sync of a write and of all earlier ones.
     pub fn sync(&mut self, seq: SaveSeq) {
         while self.pending.front().is_some_and(|(s, _)| *s <= seq) {
             let (_, save) = self.pending.pop_front().unwrap();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Loses what was not synced, but for some writes that reached the disk all the same.
+    /// Drops the pending writes except for a random prefix that reached the disk unsynced.
     pub fn crash(&mut self, rng: &mut ChaCha8Rng) {
         let reached = rng.random_range(0..=self.pending.len());
         for _ in 0..reached {
--- a/hawthornkeel_core/tests/simulation/mod.rs
+++ b/hawthornkeel_core/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas on a virtual clock, with a lossy network, disks that sync late, and faults.
+//! Deterministic simulation of replicas on a virtual clock, with network, disk and process faults.
 
 #![allow(dead_code, clippy::indexing_slicing, clippy::unwrap_used)]
 
@@ -34,26 +34,26 @@
 use self::checker::Checker;
 use self::disk::Disk;
 
-/// Deliberate faults of the code around the replica, which the checker must catch.
+/// Deliberate bugs in the code around the replica, which the checker must detect.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Variant {
+pub enum Defect {
     #[default]
-    Right,
-    /// A leader answers reads without asking for its lease.
+    None,
+    /// A leader answers reads without checking its lease.
     NoLease,
     /// A save is reported as synced when it is issued.
     EarlySync,
-    /// A replica whose disk is lost keeps its identity.
+    /// A replica that lost its disk keeps its identifier.
     OldIdentity,
 }
 
-/// How bad the network and the disks are.
+/// Probabilities of network and disk faults.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Weather {
+pub struct FaultRates {
     pub loss: f64,
-    pub doubling: f64,
-    /// Share of messages that are late by up to 300 ms, and so overtaken.
-    pub late: f64,
+    pub duplication: f64,
+    /// Share of messages that are delayed by up to 300 ms and thus reordered.
+    pub delay: f64,
     /// Share of syncs that take up to 300 ms.
     pub slow_sync: f64,
 }
@@ -61,53 +61,57 @@
 #[derive(Debug)]
 enum Event {
     Deliver(usize, Message),
-    Stored(usize, u64, SaveSeq),
+    Written(usize, u64, SaveSeq),
     Synced(usize, u64, SaveSeq),
-    State(usize, u64, LogIndex),
+    Snapshot(usize, u64, LogIndex),
     Wake(usize, u64),
     Propose(usize, u64),
     Read(usize, ReadId),
 }
 
-/// One machine: a disk, a clock and perhaps a running replica.
+/// Simulated machine with a disk, a clock and, while its process runs, a replica.
 pub struct Machine {
     pub name: InstanceName,
     pub disk: Disk,
     pub replica: Option<Replica>,
     /// Last entry applied to the replicated state.
     pub applied: LogIndex,
-    /// Whether the network is cut off.
-    pub cut: bool,
-    /// Time until which the process is stopped, in microseconds.
-    pub frozen: u64,
-    /// Longest delay of each sync, in microseconds.
-    pub sync_us: u64,
-    /// Messages with entries or parts sent to it.
+    /// Whether the machine is isolated from the network.
+    pub isolated: bool,
+    /// Time until which the process is suspended, in microseconds.
+    pub paused_until: u64,
+    /// Maximum duration of a sync, in microseconds.
+    pub max_sync_us: u64,
+    /// Number of messages with entries or snapshot chunks sent to it.
     pub received: u64,
+    /// Rate of its clock relative to the virtual time.
     rate: f64,
+    /// Number of the current run of the process; events of earlier runs are dropped.
     run: u64,
+    /// Time of the next scheduled tick, on its clock.
     wake: Option<Instant>,
+    /// Pending reads, with the last entry that was visible to clients when they were sent.
     reads: BTreeMap<ReadId, LogIndex>,
 }
 
-/// Machines on a virtual clock.
+/// Simulated machines on a virtual clock.
 pub struct Cluster {
     pub machines: Vec<Machine>,
     pub checker: Checker,
-    pub weather: Weather,
-    /// Links, from one machine to another, that lose all that is sent.
-    pub links: BTreeSet<(usize, usize)>,
+    pub fault_rates: FaultRates,
+    /// Links, from one machine to another, that drop all messages.
+    pub blocked_links: BTreeSet<(usize, usize)>,
     pub rng: ChaCha8Rng,
-    /// Time in microseconds.
+    /// Virtual time in microseconds.
     pub now: u64,
-    variant: Variant,
+    defect: Defect,
     settings: ReplicaSettings,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     sequence: u64,
 }
 
-/// Settings with short times and small limits, so that snapshots and flow control come into play.
+/// Returns settings with short timeouts and small limits, to exercise snapshots and flow control.
 pub fn settings(names: &[InstanceName]) -> ReplicaSettings {
     use std::time::Duration;
     ReplicaSettings {
@@ -130,26 +134,27 @@
     }
 }
 
+/// Returns the number of a command.
 pub fn decode(data: &[u8]) -> u64 {
     u64::from_le_bytes(data[..8].try_into().unwrap())
 }
 
 impl Cluster {
-    pub fn new(seed: u64, size: usize, variant: Variant) -> Self {
-        Self::with_founders(seed, size, size, variant)
+    pub fn new(seed: u64, size: usize, defect: Defect) -> Self {
+        Self::with_founders(seed, size, size, defect)
     }
 
-    /// Starts machines of which the first `founders` found the group.
-    pub fn with_founders(seed: u64, size: usize, founders: usize, variant: Variant) -> Self {
-        Self::with_admission(seed, size, founders, variant, VoterPolicy::Founders)
+    /// Starts `size` machines. The first `founders` of them bootstrap the group.
+    pub fn with_founders(seed: u64, size: usize, founders: usize, defect: Defect) -> Self {
+        Self::with_voter_policy(seed, size, founders, defect, VoterPolicy::Founders)
     }
 
-    /// Starts machines as above, with other rules for who becomes a voter.
-    pub fn with_admission(
+    /// Like [`Cluster::with_founders`], with the given voter policy.
+    pub fn with_voter_policy(
         seed: u64,
         size: usize,
         founders: usize,
-        variant: Variant,
+        defect: Defect,
         voter_policy: VoterPolicy,
     ) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -159,11 +164,11 @@
             disk: Disk::empty(rng.random::<u64>()),
             replica: None,
             applied: LogIndex(0),
-            cut: false,
-            frozen: 0,
-            sync_us: 3_000,
+            isolated: false,
+            paused_until: 0,
+            max_sync_us: 3_000,
             received: 0,
-            // Clocks run apart by less than the lease allows for.
+            // Clock rates differ by less than the drift that the lease allows for.
             rate: rng.random_range(0.97..1.03),
             run: 0,
             wake: None,
@@ -172,10 +177,10 @@
         let mut cluster = Self {
             machines: machines.collect(),
             checker: Checker::default(),
-            weather: Weather::default(),
-            links: BTreeSet::new(),
+            fault_rates: FaultRates::default(),
+            blocked_links: BTreeSet::new(),
             now: 1_000_000,
-            variant,
+            defect,
             settings: ReplicaSettings { voter_policy, ..settings(&names[..founders]) },
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
@@ -186,12 +191,12 @@
         cluster
     }
 
-    /// Sets whether replicas that start from now on may form a group.
-    pub fn set_forms(&mut self, forms: bool) {
-        self.settings.can_bootstrap = forms;
+    /// Sets whether replicas that are started from now on may bootstrap a group.
+    pub fn set_can_bootstrap(&mut self, allowed: bool) {
+        self.settings.can_bootstrap = allowed;
     }
 
-    /// Returns the names of the voters, as the leader knows them.
+    /// Returns the names of the voters according to the leader, sorted.
     pub fn voters(&self) -> Vec<String> {
         let leader = self.leader().and_then(|l| self.machines[l].replica.as_ref());
         let members = leader.map(|l| l.status().members.clone()).unwrap_or_default();
@@ -200,18 +205,18 @@
         names
     }
 
-    fn post(&mut self, delay: u64, event: Event) {
+    fn schedule(&mut self, delay: u64, event: Event) {
         self.sequence += 1;
         self.queue.push(Reverse((self.now + delay, self.sequence)));
         self.events.insert(self.sequence, event);
     }
 
-    /// Returns the time on the clock of a machine.
+    /// Returns the current time on the clock of a machine.
     pub fn clock(&self, i: usize) -> Instant {
         Instant::from_micros((self.now as f64 * self.machines[i].rate) as u64)
     }
 
-    /// Starts the process of a machine from what its disk holds.
+    /// Starts the process of a machine from its disk, unless it is running.
     pub fn start(&mut self, i: usize) {
         if self.machines[i].replica.is_some() {
             return;
@@ -227,7 +232,7 @@
         self.handle(i, Input::Tick);
     }
 
-    /// Kills the process of a machine; part of what was not synced may be on disk all the same.
+    /// Kills the process of a machine. Some unsynced writes may reach the disk.
     pub fn kill(&mut self, i: usize) {
         let machine = &mut self.machines[i];
         machine.replica = None;
@@ -237,34 +242,34 @@
         machine.disk.crash(&mut self.rng);
     }
 
-    /// Kills the process of a machine and empties its disk.
+    /// Kills the process of a machine and replaces its disk with an empty one.
     pub fn wipe(&mut self, i: usize) {
         self.kill(i);
         let old = self.machines[i].disk.id;
-        self.checker.lose(old);
-        let id = if self.variant == Variant::OldIdentity { old.0 } else { self.rng.random() };
+        self.checker.record_disk_loss(old);
+        let id = if self.defect == Defect::OldIdentity { old.0 } else { self.rng.random() };
         self.machines[i].disk = Disk::empty(id);
     }
 
-    /// Stops the process of a machine for a time; what it is sent waits.
-    pub fn freeze(&mut self, i: usize, micros: u64) {
-        self.machines[i].frozen = self.now + micros;
+    /// Suspends the process of a machine for a time in microseconds. Its events are delayed.
+    pub fn pause(&mut self, i: usize, micros: u64) {
+        self.machines[i].paused_until = self.now + micros;
     }
 
-    /// Hands a command to a machine.
+    /// Proposes a command to a machine.
     pub fn propose(&mut self, i: usize, command: u64) {
-        self.post(0, Event::Propose(i, command));
+        self.schedule(0, Event::Propose(i, command));
     }
 
-    /// Asks a machine for a read; the answer must hold all that clients know of now.
+    /// Sends a read to a machine. The result must include all entries visible to clients now.
     pub fn read(&mut self, i: usize) {
         let id = ReadId(self.rng.random());
         let known = self.checker.known;
         self.machines[i].reads.insert(id, known);
-        self.post(0, Event::Read(i, id));
+        self.schedule(0, Event::Read(i, id));
     }
 
-    /// Returns a running machine that takes itself for the leader, of the highest term.
+    /// Returns the running machine that is the leader of the highest term, by its own status.
     pub fn leader(&self) -> Option<usize> {
         let lead = |m: &Machine| {
             let status = m.replica.as_ref()?.status();
@@ -275,12 +280,12 @@
             .max_by_key(|i| lead(&self.machines[*i]))
     }
 
-    /// Runs for a time in milliseconds.
+    /// Runs the simulation for a time in milliseconds.
     pub fn run(&mut self, millis: u64) {
         self.run_until(millis, |_| false);
     }
 
-    /// Runs until a condition holds, and tells whether it did within a time in milliseconds.
+    /// Runs until `done` or for a time in milliseconds, and returns whether `done` holds.
     pub fn run_until(&mut self, millis: u64, done: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + millis * 1000;
         while !done(self) {
@@ -291,7 +296,7 @@
             self.queue.pop();
             self.now = at;
             let event = self.events.remove(&key).unwrap();
-            self.happen(event);
+            self.process(event);
         }
         if done(self) {
             return true;
@@ -300,28 +305,28 @@
         false
     }
 
-    fn happen(&mut self, event: Event) {
+    fn process(&mut self, event: Event) {
         let (Event::Deliver(i, _)
-        | Event::Stored(i, _, _)
+        | Event::Written(i, _, _)
         | Event::Synced(i, _, _)
-        | Event::State(i, _, _)
+        | Event::Snapshot(i, _, _)
         | Event::Wake(i, _)
         | Event::Propose(i, _)
         | Event::Read(i, _)) = &event;
         let i = *i;
-        let frozen = self.machines[i].frozen;
-        if frozen > self.now {
+        let paused_until = self.machines[i].paused_until;
+        if paused_until > self.now {
             let jitter = self.rng.random_range(0..50);
-            self.post(frozen - self.now + jitter, event);
+            self.schedule(paused_until - self.now + jitter, event);
             return;
         }
         let run = self.machines[i].run;
         match event {
-            Event::Deliver(_, _) if self.machines[i].cut => {}
+            Event::Deliver(_, _) if self.machines[i].isolated => {}
             Event::Deliver(_, message) => self.handle(i, Input::Message(message)),
-            Event::Stored(_, of, seq) if of == run => self.machines[i].disk.sync(seq),
+            Event::Written(_, of, seq) if of == run => self.machines[i].disk.sync(seq),
             Event::Synced(_, of, seq) if of == run => self.handle(i, Input::Synced { seq }),
-            Event::State(_, of, index) if of == run => {
+            Event::Snapshot(_, of, index) if of == run => {
                 let data = Bytes::from(vec![index.0 as u8; 150]);
                 self.handle(i, Input::Snapshot { index, data });
             }
@@ -342,35 +347,35 @@
     fn serve_read(&mut self, i: usize, id: ReadId) {
         let replica = self.machines[i].replica.as_ref();
         let leads = replica.is_some_and(|r| r.status().role == Role::Leader);
-        if leads && self.variant == Variant::NoLease {
-            self.answer(i, id);
+        if leads && self.defect == Defect::NoLease {
+            self.complete_read(i, id);
         } else {
             self.handle(i, Input::Read(id));
         }
     }
 
-    fn answer(&mut self, i: usize, id: ReadId) {
+    fn complete_read(&mut self, i: usize, id: ReadId) {
         let machine = &mut self.machines[i];
         if let Some(known) = machine.reads.remove(&id) {
-            self.checker.answer(known, machine.applied);
+            self.checker.record_read(known, machine.applied);
         }
     }
 
-    /// Hands an input to a running replica, and carries out what it asks for.
+    /// Passes an input to a running replica and performs its actions.
     pub fn handle(&mut self, i: usize, input: Input) {
         let now = self.clock(i);
         let Some(replica) = &mut self.machines[i].replica else { return };
         let actions = replica.handle(now, input);
         let deadline = replica.next_tick();
         for action in actions {
-            self.act(i, action);
+            self.perform(i, action);
         }
         let machine = &mut self.machines[i];
         if machine.replica.is_some() && machine.wake.is_none_or(|w| w > deadline) {
             machine.wake = Some(deadline);
             let (run, rate) = (machine.run, machine.rate);
             let delay = (deadline.since(now).as_micros() as f64 / rate) as u64 + 1;
-            self.post(delay, Event::Wake(i, run));
+            self.schedule(delay, Event::Wake(i, run));
         }
     }
 }
--- a/hawthornkeel_core/tests/slow_follower.rs
+++ b/hawthornkeel_core/tests/slow_follower.rs
@@ -1,4 +1,5 @@
-//! Slow followers hold up nobody, get bounded traffic, and catch up by entries or a snapshot.
+//! Slow followers do not delay commits, receive bounded traffic, and catch up by entries or a
+//! snapshot.
 
 mod simulation;
 
@@ -9,11 +10,11 @@
 use hawthornkeel_core::replica::ProposalId;
 
 use crate::simulation::Cluster;
-use crate::simulation::waits::calm;
+use crate::simulation::waits::healthy_cluster;
 
-/// Commits `count` commands.
-fn load(cluster: &mut Cluster, from: u64, count: u64) {
-    let leader = cluster.leads().unwrap();
+/// Commits `count` commands, starting with the number `from`.
+fn commit_load(cluster: &mut Cluster, from: u64, count: u64) {
+    let leader = cluster.ready_leader().unwrap();
     for command in from..from + count {
         cluster.propose(leader, command);
         cluster.run(5);
@@ -23,68 +24,68 @@
 }
 
 #[test]
-fn slow_disk_holds_up_nobody() {
-    let mut cluster = calm(1, 3);
-    let slow = (cluster.leads().unwrap() + 1) % 3;
-    cluster.machines[slow].sync_us = 400_000;
+fn slow_disk_delays_no_commit() {
+    let mut cluster = healthy_cluster(1, 3);
+    let slow = (cluster.ready_leader().unwrap() + 1) % 3;
+    cluster.machines[slow].max_sync_us = 400_000;
     let term = cluster.status(slow).term;
-    load(&mut cluster, 0, 400);
-    assert_eq!(cluster.status(slow).term, term, "a slow follower cost an election");
-    assert!(cluster.heals(20_000));
+    commit_load(&mut cluster, 0, 400);
+    assert_eq!(cluster.status(slow).term, term, "a slow follower caused an election");
+    assert!(cluster.recovers(20_000));
     assert_eq!(cluster.checker.fault, None);
 }
 
 #[test]
-fn cut_follower_gets_bounded_traffic() {
-    let mut cluster = calm(2, 3);
-    let away = (cluster.leads().unwrap() + 1) % 3;
-    cluster.machines[away].cut = true;
+fn isolated_follower_gets_bounded_traffic() {
+    let mut cluster = healthy_cluster(2, 3);
+    let away = (cluster.ready_leader().unwrap() + 1) % 3;
+    cluster.machines[away].isolated = true;
     cluster.run(500);
     let before = cluster.machines[away].received;
-    load(&mut cluster, 0, 400);
+    commit_load(&mut cluster, 0, 400);
     let sent = cluster.machines[away].received - before;
-    // One probe each resend time of 100 ms, over 2.1 s.
-    assert!(sent <= 25, "{sent} messages with entries to a follower that answers nothing");
-    cluster.machines[away].cut = false;
-    assert!(cluster.heals(5_000));
+    // One probe per resend timeout of 100 ms, over 2.1 s.
+    assert!(sent <= 25, "{sent} messages with entries to a follower that does not reply");
+    cluster.machines[away].isolated = false;
+    assert!(cluster.recovers(5_000));
 }
 
 #[test]
 fn late_follower_gets_snapshot() {
-    let mut cluster = calm(3, 3);
-    let away = (cluster.leads().unwrap() + 1) % 3;
+    let mut cluster = healthy_cluster(3, 3);
+    let away = (cluster.ready_leader().unwrap() + 1) % 3;
     cluster.kill(away);
-    load(&mut cluster, 0, 100);
+    commit_load(&mut cluster, 0, 100);
     cluster.start(away);
-    assert!(cluster.heals(5_000));
+    assert!(cluster.recovers(5_000));
     let stored = cluster.machines[away].disk.stored();
     assert!(stored.snapshot.is_some_and(|s| s.index.0 >= 80));
-    // It comes back from what it installed.
+    // It recovers from the installed snapshot.
     cluster.kill(away);
     cluster.start(away);
-    assert!(cluster.heals(5_000));
+    assert!(cluster.recovers(5_000));
     assert_eq!(cluster.checker.fault, None);
 }
 
 #[test]
-fn snapshot_survives_losses() {
+fn snapshot_tolerates_message_loss() {
     for seed in 0..30 {
-        let mut cluster = calm(seed, 3);
-        let away = (cluster.leads().unwrap() + 1) % 3;
+        let mut cluster = healthy_cluster(seed, 3);
+        let away = (cluster.ready_leader().unwrap() + 1) % 3;
         cluster.kill(away);
-        load(&mut cluster, 0, 60);
-        cluster.weather =
-            simulation::Weather { loss: 0.1, doubling: 0.1, late: 0.1, slow_sync: 0.1 };
+        commit_load(&mut cluster, 0, 60);
+        cluster.fault_rates =
+            simulation::FaultRates { loss: 0.1, duplication: 0.1, delay: 0.1, slow_sync: 0.1 };
         cluster.start(away);
-        assert!(cluster.heals(20_000), "seed {seed}");
+        assert!(cluster.recovers(20_000), "seed {seed}");
         assert_eq!(cluster.checker.fault, None, "seed {seed}");
     }
 }
 
 #[test]
-fn proposals_share_messages() {
-    let mut cluster = calm(4, 3);
-    let leader = cluster.leads().unwrap();
+fn proposals_are_batched() {
+    let mut cluster = healthy_cluster(4, 3);
+    let leader = cluster.ready_leader().unwrap();
     cluster.run(300);
     let before: u64 = cluster.machines.iter().map(|m| m.received).sum();
     let command = |id: u64| Bytes::copy_from_slice(&id.to_le_bytes());
@@ -96,28 +97,28 @@
 }
 
 #[test]
-fn full_leader_refuses() {
-    let mut cluster = calm(5, 3);
-    let leader = cluster.leads().unwrap();
-    (0..3).filter(|i| *i != leader).for_each(|i| cluster.machines[i].cut = true);
+fn overloaded_leader_rejects() {
+    let mut cluster = healthy_cluster(5, 3);
+    let leader = cluster.ready_leader().unwrap();
+    (0..3).filter(|i| *i != leader).for_each(|i| cluster.machines[i].isolated = true);
     for command in 0..1_000 {
         cluster.propose(leader, command);
     }
     cluster.run(1);
-    let refused = cluster.checker.refused.len();
-    // Each takes 32 bytes of the 20,000 that may be pending.
-    assert_eq!(refused, 1_000 - 625);
-    (0..3).for_each(|i| cluster.machines[i].cut = false);
-    assert!(cluster.commits(2_000, 3_000));
+    let rejected = cluster.checker.rejected.len();
+    // Each command takes 32 bytes of the 20,000 bytes that may be pending.
+    assert_eq!(rejected, 1_000 - 625);
+    (0..3).for_each(|i| cluster.machines[i].isolated = false);
+    assert!(cluster.commits_within(2_000, 3_000));
     let applied = cluster.machines[leader].applied;
-    cluster.checker.finish(applied);
+    cluster.checker.check_end(applied);
     assert_eq!(cluster.checker.fault, None);
 }
 
 #[test]
-fn append_carries_bounded_bytes() {
-    let mut cluster = calm(6, 3);
-    let leader = cluster.leads().unwrap();
+fn append_size_is_bounded() {
+    let mut cluster = healthy_cluster(6, 3);
+    let leader = cluster.ready_leader().unwrap();
     let command = |id: u64| Bytes::copy_from_slice(&id.to_le_bytes());
     let proposals = (0..200).map(|id| Proposal { id: ProposalId(id), data: command(id) });
     let now = cluster.clock(leader);
@@ -131,6 +132,6 @@
         _ => None,
     });
     let sizes: Vec<_> = sizes.collect();
-    // Two followers, 200 bytes a message, four messages or 600 bytes on their way.
+    // Two followers, 200 bytes per message, four messages or 600 bytes in flight per follower.
     assert!(sizes.iter().all(|s| *s <= 200) && sizes.len() <= 8, "{sizes:?}");
 }
--- a/hawthornkeel_core/tests/split_votes.rs
+++ b/hawthornkeel_core/tests/split_votes.rs
@@ -1,4 +1,5 @@
-//! Members that ask at the same moment split the votes; one of them wins soon all the same.
+//! Members that request the lease at the same time split the votes. One of them still acquires it
+//! within a few lease durations, because the votes of a lost round are released.
 
 use std::time::Duration;
 
@@ -14,51 +15,51 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
-/// Longest time that a message takes to another member, in milliseconds.
+/// Maximum delay of a message to another member, in milliseconds.
 const DELAY_MILLIS: u64 = 5;
 /// Time within which all members start, in milliseconds.
 const START_MILLIS: u64 = 1_500;
-/// Lease periods within which a lease must be held.
-const PERIODS: u32 = 5;
+/// Number of lease durations within which a lease must be held.
+const LEASE_DURATIONS: u32 = 5;
 
-/// Message on its way.
-struct Flight {
+/// Message in flight.
+struct InFlightMessage {
     due: u64,
     to: usize,
     message: VoteMessage,
 }
 
-/// Starts `count` members of which `live` run, and returns when one holds the lease.
+/// Starts the first `live` of `count` members, and returns the time until one holds the lease.
 fn time_to_lease(seed: u64, count: usize, live: usize) -> Option<Duration> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let set = LeaseSettings::default();
+    let settings = LeaseSettings::default();
     let names: Vec<InstanceName> = (0..count).map(|i| format!("m{i}").as_str().into()).collect();
     let running = names.iter().take(live);
     let starts: Vec<u64> = running.clone().map(|_| rng.random_range(0..START_MILLIS)).collect();
-    let begun = || running.clone().zip(&starts);
+    let started = || running.clone().zip(&starts);
     let mut voters: Vec<_> =
-        begun().map(|(n, start)| Voter::new(at(*start), n.clone(), set.clone())).collect();
+        started().map(|(n, start)| Voter::new(at(*start), n.clone(), settings.clone())).collect();
     let holder = |(name, start): (&InstanceName, &u64)| {
         let id = MemberId { name: name.clone(), boot: rng.random() };
-        Holder::new(at(*start), id, names.clone(), set.clone())
+        Holder::new(at(*start), id, names.clone(), settings.clone())
     };
-    let mut holders: Vec<_> = begun().map(holder).collect();
-    let mut flights: Vec<Flight> = Vec::new();
-    let end = u64::try_from((set.lease_duration * PERIODS).as_millis()).unwrap();
+    let mut holders: Vec<_> = started().map(holder).collect();
+    let mut in_flight: Vec<InFlightMessage> = Vec::new();
+    let end = u64::try_from((settings.lease_duration * LEASE_DURATIONS).as_millis()).unwrap();
     for now in 0..end {
         for (from, holder) in holders.iter_mut().enumerate().filter(|(i, _)| starts[*i] <= now) {
             if let Some(message) = holder.tick(at(now)) {
-                let sent = (0..live).map(|to| flight(&mut rng, now, from, to, &message));
-                flights.extend(sent);
+                let sent = (0..live).map(|to| in_flight_message(&mut rng, now, from, to, &message));
+                in_flight.extend(sent);
             }
         }
-        while let Some(next) = flights.iter().position(|f| f.due <= now) {
-            let Flight { to, message, .. } = flights.remove(next);
+        while let Some(next) = in_flight.iter().position(|f| f.due <= now) {
+            let InFlightMessage { to, message, .. } = in_flight.remove(next);
             holders[to].handle(at(now), &message);
             if let Some(reply) = voters[to].handle(at(now), &message) {
                 let VoteMessage::Reply { holder, .. } = &reply else { panic!("{reply:?}") };
                 let back = names.iter().position(|n| *n == holder.name).unwrap();
-                flights.push(flight(&mut rng, now, to, back, &reply));
+                in_flight.push(in_flight_message(&mut rng, now, to, back, &reply));
             }
         }
         if holders.iter().any(|h| h.holds(at(now))) {
@@ -68,10 +69,16 @@
     None
 }
 
-/// Returns a message that takes some time, or none to the sender itself.
-fn flight(rng: &mut ChaCha8Rng, now: u64, from: usize, to: usize, message: &VoteMessage) -> Flight {
+/// Returns a message with a random delay, or without one if it is to the sender itself.
+fn in_flight_message(
+    rng: &mut ChaCha8Rng,
+    now: u64,
+    from: usize,
+    to: usize,
+    message: &VoteMessage,
+) -> InFlightMessage {
     let delay = if from == to { 0 } else { rng.random_range(1..=DELAY_MILLIS) };
-    Flight { due: now + delay, to, message: message.clone() }
+    InFlightMessage { due: now + delay, to, message: message.clone() }
 }
 
 fn at(millis: u64) -> Instant {
@@ -85,8 +92,8 @@
 #[case(4, 4)]
 #[case(5, 5)]
 #[case(5, 3)]
-fn split_votes_are_given_back(#[case] count: usize, #[case] live: usize) {
+fn split_votes_are_released(#[case] count: usize, #[case] live: usize) {
     let late: Vec<u64> =
         (0..500).filter(|seed| time_to_lease(*seed, count, live).is_none()).collect();
-    assert!(late.is_empty(), "{} of 500 seeds held no lease: {late:?}", late.len());
+    assert!(late.is_empty(), "{} of 500 seeds acquired no lease: {late:?}", late.len());
 }
