--- a/hawthornkeel/src/forward/context.rs
+++ b/hawthornkeel/src/forward/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a forwarding entry share.
+//! State shared by the components of a forwarding entry.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,97 +21,100 @@
 use crate::clock::boot_now;
 use crate::control::directory::Directory;
 use crate::control::watch::Watch;
-use crate::forward::exchange::Exchanges;
+use crate::forward::http_client::HttpClient;
 use crate::peer::Endpoint;
 
-/// Time for which entries that went silent still count for shares of what targets bear.
-const REMEMBERED: Duration = Duration::from_secs(20);
-/// Time for which an entry is known that was not told of again.
-const TOLD: Duration = Duration::from_millis(1_800);
-/// Share of a new measurement in an estimate.
-const NEWEST: f64 = 0.2;
+/// Time for which entries that stopped reporting still count towards the shares of target capacity.
+const PEAK_WINDOW: Duration = Duration::from_secs(20);
+/// Time after which an entry that no control instance reports any more is forgotten.
+const ENTRY_TTL: Duration = Duration::from_millis(1_800);
+/// Weight of a new sample in the moving average of response times.
+const SMOOTHING_FACTOR: f64 = 0.2;
 
-/// What the parts of a forwarding entry share.
+/// State shared by the components of a forwarding entry.
 pub struct Context {
     /// Settings.
     pub settings: Settings,
-    /// Endpoint of this instance.
+    /// Endpoint for frames to other instances.
     pub endpoint: Endpoint,
-    /// Published state in force, with its age.
+    /// Published state in force and its age.
     pub watch: Watch,
-    /// Control instances that are known.
+    /// Known control instances.
     pub directory: Directory,
-    /// Connections to targets.
-    pub exchanges: Exchanges,
-    /// Targets.
-    pub board: RefCell<Board>,
-    /// Routes in force.
+    /// HTTP client with the connections to targets.
+    pub http_client: HttpClient,
+    /// Load balancer over the targets.
+    pub balancer: RefCell<Board>,
+    /// Route table in force, `None` before the first document.
     pub table: RefCell<Option<Rc<RouteTable>>>,
     /// Entries that serve callers.
-    pub roster: RefCell<Roster>,
-    /// Whether a planned stop has begun.
+    pub serving_entries: RefCell<ServingEntries>,
+    /// Whether a planned stop is in progress.
     pub stopping: Cell<bool>,
-    /// Requests in progress.
-    pub open: Cell<usize>,
-    repeats: RefCell<IndexMap<PoolName, Repeats>>,
-    times: RefCell<IndexMap<PoolName, f64>>,
+    /// Number of requests in progress.
+    pub in_flight: Cell<usize>,
+    retry_buckets: RefCell<IndexMap<PoolName, Repeats>>,
+    latencies: RefCell<IndexMap<PoolName, f64>>,
 }
 
-/// Entries that serve callers, as control tells.
+/// Entries that serve callers, as reported by the control instances.
 #[derive(Debug, Default)]
-pub struct Roster {
-    /// Entries, by name.
+pub struct ServingEntries {
+    /// Entries in order of their names.
     pub entries: Vec<Present>,
-    /// When each was last told of.
-    told: IndexMap<InstanceName, (hawthornkeel_core::time::Instant, Present)>,
-    /// Most entries of late, and when there were that many.
-    most: Option<(usize, hawthornkeel_core::time::Instant)>,
+    /// Time of the last report about each entry.
+    last_reports: IndexMap<InstanceName, (hawthornkeel_core::time::Instant, Present)>,
+    /// Highest recent number of entries and the time at which it was seen.
+    peak: Option<(usize, hawthornkeel_core::time::Instant)>,
 }
 
-impl Roster {
-    /// Takes in the entries that a control instance knows, and tells whether that changes any.
+impl ServingEntries {
+    /// Merges the entries that a control instance reports; returns whether the set changed.
     ///
-    /// One that it does not know is kept for a while, as another may know it.
-    pub fn set(&mut self, entries: Vec<Present>) -> bool {
+    /// An entry missing from the report is kept for a while, as another control instance may still
+    /// report it.
+    pub fn merge(&mut self, entries: Vec<Present>) -> bool {
         let now = boot_now();
         for entry in entries {
-            self.told.insert(entry.name.clone(), (now, entry));
+            self.last_reports.insert(entry.name.clone(), (now, entry));
         }
-        self.told.retain(|_, (at, _)| now.since(*at) < TOLD);
-        let mut known: Vec<Present> = self.told.values().map(|(_, e)| e.clone()).collect();
+        self.last_reports.retain(|_, (at, _)| now.since(*at) < ENTRY_TTL);
+        let mut known: Vec<Present> = self.last_reports.values().map(|(_, e)| e.clone()).collect();
         known.sort();
         let count = known.len();
-        let outdated = |(most, at)| count >= most || now.since(at) > REMEMBERED;
-        if self.most.is_none_or(outdated) {
-            self.most = Some((count, now));
+        let outdated = |(peak, at)| count >= peak || now.since(at) > PEAK_WINDOW;
+        if self.peak.is_none_or(outdated) {
+            self.peak = Some((count, now));
         }
         let changed = self.entries != known;
         self.entries = known;
         changed
     }
 
-    /// Returns the entries that share what targets bear: those that went silent may still run.
-    pub fn sharers(&self) -> usize {
-        self.most.map_or(1, |(most, _)| most.max(1))
+    /// Returns the recent peak of the number of entries, by which target capacity is shared.
+    ///
+    /// Entries that stopped reporting may still send requests.
+    pub fn peak_count(&self) -> usize {
+        self.peak.map_or(1, |(peak, _)| peak.max(1))
     }
 }
 
 impl Context {
-    /// Creates the context of an entry that knows nothing yet.
+    /// Creates the context of an entry that has no document and no targets yet.
     pub fn new(settings: Settings, endpoint: Endpoint, directory: Directory) -> Self {
         Self {
             settings,
             endpoint,
             watch: Watch::default(),
             directory,
-            exchanges: Exchanges::new(fields::REQUEST_ID),
-            board: RefCell::default(),
+            http_client: HttpClient::new(fields::REQUEST_ID),
+            balancer: RefCell::default(),
             table: RefCell::default(),
-            roster: RefCell::default(),
+            serving_entries: RefCell::default(),
             stopping: Cell::new(false),
-            open: Cell::new(0),
-            repeats: RefCell::default(),
-            times: RefCell::default(),
+            in_flight: Cell::new(0),
+            retry_buckets: RefCell::default(),
+            latencies: RefCell::default(),
         }
     }
 
@@ -120,41 +123,49 @@
         &self.settings.instance.data_centre
     }
 
-    /// Returns the entries that may keep a desk, in the order in which they are to be tried.
+    /// Returns the candidate owners of a scheduler, in the order in which they are tried.
     ///
-    /// All entries that know the same others get the same order, and few desks move where an entry
-    /// comes or goes. One that has just started comes last: a desk that moves costs a while in
-    /// which two desks call the same targets. Those in the desk's own data centre come first.
-    pub fn owners(&self, desk: &DeskName) -> Vec<InstanceName> {
-        let roster = self.roster.borrow();
-        let score = |p: &Present| {
-            let text = format!("{desk}/{}", p.name);
-            let far = desk.centre.as_ref().is_some_and(|c| p.centre != *c);
+    /// The order is rendezvous hashing, so entries with the same view agree on it and few
+    /// schedulers move when an entry joins or leaves. Entries in the scheduler's data centre come
+    /// first. Entries that have just started come last, as two schedulers call the same targets
+    /// for a while whenever ownership moves.
+    pub fn owners(&self, scheduler: &DeskName) -> Vec<InstanceName> {
+        let serving = self.serving_entries.borrow();
+        let rank = |p: &Present| {
+            let text = format!("{scheduler}/{}", p.name);
+            let far = scheduler.centre.as_ref().is_some_and(|c| p.centre != *c);
             (far, !p.settled, xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
         };
-        let mut ranked: Vec<_> = roster.entries.iter().map(|p| (score(p), &p.name)).collect();
+        let mut ranked: Vec<_> = serving.entries.iter().map(|p| (rank(p), &p.name)).collect();
         ranked.sort();
         ranked.into_iter().map(|(_, name)| name.clone()).collect()
     }
 
-    /// Counts a request for the budget of repeats of a pool.
-    pub fn count_request(&self, pool: &PoolName) {
-        let (budget, sharers) = (self.budget(), self.roster.borrow().sharers());
-        self.repeats.borrow_mut().entry(pool.clone()).or_default().count(&budget, sharers);
+    /// Records a request, which adds to the retry budget of its pool.
+    pub fn record_request(&self, pool: &PoolName) {
+        let (budget, entry_count) =
+            (self.retry_budget(), self.serving_entries.borrow().peak_count());
+        self.retry_buckets
+            .borrow_mut()
+            .entry(pool.clone())
+            .or_default()
+            .count(&budget, entry_count);
     }
 
-    /// Takes one repeat from the budget of a pool, where there is one.
-    pub fn may_repeat(&self, pool: &PoolName) -> bool {
-        let (budget, sharers) = (self.budget(), self.roster.borrow().sharers());
-        let mut repeats = self.repeats.borrow_mut();
-        let granted = repeats.entry(pool.clone()).or_default().take(boot_now(), &budget, sharers);
+    /// Takes one retry from the budget of a pool; returns whether one was left.
+    pub fn try_retry(&self, pool: &PoolName) -> bool {
+        let (budget, entry_count) =
+            (self.retry_budget(), self.serving_entries.borrow().peak_count());
+        let mut buckets = self.retry_buckets.borrow_mut();
+        let granted =
+            buckets.entry(pool.clone()).or_default().take(boot_now(), &budget, entry_count);
         if !granted {
-            tracing::info!(event = "repeat-refused", %pool, entries = sharers);
+            tracing::info!(event = "repeat-refused", %pool, entries = entry_count);
         }
         granted
     }
 
-    fn budget(&self) -> Budget {
+    fn retry_budget(&self) -> Budget {
         let forward = &self.settings.forward;
         Budget {
             ratio: forward.retry_ratio,
@@ -163,17 +174,17 @@
         }
     }
 
-    /// Notes how long the work of a pool took for one request.
-    pub fn note_time(&self, pool: &PoolName, took: Duration) {
-        let mut times = self.times.borrow_mut();
-        let took = took.as_secs_f64();
-        let time = times.entry(pool.clone()).or_insert(took);
-        *time += (took - *time) * NEWEST;
+    /// Records the time until the response of a pool to one request began.
+    pub fn record_latency(&self, pool: &PoolName, latency: Duration) {
+        let mut latencies = self.latencies.borrow_mut();
+        let sample = latency.as_secs_f64();
+        let mean = latencies.entry(pool.clone()).or_insert(sample);
+        *mean += (sample - *mean) * SMOOTHING_FACTOR;
     }
 
-    /// Returns how long the work of a pool took of late, or `default` where there was none.
-    pub fn time(&self, pool: &PoolName, default: Duration) -> Duration {
-        let time = self.times.borrow().get(pool).copied();
-        time.map_or(default, Duration::from_secs_f64)
+    /// Returns the recent mean latency of a pool, or `default` without samples.
+    pub fn expected_latency(&self, pool: &PoolName, default: Duration) -> Duration {
+        let mean = self.latencies.borrow().get(pool).copied();
+        mean.map_or(default, Duration::from_secs_f64)
     }
 }
--- a/hawthornkeel/src/forward/discovery_client.rs
+++ b/hawthornkeel/src/forward/discovery_client.rs
@@ -1,4 +1,6 @@
-//! Entry side of what entries follow: asks one control instance after the other for what changed.
+//! Entry side of discovery: long-polls a control instance for documents, targets and entries.
+//!
+//! Another control instance is polled if one doesn't respond or its state is too old.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,68 +14,69 @@
 
 use crate::clock::boot_now;
 use crate::forward::context::Context;
-use crate::forward::desks::Desks;
+use crate::forward::schedulers::Schedulers;
 use crate::peer::Frame;
 use crate::peer::frame::Presence;
 use crate::peer::frame::Survey;
 use crate::peer::frame::Surveyed;
 
-/// Time for which a control instance holds a survey while there is nothing new, in milliseconds.
-const HOLD_MS: u32 = 600;
-/// Time for a control instance to answer beyond the hold.
-const ANSWER_TIME: Duration = Duration::from_millis(600);
-/// Shortest time between two surveys.
-const PACE: Duration = Duration::from_millis(60);
-/// Pause after a control instance that did not answer, before the next is asked.
-const PAUSE: Duration = Duration::from_millis(40);
-/// Age of an answer from which on another control instance is asked.
-const MAX_AGE: Duration = Duration::from_millis(1_600);
-/// Time between two words to control that this entry serves.
-const PRESENCE: Duration = Duration::from_millis(1_000);
+/// Time for which a control instance holds a poll while there is nothing new, in milliseconds.
+const LONG_POLL_MS: u32 = 600;
+/// Timeout of a poll, in addition to the long poll.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Minimum interval between polls.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(60);
+/// Delay before the next control instance is polled after one didn't respond.
+const RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Age of the published state above which another control instance is polled.
+const MAX_STATE_AGE: Duration = Duration::from_millis(1_600);
+/// Interval between heartbeats to the control instances.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Follows control until the process ends.
-pub async fn follow(context: Rc<Context>, desks: Desks) {
-    let mut at = start(&context);
+/// Polls the control instances until the process ends.
+pub async fn run(context: Rc<Context>, schedulers: Schedulers) {
+    let mut index = start_index(&context);
     let mut mark = None;
     loop {
         let controls = context.directory.controls();
-        let Some(control) = controls.get(at.checked_rem(controls.len()).unwrap_or_default()) else {
-            monoio::time::sleep(PAUSE).await;
+        let Some(control) = controls.get(index.checked_rem(controls.len()).unwrap_or_default())
+        else {
+            monoio::time::sleep(RETRY_DELAY).await;
             continue;
         };
-        let asked = Instant::now();
-        match ask(&context, control, mark).await {
-            Some(surveyed) => {
-                let age = surveyed.followed.age_ms.map(Duration::from_millis);
-                mark = absorb(&context, &desks, surveyed, asked).or(mark);
-                if age.is_none_or(|a| a > MAX_AGE) {
-                    at = at.wrapping_add(1);
+        let sent = Instant::now();
+        match poll(&context, control, mark).await {
+            Some(update) => {
+                let age = update.followed.age_ms.map(Duration::from_millis);
+                mark = apply(&context, &schedulers, update, sent).or(mark);
+                if age.is_none_or(|a| a > MAX_STATE_AGE) {
+                    index = index.wrapping_add(1);
                 }
-                monoio::time::sleep(PACE.saturating_sub(asked.elapsed())).await;
+                monoio::time::sleep(MIN_POLL_INTERVAL.saturating_sub(sent.elapsed())).await;
             }
             None => {
-                at = at.wrapping_add(1);
-                monoio::time::sleep(PAUSE).await;
+                index = index.wrapping_add(1);
+                monoio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Returns the position to begin with, so that entries spread over the control instances.
-fn start(context: &Context) -> usize {
+/// Returns the index of the first control instance to poll, hashed to spread the entries.
+fn start_index(context: &Context) -> usize {
     let hash = xxhash_rust::xxh3::xxh3_64(context.endpoint.name().as_str().as_bytes());
     usize::try_from(hash >> 33).unwrap_or_default()
 }
 
-async fn ask(context: &Context, control: &InstanceName, mark: Option<u64>) -> Option<Surveyed> {
+async fn poll(context: &Context, control: &InstanceName, mark: Option<u64>) -> Option<Surveyed> {
     let after = context.watch.index();
-    let entries = context.roster.borrow().entries.len();
-    // The first answer must come at once, to be ready as soon as possible.
-    let wait_ms = if after.is_some() { HOLD_MS } else { 0 };
+    let entries = context.serving_entries.borrow().entries.len();
+    // The first poll returns at once, so that the entry is ready as soon as possible.
+    let wait_ms = if after.is_some() { LONG_POLL_MS } else { 0 };
     let frame = Frame::Survey(Survey { after, listing: mark, entries, wait_ms });
-    let timeout = ANSWER_TIME + Duration::from_millis(wait_ms.into());
+    let timeout = RESPONSE_TIMEOUT + Duration::from_millis(wait_ms.into());
     match context.endpoint.call(control, &frame, timeout).await {
-        Ok(Frame::Surveyed(surveyed)) => Some(*surveyed),
+        Ok(Frame::Surveyed(update)) => Some(*update),
         Ok(_) => None,
         Err(error) => {
             tracing::info!(event = "survey-failed", %control, %error);
@@ -82,56 +85,65 @@
     }
 }
 
-/// Takes in an answer; returns the mark of the list that came with it.
-fn absorb(context: &Context, desks: &Desks, surveyed: Surveyed, asked: Instant) -> Option<u64> {
-    let Surveyed { followed, listing, controls, entries, .. } = surveyed;
+/// Applies an update; returns the mark of the target list if it contains one.
+fn apply(
+    context: &Context,
+    schedulers: &Schedulers,
+    update: Surveyed,
+    sent: Instant,
+) -> Option<u64> {
+    let Surveyed { followed, listing, controls, entries, .. } = update;
     let now = boot_now();
     context.directory.learn(controls);
-    let before = context.watch.index();
-    let waited = u64::try_from(asked.elapsed().as_millis()).unwrap_or(u64::MAX);
+    let old_index = context.watch.index();
+    let elapsed_ms = u64::try_from(sent.elapsed().as_millis()).unwrap_or(u64::MAX);
     let mut followed = followed;
-    // The answer may have been on its way for that long.
-    followed.age_ms = followed.age_ms.map(|a| a.saturating_add(waited));
+    // The response may have been in transit for all of that time.
+    followed.age_ms = followed.age_ms.map(|a| a.saturating_add(elapsed_ms));
     context.watch.absorb(followed);
-    let changed = context.watch.index() != before;
+    let changed = context.watch.index() != old_index;
     if changed {
-        take_document(context, desks);
+        apply_document(context, schedulers);
     }
-    if context.roster.borrow_mut().set(entries) {
-        tracing::info!(event = "entries-known", count = context.roster.borrow().entries.len());
+    if context.serving_entries.borrow_mut().merge(entries) {
+        tracing::info!(
+            event = "entries-known",
+            count = context.serving_entries.borrow().entries.len()
+        );
     }
     let mark = listing.as_ref().map(|l| l.mark);
     if let Some(listing) = listing {
-        context.board.borrow_mut().update(now, &listing);
-        let used = |a: &std::net::SocketAddr| listing.targets.iter().any(|t| t.address == *a);
-        context.exchanges.keep_only(used);
+        context.balancer.borrow_mut().update(now, &listing);
+        let is_listed = |a: &std::net::SocketAddr| listing.targets.iter().any(|t| t.address == *a);
+        context.http_client.retain(is_listed);
     }
     if changed || mark.is_some() {
-        desks.set_makers();
+        schedulers.update_workers();
     }
     mark
 }
 
-/// Puts the document that the published state holds into force here.
-fn take_document(context: &Context, desks: &Desks) {
-    context.board.borrow_mut().set_out(boot_now(), context.watch.taken_out());
+/// Applies the document in the published state to this entry.
+fn apply_document(context: &Context, schedulers: &Schedulers) {
+    context.balancer.borrow_mut().set_out(boot_now(), context.watch.taken_out());
     let Some(published) = context.watch.current() else { return };
-    let known = context.table.borrow().as_ref().map(|t| t.version);
-    if published.text.is_empty() || known == Some(published.version) {
+    let current = context.table.borrow().as_ref().map(|t| t.version);
+    if published.text.is_empty() || current == Some(published.version) {
         return;
     }
     match document::decode(published.text.as_bytes()) {
         Ok(table) => {
             let (version, routes) = (table.version, table.len());
             tracing::info!(event = "routes-in-force", %version, routes);
-            let pieces = |work: &Work| match work {
-                Work::Pieces(pieces) => Some(*pieces),
+            let stage_workload = |work: &Work| match work {
+                Work::Pieces(workload) => Some(*workload),
                 Work::Plain | Work::Engine(_) => None,
             };
-            let pools = table.pools.iter().filter_map(|(n, p)| Some((n.clone(), pieces(&p.work)?)));
+            let pools =
+                table.pools.iter().filter_map(|(n, p)| Some((n.clone(), stage_workload(&p.work)?)));
             let pools: Vec<(PoolName, Pieces)> = pools.collect();
             *context.table.borrow_mut() = Some(Rc::new(table));
-            desks.set_pools(pools);
+            schedulers.set_pools(pools);
         }
         Err(invalid) => {
             tracing::error!(event = "document-unreadable", version = %published.version, %invalid);
@@ -139,20 +151,20 @@
     }
 }
 
-/// Tells the control instances that this entry serves, until it stops.
-pub async fn tell_presence(context: Rc<Context>) {
+/// Sends heartbeats to the control instances until this entry stops.
+pub async fn send_heartbeats(context: Rc<Context>) {
     loop {
         let stopping = context.stopping.get();
-        send_presence(&context, stopping);
+        send_heartbeat(&context, stopping);
         if stopping {
             return;
         }
-        monoio::time::sleep(PRESENCE).await;
+        monoio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-/// Tells the control instances whether this entry is about to stop.
-pub fn send_presence(context: &Context, leaving: bool) {
+/// Tells the control instances that this entry serves callers or is `leaving`.
+pub fn send_heartbeat(context: &Context, leaving: bool) {
     let presence = Presence { centre: context.centre().clone(), leaving };
     for control in context.directory.others() {
         let frame = Frame::Present(presence.clone());
--- a/hawthornkeel/src/forward/discovery_server.rs
+++ b/hawthornkeel/src/forward/discovery_server.rs
@@ -1,7 +1,7 @@
-//! Control side of what entries follow: the document, the list of targets and the other entries.
+//! Control side of discovery: serves the document, the list of targets and the other entries.
 //!
-//! One control instance at a time reads the platform's list, the one that leads; the others take it
-//! from there, and read it themselves only where they are cut off from the leader.
+//! Only the leader polls the platform's list of targets. The other control instances fetch it from
+//! the leader, and poll the platform themselves while they can't reach the leader.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,9 +21,9 @@
 use crate::control::directory::Directory;
 use crate::control::node::Control;
 use crate::control::watch::Watch;
-use crate::forward::calls;
-use crate::forward::calls::Call;
-use crate::forward::exchange::Exchanges;
+use crate::forward::http_client::HttpClient;
+use crate::forward::internal_request;
+use crate::forward::internal_request::InternalRequest;
 use crate::peer::Endpoint;
 use crate::peer::Frame;
 use crate::peer::frame::FrameKind;
@@ -32,22 +32,24 @@
 use crate::peer::frame::Surveyed;
 use crate::peer::signal::Signal;
 
-/// Time without a word from an entry after which it counts as gone.
-const PRESENT: Duration = Duration::from_millis(3_500);
-/// Time after which an entry is settled: work is not moved to one that has just started.
-const SETTLED: Duration = Duration::from_secs(6);
-/// Time for one page of the list.
-const PAGE_TIME: Duration = Duration::from_millis(1_500);
-/// Pages of the list, at most.
+/// Time without a heartbeat after which an entry is removed.
+const ENTRY_TIMEOUT: Duration = Duration::from_millis(3_500);
+/// Time after its first heartbeat from which an entry counts as settled.
+///
+/// Schedulers are not moved to an entry that has just started.
+const SETTLE_TIME: Duration = Duration::from_secs(6);
+/// Timeout for one page of the platform's list.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum number of pages of the platform's list.
 const MAX_PAGES: usize = 1_000;
-/// Time for the leader to answer beyond the hold.
-const ANSWER_TIME: Duration = Duration::from_millis(700);
-/// Longest hold that is granted.
-const MAX_HOLD: Duration = Duration::from_millis(2_000);
-/// Age from which on the leader's list is not taken.
-const MAX_AGE: Duration = Duration::from_millis(2_500);
+/// Timeout of a poll of the leader, in addition to the long poll.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
+/// Maximum duration of a long poll.
+const MAX_LONG_POLL: Duration = Duration::from_millis(2_000);
+/// Maximum age at which the leader's list is accepted.
+const MAX_LIST_AGE: Duration = Duration::from_millis(2_500);
 
-/// Control side of what entries follow; clones share it.
+/// Control side of discovery; clones share it.
 #[derive(Clone)]
 pub struct DiscoveryServer {
     inner: Rc<Inner>,
@@ -58,19 +60,19 @@
     control: Control,
     watch: Watch,
     directory: Directory,
-    exchanges: Exchanges,
-    list: SocketAddr,
-    poll: Duration,
-    listing: RefCell<Listing>,
-    listed: Cell<Option<Instant>>,
-    entries: RefCell<IndexMap<InstanceName, Seen>>,
+    http_client: HttpClient,
+    list_address: SocketAddr,
+    poll_interval: Duration,
+    target_list: RefCell<Listing>,
+    list_time: Cell<Option<Instant>>,
+    entries: RefCell<IndexMap<InstanceName, EntryRecord>>,
     changed: Signal,
     started: Instant,
 }
 
-struct Seen {
-    first: Instant,
-    at: Instant,
+struct EntryRecord {
+    first_heartbeat: Instant,
+    last_heartbeat: Instant,
     centre: CentreName,
 }
 
@@ -80,17 +82,17 @@
     pub control: Control,
     /// Published state in force.
     pub watch: Watch,
-    /// Control instances that are known.
+    /// Known control instances.
     pub directory: Directory,
 }
 
 impl DiscoveryServer {
-    /// Starts to serve surveys and to read the platform's list at `list`.
+    /// Starts serving polls and following the platform's list at `list_address`.
     pub fn start(
         settings: &Settings,
         endpoint: &Endpoint,
         handles: ControlHandles,
-        list: SocketAddr,
+        list_address: SocketAddr,
     ) -> Self {
         let server = Self {
             inner: Rc::new(Inner {
@@ -98,23 +100,23 @@
                 control: handles.control,
                 watch: handles.watch,
                 directory: handles.directory,
-                exchanges: Exchanges::default(),
-                list,
-                poll: Duration::from_millis(settings.platform.poll_ms),
-                listing: RefCell::default(),
-                listed: Cell::default(),
+                http_client: HttpClient::default(),
+                list_address,
+                poll_interval: Duration::from_millis(settings.platform.poll_ms),
+                target_list: RefCell::default(),
+                list_time: Cell::default(),
                 entries: RefCell::default(),
                 changed: Signal::default(),
                 started: Instant::now(),
             }),
         };
-        server.serve();
+        server.register_handlers();
         monoio::spawn(server.clone().follow_list());
-        monoio::spawn(server.clone().forget_gone());
+        monoio::spawn(server.clone().expire_entries());
         server
     }
 
-    fn serve(&self) {
+    fn register_handlers(&self) {
         let endpoint = &self.inner.endpoint;
         let server = self.clone();
         endpoint.on_call(FrameKind::Survey, move |_, frame| {
@@ -122,7 +124,7 @@
             async move {
                 match frame {
                     Frame::Survey(survey) => {
-                        Frame::Surveyed(Box::new(server.answer(&survey).await))
+                        Frame::Surveyed(Box::new(server.handle_poll(&survey).await))
                     }
                     other => other,
                 }
@@ -131,20 +133,21 @@
         let server = self.clone();
         endpoint.on_frame(FrameKind::Present, move |from, frame| {
             if let Frame::Present(presence) = frame {
-                server.hear(from, presence);
+                server.record_heartbeat(from, presence);
             }
         });
     }
 
-    fn hear(&self, from: &InstanceName, presence: Presence) {
+    fn record_heartbeat(&self, from: &InstanceName, presence: Presence) {
         let mut entries = self.inner.entries.borrow_mut();
         let changed = if presence.leaving {
             entries.shift_remove(from).is_some()
         } else {
             let now = Instant::now();
-            let first = entries.get(from).map_or(now, |s| s.first);
-            let seen = Seen { first, at: now, centre: presence.centre };
-            entries.insert(from.clone(), seen).is_none()
+            let first_heartbeat = entries.get(from).map_or(now, |e| e.first_heartbeat);
+            let record =
+                EntryRecord { first_heartbeat, last_heartbeat: now, centre: presence.centre };
+            entries.insert(from.clone(), record).is_none()
         };
         drop(entries);
         if changed {
@@ -153,17 +156,17 @@
         }
     }
 
-    async fn forget_gone(self) {
+    async fn expire_entries(self) {
         loop {
-            monoio::time::sleep(PRESENT / 4).await;
+            monoio::time::sleep(ENTRY_TIMEOUT / 4).await;
             let mut entries = self.inner.entries.borrow_mut();
             let count = entries.len();
-            entries.retain(|name, seen| {
-                let present = seen.at.elapsed() < PRESENT;
-                if !present {
+            entries.retain(|name, record| {
+                let alive = record.last_heartbeat.elapsed() < ENTRY_TIMEOUT;
+                if !alive {
                     tracing::info!(event = "entry-silent", entry = %name);
                 }
-                present
+                alive
             });
             let changed = entries.len() != count;
             drop(entries);
@@ -173,55 +176,58 @@
         }
     }
 
-    /// Answers a survey once there is something new, or after its hold.
-    async fn answer(&self, survey: &Survey) -> Surveyed {
-        let hold = Duration::from_millis(survey.wait_ms.into()).min(MAX_HOLD);
-        let deadline = monoio::time::Instant::now() + hold;
+    /// Responds to a poll once there is something new, or at the end of the long poll.
+    async fn handle_poll(&self, survey: &Survey) -> Surveyed {
+        let wait = Duration::from_millis(survey.wait_ms.into()).min(MAX_LONG_POLL);
+        let deadline = monoio::time::Instant::now() + wait;
         loop {
-            let (watched, own) = (self.inner.watch.changes().count(), self.inner.changed.count());
-            if self.is_new(survey) {
+            let (state_changes, own_changes) =
+                (self.inner.watch.changes().count(), self.inner.changed.count());
+            if self.has_news(survey) {
                 break;
             }
             let changed = async {
                 monoio::select! {
-                    () = self.inner.watch.changes().after(watched) => {}
-                    () = self.inner.changed.after(own) => {}
+                    () = self.inner.watch.changes().after(state_changes) => {}
+                    () = self.inner.changed.after(own_changes) => {}
                 }
             };
             if monoio::time::timeout_at(deadline, changed).await.is_err() {
                 break;
             }
         }
-        self.surveyed(survey)
+        self.update_for(survey)
     }
 
-    fn is_new(&self, survey: &Survey) -> bool {
+    fn has_news(&self, survey: &Survey) -> bool {
         self.inner.watch.index() > survey.after
-            || Some(self.inner.listing.borrow().mark) != survey.listing
+            || Some(self.inner.target_list.borrow().mark) != survey.listing
             || self.inner.entries.borrow().len() != survey.entries
     }
 
-    fn surveyed(&self, survey: &Survey) -> Surveyed {
-        let listing = self.inner.listing.borrow().clone();
-        let listed = self.inner.listed.get();
+    fn update_for(&self, survey: &Survey) -> Surveyed {
+        let target_list = self.inner.target_list.borrow().clone();
+        let list_time = self.inner.list_time.get();
         let entries = self.inner.entries.borrow();
-        // What was here before this instance can't be told from what is new.
-        let young = self.inner.started.elapsed() < SETTLED * 2;
-        let present = |(name, seen): (&InstanceName, &Seen)| Present {
+        // After its own start this instance can't tell old entries from new ones.
+        let just_started = self.inner.started.elapsed() < SETTLE_TIME * 2;
+        let serving = |(name, record): (&InstanceName, &EntryRecord)| Present {
             name: name.clone(),
-            centre: seen.centre.clone(),
-            settled: young || seen.first.elapsed() > SETTLED,
+            centre: record.centre.clone(),
+            settled: just_started || record.first_heartbeat.elapsed() > SETTLE_TIME,
         };
         Surveyed {
             followed: self.inner.watch.followed(survey.after),
-            listing: (listed.is_some() && Some(listing.mark) != survey.listing).then_some(listing),
-            listed_ms: listed.map(|l| u64::try_from(l.elapsed().as_millis()).unwrap_or(u64::MAX)),
+            listing: (list_time.is_some() && Some(target_list.mark) != survey.listing)
+                .then_some(target_list),
+            listed_ms: list_time
+                .map(|l| u64::try_from(l.elapsed().as_millis()).unwrap_or(u64::MAX)),
             controls: self.controls(),
-            entries: sorted(entries.iter().map(present).collect()),
+            entries: sorted(entries.iter().map(serving).collect()),
         }
     }
 
-    /// Returns the members of the group, as far as this instance knows.
+    /// Returns the members of the control group known to this instance.
     fn controls(&self) -> Vec<InstanceName> {
         let members = self.inner.control.status().members;
         let mut names: Vec<InstanceName> = members.0.into_iter().map(|m| m.node.name).collect();
@@ -236,57 +242,58 @@
             let lead = self.inner.control.lead();
             match lead.leader.filter(|l| l != self.inner.endpoint.name()) {
                 Some(leader) => {
-                    if !self.take_list(&leader).await {
-                        self.read_list().await;
-                        monoio::time::sleep(self.inner.poll).await;
+                    if !self.fetch_from_leader(&leader).await {
+                        self.poll_platform().await;
+                        monoio::time::sleep(self.inner.poll_interval).await;
                     }
                 }
                 None => {
-                    self.read_list().await;
-                    monoio::time::sleep(self.inner.poll).await;
+                    self.poll_platform().await;
+                    monoio::time::sleep(self.inner.poll_interval).await;
                 }
             }
         }
     }
 
-    /// Takes the leader's list; tells whether it was young enough.
-    async fn take_list(&self, leader: &InstanceName) -> bool {
-        let wait_ms = u32::try_from(self.inner.poll.as_millis()).unwrap_or(u32::MAX);
-        let mark = self.inner.listed.get().map(|_| self.inner.listing.borrow().mark);
+    /// Fetches the leader's list; returns whether it is recent enough.
+    async fn fetch_from_leader(&self, leader: &InstanceName) -> bool {
+        let wait_ms = u32::try_from(self.inner.poll_interval.as_millis()).unwrap_or(u32::MAX);
+        let mark = self.inner.list_time.get().map(|_| self.inner.target_list.borrow().mark);
         let entries = self.inner.entries.borrow().len();
         let survey = Survey { after: self.inner.watch.index(), listing: mark, entries, wait_ms };
-        let asked = Instant::now();
-        let timeout = ANSWER_TIME + self.inner.poll;
-        let answer = self.inner.endpoint.call(leader, &Frame::Survey(survey), timeout).await;
-        let Ok(Frame::Surveyed(surveyed)) = answer else { return false };
-        let Some(age) = surveyed.listed_ms.map(Duration::from_millis) else { return false };
-        if age > MAX_AGE {
+        let sent = Instant::now();
+        let timeout = RESPONSE_TIMEOUT + self.inner.poll_interval;
+        let response = self.inner.endpoint.call(leader, &Frame::Survey(survey), timeout).await;
+        let Ok(Frame::Surveyed(update)) = response else { return false };
+        let Some(age) = update.listed_ms.map(Duration::from_millis) else { return false };
+        if age > MAX_LIST_AGE {
             return false;
         }
-        if let Some(listing) = surveyed.listing {
-            self.set_listing(listing);
+        if let Some(target_list) = update.listing {
+            self.set_target_list(target_list);
         }
-        self.inner.listed.set(asked.checked_sub(age));
-        // The leader may have answered at once, for entries that are known only there.
-        monoio::time::sleep(self.inner.poll.saturating_sub(asked.elapsed()) / 2).await;
+        self.inner.list_time.set(sent.checked_sub(age));
+        // The leader responds at once while it knows entries that this instance doesn't.
+        monoio::time::sleep(self.inner.poll_interval.saturating_sub(sent.elapsed()) / 2).await;
         true
     }
 
-    async fn read_list(&self) {
+    async fn poll_platform(&self) {
         let mut targets = Vec::new();
         let mut path = listing::PATH.to_owned();
         for _ in 0..MAX_PAGES {
-            let until = Instant::now() + PAGE_TIME;
-            let address = self.inner.list;
-            let call = Call { address, path: &path, body: None, fields: &[], until };
-            let reply = match calls::make(&self.inner.exchanges, &call).await {
-                Ok(reply) if reply.status == 200 => reply,
-                Ok(reply) => return self.unread(&format!("status {}", reply.status)),
-                Err(failure) => return self.unread(&failure.to_string()),
+            let deadline = Instant::now() + PAGE_TIMEOUT;
+            let address = self.inner.list_address;
+            let request =
+                InternalRequest { address, path: &path, body: None, fields: &[], deadline };
+            let response = match internal_request::send(&self.inner.http_client, &request).await {
+                Ok(response) if response.status == 200 => response,
+                Ok(response) => return self.log_unread(&format!("status {}", response.status)),
+                Err(error) => return self.log_unread(&error.to_string()),
             };
-            let page = match listing::decode(&reply.body) {
+            let page = match listing::decode(&response.body) {
                 Ok(page) => page,
-                Err(error) => return self.unread(&error.to_string()),
+                Err(error) => return self.log_unread(&error.to_string()),
             };
             if page.unreadable > 0 {
                 tracing::debug!(event = "list-entries-skipped", count = page.unreadable);
@@ -297,32 +304,32 @@
                 None => break,
             }
         }
-        self.set_listing(listing::join(targets));
-        self.inner.listed.set(Some(Instant::now()));
+        self.set_target_list(listing::join(targets));
+        self.inner.list_time.set(Some(Instant::now()));
     }
 
-    fn unread(&self, cause: &str) {
-        let age = self.inner.listed.get().map(|l| l.elapsed().as_millis());
+    fn log_unread(&self, cause: &str) {
+        let age = self.inner.list_time.get().map(|l| l.elapsed().as_millis());
         tracing::warn!(event = "list-unread", cause, age_ms = age);
     }
 
-    fn set_listing(&self, listing: Listing) {
-        let known = self.inner.listed.get().is_some();
-        if known && self.inner.listing.borrow().mark == listing.mark {
-            // Only times have changed.
-            *self.inner.listing.borrow_mut() = listing;
+    fn set_target_list(&self, list: Listing) {
+        let known = self.inner.list_time.get().is_some();
+        if known && self.inner.target_list.borrow().mark == list.mark {
+            // Only the times of cold targets have changed.
+            *self.inner.target_list.borrow_mut() = list;
             return;
         }
-        let leaving = listing.targets.iter().filter(|t| t.leaving).count();
-        let (targets, mark) = (listing.targets.len(), listing.mark);
+        let leaving = list.targets.iter().filter(|t| t.leaving).count();
+        let (targets, mark) = (list.targets.len(), list.mark);
         tracing::info!(event = "list-changed", targets, leaving, mark);
-        *self.inner.listing.borrow_mut() = listing;
-        self.inner.listed.set(Some(Instant::now()));
+        *self.inner.target_list.borrow_mut() = list;
+        self.inner.list_time.set(Some(Instant::now()));
         self.inner.changed.notify();
     }
 }
 
-/// Returns entries in the one order that all control instances give them in.
+/// Returns the entries in an order that is the same on all control instances.
 fn sorted(mut entries: Vec<Present>) -> Vec<Present> {
     entries.sort();
     entries
--- a/hawthornkeel/src/forward/handler.rs
+++ b/hawthornkeel/src/forward/handler.rs
@@ -1,4 +1,4 @@
-//! Callers' requests from their first byte to their answer.
+//! Handles callers' requests from admission to the response.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,26 +16,26 @@
 use hawthornkeel_core::table::route::RouteKind;
 
 use crate::clock::boot_now;
+use crate::forward::access;
 use crate::forward::context::Context;
-use crate::forward::desks::Desks;
-use crate::forward::desks::Undone;
-use crate::forward::exchange::Answer;
-use crate::forward::exchange::Failure;
-use crate::forward::gate;
+use crate::forward::http_client::ExchangeError;
+use crate::forward::http_client::TargetResponse;
+use crate::forward::outcome::AttemptOutcome;
+use crate::forward::outcome::DEFAULT_RETRY_AFTER;
+use crate::forward::outcome::ForwardOutcome;
+use crate::forward::outcome::classify_response;
+use crate::forward::outcome::exhausted;
+use crate::forward::outcome::forwarded_headers;
+use crate::forward::outcome::problem_response;
 use crate::forward::plan;
-use crate::forward::prepare;
-use crate::forward::prepare::Prepared;
-use crate::forward::prepare::Unprepared;
-use crate::forward::relay::Relay;
-use crate::forward::request::MIN_LEFT;
-use crate::forward::request::Ticket;
-use crate::forward::verdict::Forwarded;
-use crate::forward::verdict::RETRY;
-use crate::forward::verdict::Tried;
-use crate::forward::verdict::ended;
-use crate::forward::verdict::judge_answer;
-use crate::forward::verdict::passed_headers;
-use crate::forward::verdict::refusal;
+use crate::forward::relay::StreamRelay;
+use crate::forward::request::IncomingRequest;
+use crate::forward::request::MIN_TIME_LEFT;
+use crate::forward::schedulers::JobError;
+use crate::forward::schedulers::Schedulers;
+use crate::forward::stages;
+use crate::forward::stages::StageOutputs;
+use crate::forward::stages::StagesError;
 use crate::http::channel::bounded;
 use crate::http::message::Body;
 use crate::http::message::Head;
@@ -43,138 +43,151 @@
 use crate::http::message::Response;
 use crate::http::problem::Code;
 use crate::http::problem::Problem;
-
 use crate::http::server::Handler;
 use crate::http::signal::Signal;
 
-/// Pieces of a stream that wait for the caller, at most.
-const STREAM_PIECES: usize = 64;
-/// Time after which a cold target is looked at again.
-const COLD_PAUSE: Duration = Duration::from_millis(40);
-/// Part of the objective for which a request waits for a cold target.
-const COLD_PART: u32 = 4;
-/// Shortest time without an answer after which a request that may be repeated is.
-const MIN_SILENCE: Duration = Duration::from_millis(120);
-/// Targets that are tried for one request, at most.
-const MAX_TRIED: usize = 5;
-/// Times that the stages of a request are done, at most.
+/// Maximum number of chunks of a stream buffered for the caller.
+const STREAM_BUFFER_CHUNKS: usize = 64;
+/// Interval at which the choice of a target is repeated while all of them are cold.
+const COLD_POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// Divisor of the objective that a request spends waiting for a cold target.
+const COLD_WAIT_DIVISOR: u32 = 4;
+/// Minimum time without a response after which an idempotent request is retried.
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(120);
+/// Maximum number of targets tried for one request.
+const MAX_TARGETS: usize = 5;
+/// Maximum number of times that the stages of a request are run.
 const MAX_PASSES: u16 = 2;
 
-/// Answers callers' requests.
-pub struct Callers {
-    /// What the parts of the entry share.
+/// Handler of callers' requests.
+pub struct ForwardHandler {
+    /// Shared state of the entry.
     pub context: Rc<Context>,
-    /// Desks of stages.
-    pub desks: Desks,
+    /// Stage schedulers.
+    pub schedulers: Schedulers,
 }
 
-/// Counts a request among those in progress.
-pub struct Open(Rc<Context>);
+/// Guard that counts a request as in progress.
+pub struct InFlightGuard(Rc<Context>);
 
-impl Open {
+impl InFlightGuard {
     fn new(context: &Rc<Context>) -> Self {
-        context.open.set(context.open.get().saturating_add(1));
+        context.in_flight.set(context.in_flight.get().saturating_add(1));
         Self(Rc::clone(context))
     }
 }
 
-impl Drop for Open {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get().saturating_sub(1));
+        self.0.in_flight.set(self.0.in_flight.get().saturating_sub(1));
     }
 }
 
-/// Course of a request: where it was sent, and what it needs there.
+/// Progress of a request: the targets tried so far and the results of its stages.
 #[derive(Default)]
-pub struct Course {
-    /// Targets that were tried, whether or not it reached them.
+pub struct RequestProgress {
+    /// Targets that were tried, whether or not the request reached them.
     pub tried: Vec<TargetName>,
-    /// Targets that it may have run at.
-    pub runs: u32,
-    prepared: Rc<RefCell<Prepared>>,
-    /// Time that its stages took.
-    staged: Duration,
-    /// Time after which its answer began.
-    first: Duration,
+    /// Number of attempts in which the request may have run.
+    pub possible_runs: u32,
+    outputs: Rc<RefCell<StageOutputs>>,
+    /// Time from arrival until the stages were completed.
+    stages_done: Duration,
+    /// Time from arrival until the response began.
+    response_began: Duration,
 }
 
-impl Course {
-    /// Returns the results that the request needs at its target.
+impl RequestProgress {
+    /// Returns the stage results that the request consumes at its target.
     pub fn results(&self) -> Vec<Handle> {
-        self.prepared.borrow().handles()
+        self.outputs.borrow().handles()
     }
 
     /// Chooses the target to try next.
     ///
     /// # Errors
-    /// Fails with the reason where there is none.
-    pub fn choose(&self, context: &Context, ticket: &Ticket) -> Result<Chosen, NoTarget> {
-        let entries = context.roster.borrow().sharers();
-        let centre = preferred_centre(context, ticket);
-        let ask = ask(ticket, centre.as_ref(), &self.tried, entries);
-        context.board.borrow_mut().choose(boot_now(), &ask)
+    /// Returns the reason if there is none.
+    pub fn choose_target(
+        &self,
+        context: &Context,
+        request: &IncomingRequest,
+    ) -> Result<Chosen, NoTarget> {
+        let entry_count = context.serving_entries.borrow().peak_count();
+        let centre = preferred_centre(context, request);
+        let query = target_query(request, centre.as_ref(), &self.tried, entry_count);
+        context.balancer.borrow_mut().choose(boot_now(), &query)
     }
 
-    /// Writes the line that tells how a request ended.
-    pub fn log(&self, ticket: &Ticket, outcome: &str, status: u16) {
+    /// Logs the end of the request.
+    pub fn log_end(&self, request: &IncomingRequest, outcome: &str, status: u16) {
         let ms = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
         tracing::info!(
             event = "request-ended",
-            request = %ticket.id,
-            route = %ticket.route.name,
-            pool = %ticket.pool.name,
-            version = %ticket.table.version,
-            rank = ticket.rank,
+            request = %request.id,
+            route = %request.route.name,
+            pool = %request.pool.name,
+            version = %request.table.version,
+            rank = request.priority,
             outcome,
             status,
-            time_ms = ms(ticket.end.saturating_duration_since(ticket.started)),
+            time_ms = ms(request.deadline.saturating_duration_since(request.started)),
             tries = self.tried.len(),
             target = self.tried.last().map(TargetName::as_str),
-            staged_ms = ms(self.staged),
-            planned_ms = self.prepared.borrow().plan.map(|p| ms(p.end)),
-            pace = self.prepared.borrow().plan.map(|p| p.pace.as_str()),
-            first_ms = ms(self.first),
-            ms = ms(ticket.started.elapsed()),
+            staged_ms = ms(self.stages_done),
+            planned_ms = self.outputs.borrow().estimate.map(|e| ms(e.until_response)),
+            pace = self.outputs.borrow().estimate.map(|e| e.timeliness.as_str()),
+            first_ms = ms(self.response_began),
+            ms = ms(request.started.elapsed()),
         );
     }
 }
 
 /// Returns the data centre in which the request is likely to run.
-pub fn likely_centre(context: &Context, ticket: &Ticket) -> Option<CentreName> {
-    let centre = preferred_centre(context, ticket);
-    let ask = ask(ticket, centre.as_ref(), &[], 1);
-    context.board.borrow_mut().centre(boot_now(), &ask)
+pub fn likely_centre(context: &Context, request: &IncomingRequest) -> Option<CentreName> {
+    let centre = preferred_centre(context, request);
+    let query = target_query(request, centre.as_ref(), &[], 1);
+    context.balancer.borrow_mut().centre(boot_now(), &query)
 }
 
-fn ask<'a>(
-    ticket: &'a Ticket,
+fn target_query<'a>(
+    request: &'a IncomingRequest,
     centre: Option<&'a CentreName>,
     tried: &'a [TargetName],
-    entries: usize,
+    entry_count: usize,
 ) -> Ask<'a> {
-    let Ticket { pool, session, .. } = ticket;
-    Ask { pool: &pool.name, session: *session, centre, tried, cold: pool.cold, entries }
+    let IncomingRequest { pool, session, .. } = request;
+    Ask {
+        pool: &pool.name,
+        session: *session,
+        centre,
+        tried,
+        cold: pool.cold,
+        entries: entry_count,
+    }
 }
 
-/// Returns the data centre whose targets are preferred: the own one, unless prompts are shared.
-fn preferred_centre(context: &Context, ticket: &Ticket) -> Option<CentreName> {
-    (!ticket.route.affine).then(|| context.centre().clone())
+/// Returns the data centre whose targets are preferred: this entry's own, unless the route uses
+/// session affinity.
+fn preferred_centre(context: &Context, request: &IncomingRequest) -> Option<CentreName> {
+    (!request.route.affine).then(|| context.centre().clone())
 }
 
-impl Handler for Callers {
+impl Handler for ForwardHandler {
     async fn handle(&self, request: Request) -> Response {
-        let left = request.left.clone();
-        let ticket = match gate::admit(&self.context, request) {
-            Ok(ticket) => Rc::new(ticket),
-            Err(problem) => return refusal(problem),
+        let disconnected = request.left.clone();
+        let admitted = match access::admit(&self.context, request) {
+            Ok(admitted) => Rc::new(admitted),
+            Err(problem) => return problem_response(problem),
         };
-        self.context.count_request(&ticket.pool.name);
-        let open = Open::new(&self.context);
-        let work = self.serve(ticket, left.clone(), open);
+        self.context.record_request(&admitted.pool.name);
+        let guard = InFlightGuard::new(&self.context);
+        let work = self.serve(admitted, disconnected.clone(), guard);
         monoio::select! {
             response = work => response,
-            // Nobody reads the answer; dropping the work cancels what runs.
-            () = left.wait() => refusal(Problem::new(Code::Internal, Ran::Unknown)),
+            // The caller has disconnected; dropping `work` cancels what is running.
+            () = disconnected.wait() => {
+                problem_response(Problem::new(Code::Internal, Ran::Unknown))
+            }
         }
     }
 
@@ -184,234 +197,286 @@
     }
 }
 
-impl Callers {
-    async fn serve(&self, ticket: Rc<Ticket>, left: Signal, open: Open) -> Response {
-        let mut course = Course::default();
+impl ForwardHandler {
+    async fn serve(
+        &self,
+        request: Rc<IncomingRequest>,
+        disconnected: Signal,
+        guard: InFlightGuard,
+    ) -> Response {
+        let mut progress = RequestProgress::default();
         let mut pass = 0;
         loop {
-            if let Err(unprepared) = self.prepare(&ticket, &mut course, pass).await {
-                return self.unprepared(&ticket, &course, unprepared);
+            if let Err(error) = self.run_stages(&request, &mut progress, pass).await {
+                return self.stages_failed(&request, &progress, error);
             }
-            match self.forward(&ticket, &mut course).await {
-                Forwarded::Answer(answer, target) => {
-                    return self.pass_on(ticket, course, left, open, answer, target).await;
+            match self.forward(&request, &mut progress).await {
+                ForwardOutcome::Response(response, target) => {
+                    return self
+                        .return_response(request, progress, disconnected, guard, response, target)
+                        .await;
                 }
-                Forwarded::ResultsGone if pass + 1 < MAX_PASSES => pass += 1,
-                Forwarded::ResultsGone => {
-                    return self.unprepared(&ticket, &course, Undone::Gone.into());
+                ForwardOutcome::ResultsGone if pass + 1 < MAX_PASSES => pass += 1,
+                ForwardOutcome::ResultsGone => {
+                    return self.stages_failed(&request, &progress, JobError::Gone.into());
                 }
-                Forwarded::Ended(problem) => {
-                    course.log(&ticket, problem.code.as_str(), problem.code.status().as_u16());
-                    return refusal(problem);
+                ForwardOutcome::Exhausted(problem) => {
+                    progress.log_end(
+                        &request,
+                        problem.code.as_str(),
+                        problem.code.status().as_u16(),
+                    );
+                    return problem_response(problem);
                 }
             }
         }
     }
 
-    /// Has the stages before a request done, where it has any.
-    async fn prepare(
+    /// Runs the stages of a request, if it has any.
+    async fn run_stages(
         &self,
-        ticket: &Ticket,
-        course: &mut Course,
+        request: &IncomingRequest,
+        progress: &mut RequestProgress,
         pass: u16,
-    ) -> Result<(), Unprepared> {
-        if ticket.route.stages.is_empty() {
+    ) -> Result<(), StagesError> {
+        if request.route.stages.is_empty() {
             return Ok(());
         }
-        let pieces = ticket.pieces().ok_or(Unprepared::Undone(Undone::Failed))?;
-        let work = prepare::prepare(&self.context, &self.desks, ticket, &pieces, pass);
-        let prepared = monoio::time::timeout(ticket.left(), work).await;
-        *course.prepared.borrow_mut() =
-            prepared.map_err(|_| Unprepared::Undone(Undone::Late))??;
-        course.staged = ticket.started.elapsed();
+        let pieces = request.piece_counts().ok_or(StagesError::Job(JobError::Failed))?;
+        let work = stages::run_stages(&self.context, &self.schedulers, request, &pieces, pass);
+        let outputs = monoio::time::timeout(request.time_left(), work).await;
+        *progress.outputs.borrow_mut() =
+            outputs.map_err(|_| StagesError::Job(JobError::Late))??;
+        progress.stages_done = request.started.elapsed();
         Ok(())
     }
 
-    fn unprepared(&self, ticket: &Ticket, course: &Course, unprepared: Unprepared) -> Response {
-        // Stages may have been done, but the request itself has not run and will not.
-        let (code, retry) = match unprepared {
-            Unprepared::Refused { retry } => (Code::Overloaded, retry),
-            Unprepared::Undone(Undone::Late) => (Code::DeadlineUnreachable, RETRY),
-            Unprepared::Undone(Undone::Gone | Undone::Failed) => (Code::NoTarget, RETRY),
+    fn stages_failed(
+        &self,
+        request: &IncomingRequest,
+        progress: &RequestProgress,
+        error: StagesError,
+    ) -> Response {
+        // Stages may have run, but the request itself has not run and will not.
+        let (code, retry_after) = match error {
+            StagesError::Rejected { retry_after } => (Code::Overloaded, retry_after),
+            StagesError::Job(JobError::Late) => (Code::DeadlineUnreachable, DEFAULT_RETRY_AFTER),
+            StagesError::Job(JobError::Gone | JobError::Failed) => {
+                (Code::NoTarget, DEFAULT_RETRY_AFTER)
+            }
         };
-        course.log(ticket, code.as_str(), code.status().as_u16());
-        refusal(Problem::not_run(code).with_retry_after(retry))
+        progress.log_end(request, code.as_str(), code.status().as_u16());
+        problem_response(Problem::not_run(code).with_retry_after(retry_after))
     }
 
-    /// Sends a request to one target after the other, as far as it may be.
-    async fn forward(&self, ticket: &Ticket, course: &mut Course) -> Forwarded {
+    /// Sends a request to one target after the other until one responds or retries are exhausted.
+    async fn forward(
+        &self,
+        request: &IncomingRequest,
+        progress: &mut RequestProgress,
+    ) -> ForwardOutcome {
         let mut ran = Ran::NotRun;
         let mut failed = None;
-        let mut arrived = course.runs > 0;
+        let mut reached = progress.possible_runs > 0;
         loop {
-            // What reached no target is no repeat.
-            if arrived && !self.may_repeat(ticket, course) {
-                return ended(ran, failed);
+            // An attempt counts as a retry only if an earlier one reached a target.
+            if reached && !self.may_retry(request, progress) {
+                return exhausted(ran, failed);
             }
-            if course.tried.len() >= MAX_TRIED || ticket.left() < MIN_LEFT {
-                return ended(ran, failed);
+            if progress.tried.len() >= MAX_TARGETS || request.time_left() < MIN_TIME_LEFT {
+                return exhausted(ran, failed);
             }
-            let target = match self.choose(ticket, course).await {
+            let target = match self.wait_for_target(request, progress).await {
                 Ok(target) => target,
-                Err(_) => return ended(ran, failed),
+                Err(_) => return exhausted(ran, failed),
             };
-            let request = ticket.outgoing(&target, &course.results(), None);
-            let until = self.patience(ticket, course.runs);
-            let sent = self.context.exchanges.send(target.address, &request, until).await;
-            course.tried.push(target.name.clone());
-            let tried = self.judge(ticket, &target, sent);
-            if !matches!(tried, Tried::Answered(_)) {
-                tracing::info!(event = "target-tried", request = %ticket.id, target = %target.name, outcome = %tried);
+            let outgoing = request.encode_for(&target, &progress.results(), None);
+            let deadline = self.response_deadline(request, progress.possible_runs);
+            let result = self.context.http_client.send(target.address, &outgoing, deadline).await;
+            progress.tried.push(target.name.clone());
+            let outcome = self.record_attempt(request, &target, result);
+            if !matches!(outcome, AttemptOutcome::Responded(_)) {
+                tracing::info!(
+                    event = "target-tried",
+                    request = %request.id,
+                    target = %target.name,
+                    outcome = %outcome,
+                );
             }
-            match tried {
-                Tried::Answered(answer) => return Forwarded::Answer(answer, target),
-                Tried::ResultsGone => return Forwarded::ResultsGone,
-                Tried::Unreached => {}
-                Tried::NotRun => arrived = true,
-                Tried::Failed(answer) => {
+            match outcome {
+                AttemptOutcome::Responded(response) => {
+                    return ForwardOutcome::Response(response, target);
+                }
+                AttemptOutcome::ResultsGone => return ForwardOutcome::ResultsGone,
+                AttemptOutcome::Unreached => {}
+                AttemptOutcome::NotRun => reached = true,
+                AttemptOutcome::Failed(response) => {
                     ran = Ran::Unknown;
-                    arrived = true;
-                    course.runs += 1;
-                    if !ticket.route.kind.may_repeat() {
-                        return Forwarded::Answer(answer, target);
+                    reached = true;
+                    progress.possible_runs += 1;
+                    if !request.route.kind.may_repeat() {
+                        return ForwardOutcome::Response(response, target);
                     }
-                    failed = Some((answer, target));
+                    failed = Some((response, target));
                 }
-                Tried::Lost => {
+                AttemptOutcome::Lost => {
                     ran = Ran::Unknown;
-                    arrived = true;
-                    course.runs += 1;
-                    if !ticket.route.kind.may_repeat() {
-                        return ended(ran, None);
+                    reached = true;
+                    progress.possible_runs += 1;
+                    if !request.route.kind.may_repeat() {
+                        return exhausted(ran, None);
                     }
                 }
             }
         }
     }
 
-    /// Tells whether a request may be sent to one more target.
-    fn may_repeat(&self, ticket: &Ticket, course: &Course) -> bool {
-        course.runs < ticket.route.attempts && self.context.may_repeat(&ticket.pool.name)
+    /// Takes one retry from the budget; returns whether the request may be sent again.
+    fn may_retry(&self, request: &IncomingRequest, progress: &RequestProgress) -> bool {
+        progress.possible_runs < request.route.attempts
+            && self.context.try_retry(&request.pool.name)
     }
 
-    /// Chooses a target, waiting for a while where all that are left are cold.
-    async fn choose(&self, ticket: &Ticket, course: &Course) -> Result<Chosen, NoTarget> {
-        let limit = ticket.started + ticket.route.objective / COLD_PART;
+    /// Chooses a target; waits for a while if all that are left are cold.
+    async fn wait_for_target(
+        &self,
+        request: &IncomingRequest,
+        progress: &RequestProgress,
+    ) -> Result<Chosen, NoTarget> {
+        let limit = request.started + request.route.objective / COLD_WAIT_DIVISOR;
         loop {
-            match course.choose(&self.context, ticket) {
+            match progress.choose_target(&self.context, request) {
                 Err(NoTarget::Cold) if Instant::now() < limit => {
-                    monoio::time::sleep(COLD_PAUSE).await;
+                    monoio::time::sleep(COLD_POLL_INTERVAL).await;
                 }
-                Err(NoTarget::Tried) if !course.tried.is_empty() => return Err(NoTarget::Tried),
+                Err(NoTarget::Tried) if !progress.tried.is_empty() => return Err(NoTarget::Tried),
                 chosen => return chosen,
             }
         }
     }
 
-    /// Returns until when a target may be silent.
-    fn patience(&self, ticket: &Ticket, runs: u32) -> Instant {
-        let more = ticket.route.kind.may_repeat() && runs + 1 < ticket.route.attempts;
-        if !more {
-            return ticket.end;
+    /// Returns the time until which to wait for a response before the request is retried.
+    fn response_deadline(&self, request: &IncomingRequest, possible_runs: u32) -> Instant {
+        let retryable =
+            request.route.kind.may_repeat() && possible_runs + 1 < request.route.attempts;
+        if !retryable {
+            return request.deadline;
         }
-        let usual = self.context.time(&ticket.pool.name, plan::ENGINE_TIME) * 4;
-        let silence = usual.max(ticket.route.objective / 2).max(MIN_SILENCE);
-        ticket.end.min(Instant::now() + silence)
+        let latency = self.context.expected_latency(&request.pool.name, plan::DEFAULT_LATENCY) * 4;
+        let timeout = latency.max(request.route.objective / 2).max(MIN_RESPONSE_TIMEOUT);
+        request.deadline.min(Instant::now() + timeout)
     }
 
-    /// Tells what came of sending a request to a target.
-    fn judge(&self, ticket: &Ticket, target: &Chosen, sent: Result<Answer, Failure>) -> Tried {
-        let (tried, ended) = match sent {
-            Ok(answer) => judge_answer(answer),
-            Err(failure) if failure.is_not_run() => (Tried::Unreached, Some(Ended::Unreached)),
-            Err(Failure::Silent) if Instant::now() >= ticket.end => {
-                (Tried::Lost, Some(Ended::GivenUp))
+    /// Classifies an attempt and records its outcome for the target.
+    fn record_attempt(
+        &self,
+        request: &IncomingRequest,
+        target: &Chosen,
+        result: Result<TargetResponse, ExchangeError>,
+    ) -> AttemptOutcome {
+        let (outcome, target_outcome) = match result {
+            Ok(response) => classify_response(response),
+            Err(error) if error.is_not_run() => (AttemptOutcome::Unreached, Some(Ended::Unreached)),
+            Err(ExchangeError::TimedOut) if Instant::now() >= request.deadline => {
+                (AttemptOutcome::Lost, Some(Ended::GivenUp))
             }
-            Err(_) => (Tried::Lost, Some(Ended::Badly)),
+            Err(_) => (AttemptOutcome::Lost, Some(Ended::Badly)),
         };
-        if let Some(ended) = ended {
-            self.context.board.borrow_mut().ended(boot_now(), &target.name, ended);
+        if let Some(target_outcome) = target_outcome {
+            self.context.balancer.borrow_mut().ended(boot_now(), &target.name, target_outcome);
         }
-        tried
+        outcome
     }
 
-    /// Passes an answer on to the caller.
-    async fn pass_on(
+    /// Returns a target's response to the caller.
+    async fn return_response(
         &self,
-        ticket: Rc<Ticket>,
-        mut course: Course,
-        left: Signal,
-        open: Open,
-        answer: Box<Answer>,
+        request: Rc<IncomingRequest>,
+        mut progress: RequestProgress,
+        disconnected: Signal,
+        guard: InFlightGuard,
+        response: Box<TargetResponse>,
         target: Chosen,
     ) -> Response {
-        let status = answer.status;
-        course.first = ticket.started.elapsed();
-        self.context.note_time(&ticket.pool.name, course.first.saturating_sub(course.staged));
-        let streams = matches!(ticket.route.kind, RouteKind::Stream { .. });
+        let status = response.status;
+        progress.response_began = request.started.elapsed();
+        self.context.record_latency(
+            &request.pool.name,
+            progress.response_began.saturating_sub(progress.stages_done),
+        );
+        let streams = matches!(request.route.kind, RouteKind::Stream { .. });
         if streams && status.is_success() {
-            // What the request needed was fetched before its first event.
-            course.prepared.borrow_mut().give_up();
-            let (sender, receiver) = bounded(STREAM_PIECES);
-            let headers = passed_headers(&answer.headers);
+            // The target has fetched the stage results before its first event.
+            progress.outputs.borrow_mut().release();
+            let (sender, receiver) = bounded(STREAM_BUFFER_CHUNKS);
+            let headers = forwarded_headers(&response.headers);
             let context = Rc::clone(&self.context);
-            let relay = Relay { context, ticket, left, course, open };
-            monoio::spawn(relay.run(*answer, target, sender));
+            let relay = StreamRelay { context, request, disconnected, progress, guard };
+            monoio::spawn(relay.run(*response, target, sender));
             return Response { status, headers, body: Body::Stream(receiver) };
         }
-        self.pass_whole(&ticket, course, *answer, target).await
+        self.return_whole(&request, progress, *response, target).await
     }
 
-    /// Passes an answer on once it is whole; where it breaks off, the request may be repeated.
-    async fn pass_whole(
+    /// Returns a response once it is complete; a truncated one may be retried.
+    async fn return_whole(
         &self,
-        ticket: &Ticket,
-        mut course: Course,
-        mut answer: Answer,
+        request: &IncomingRequest,
+        mut progress: RequestProgress,
+        mut response: TargetResponse,
         mut target: Chosen,
     ) -> Response {
-        let mut until = self.patience(ticket, 0);
+        let mut deadline = self.response_deadline(request, 0);
         loop {
-            let status = answer.status;
-            let body = answer.whole(until).await;
-            let ended = match &body {
+            let status = response.status;
+            let body = response.read_to_end(deadline).await;
+            let target_outcome = match &body {
                 Ok(_) if !status.is_server_error() => Ended::Well,
                 _ => Ended::Badly,
             };
-            self.context.board.borrow_mut().ended(boot_now(), &target.name, ended);
+            self.context.balancer.borrow_mut().ended(boot_now(), &target.name, target_outcome);
             match body {
                 Ok(body) => {
-                    let headers = passed_headers(&answer.headers);
-                    answer.finish();
-                    course.log(ticket, "answered", status.as_u16());
+                    let headers = forwarded_headers(&response.headers);
+                    response.finish();
+                    progress.log_end(request, "answered", status.as_u16());
                     return Response { status, headers, body: Body::Whole(body) };
                 }
-                Err(failure) => {
-                    tracing::info!(event = "answer-broken", request = %ticket.id, target = %target.name, %failure);
+                Err(error) => {
+                    tracing::info!(
+                        event = "answer-broken",
+                        request = %request.id,
+                        target = %target.name,
+                        failure = %error,
+                    );
                 }
             }
-            drop(answer);
-            match self.again(ticket, &mut course).await {
-                Some((next, at)) => (answer, target) = (*next, at),
+            drop(response);
+            match self.retry(request, &mut progress).await {
+                Some((next, next_target)) => (response, target) = (*next, next_target),
                 None => {
                     let problem = Problem::new(Code::StageFailed, Ran::Unknown);
-                    course.log(ticket, "answer-lost", problem.code.status().as_u16());
-                    return refusal(problem);
+                    progress.log_end(request, "answer-lost", problem.code.status().as_u16());
+                    return problem_response(problem);
                 }
             }
-            until = ticket.end;
+            deadline = request.deadline;
         }
     }
 
-    /// Sends a request once more after its answer broke off, where it may be.
-    async fn again(&self, ticket: &Ticket, course: &mut Course) -> Option<(Box<Answer>, Chosen)> {
-        course.runs += 1;
-        if !ticket.route.kind.may_repeat() || !self.may_repeat(ticket, course) {
+    /// Sends a request again after its response was truncated, if that is allowed.
+    async fn retry(
+        &self,
+        request: &IncomingRequest,
+        progress: &mut RequestProgress,
+    ) -> Option<(Box<TargetResponse>, Chosen)> {
+        progress.possible_runs += 1;
+        if !request.route.kind.may_repeat() || !self.may_retry(request, progress) {
             return None;
         }
-        match self.forward(ticket, course).await {
-            Forwarded::Answer(answer, target) => Some((answer, target)),
-            Forwarded::ResultsGone | Forwarded::Ended(_) => None,
+        match self.forward(request, progress).await {
+            ForwardOutcome::Response(response, target) => Some((response, target)),
+            ForwardOutcome::ResultsGone | ForwardOutcome::Exhausted(_) => None,
         }
     }
 }
--- /dev/null
+++ b/hawthornkeel/src/forward/http_client.rs
@@ -0,0 +1,428 @@
+//! HTTP/1.1 client for targets: sends encoded requests, reads responses whole or in chunks.
+
+use std::cell::RefCell;
+use std::fmt;
+use std::io;
+use std::net::SocketAddr;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Duration;
+use std::time::Instant;
+
+use bytes::Buf;
+use bytes::Bytes;
+use bytes::BytesMut;
+use http::HeaderMap;
+use http::StatusCode;
+use http::Version;
+use indexmap::IndexMap;
+use monoio::io::AsyncWriteRent;
+use monoio::io::OwnedWriteHalf;
+use monoio::io::Splitable;
+use monoio::net::TcpStream;
+use monoio::time::timeout;
+use monoio_http::common::response::ResponseHead;
+
+use crate::http::connection::has_token;
+use crate::http::framing;
+use crate::http::framing::BodyLength;
+use crate::http::framing::BodyReader;
+use crate::http::framing::ReadError;
+use crate::http::reader::Reader;
+
+/// Maximum size of a response head.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
+/// Maximum size of a response body that is read whole.
+const MAX_BODY_BYTES: usize = 8 << 20;
+/// Maximum number of informational (1xx) responses before the final one.
+const MAX_INTERIM_RESPONSES: usize = 4;
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time for which an idle connection is kept if the target announces no timeout.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time before the announced keep-alive timeout at which a connection is no longer reused.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
+/// Maximum idle time of a connection that is reused for a non-idempotent request.
+const MAX_IDLE_NON_IDEMPOTENT: Duration = Duration::from_millis(1_500);
+/// Maximum number of idle connections to one target.
+const MAX_IDLE_CONNECTIONS: usize = 16;
+/// Time to wait for an early response after writing the request failed.
+const EARLY_RESPONSE_TIMEOUT: Duration = Duration::from_millis(50);
+
+/// Error of an exchange that yields no complete response.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub enum ExchangeError {
+    /// The request was not sent, so it can't have run.
+    NotSent(String),
+    /// The exchange failed after the request may have been sent; it may have run.
+    Interrupted(&'static str),
+    /// The timeout has passed; the request may have run.
+    TimedOut,
+}
+
+impl ExchangeError {
+    /// Returns whether the request is known not to have run.
+    pub fn is_not_run(&self) -> bool {
+        matches!(self, Self::NotSent(_))
+    }
+}
+
+impl fmt::Display for ExchangeError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::NotSent(cause) => write!(f, "not sent: {cause}"),
+            Self::Interrupted(cause) => write!(f, "interrupted: {cause}"),
+            Self::TimedOut => f.write_str("silent"),
+        }
+    }
+}
+
+impl std::error::Error for ExchangeError {}
+
+/// Encoded request to a target.
+#[derive(Clone, Debug)]
+pub struct OutgoingRequest {
+    /// Encoded head and body.
+    pub data: Bytes,
+    /// Request identifier, which must match that of the response if the response has one.
+    pub id: Option<Bytes>,
+    /// Whether the response has no body, as for HEAD.
+    pub bodiless: bool,
+    /// Whether it may be retried after an exchange with an unknown outcome.
+    pub retryable: bool,
+}
+
+/// HTTP client with a pool of idle connections; clones share the pool.
+#[derive(Clone, Default)]
+pub struct HttpClient {
+    idle: Rc<RefCell<IndexMap<SocketAddr, Vec<IdleConnection>>>>,
+    /// Name of the header field with the request identifier.
+    id_field: &'static str,
+}
+
+/// Idle connection in the pool.
+struct IdleConnection {
+    connection: Connection,
+    since: Instant,
+    expires: Instant,
+}
+
+struct Connection {
+    reader: Reader,
+    write: OwnedWriteHalf<TcpStream>,
+    reused: bool,
+}
+
+/// Response of a target whose body is read on demand.
+pub struct TargetResponse {
+    /// Status.
+    pub status: StatusCode,
+    /// Header fields.
+    pub headers: HeaderMap,
+    address: SocketAddr,
+    connection: Connection,
+    body: Body,
+    reusable: bool,
+    client: HttpClient,
+}
+
+enum Body {
+    Framed(BodyReader),
+    /// Delimited by the end of the connection.
+    UntilClose,
+    Done,
+}
+
+impl HttpClient {
+    /// Creates a client without connections; responses echo the request identifier in `id_field`.
+    pub fn new(id_field: &'static str) -> Self {
+        Self { idle: Rc::default(), id_field }
+    }
+
+    /// Sends a request and reads the head of the response.
+    ///
+    /// Dropping the future closes the connection, which cancels the request at the target.
+    ///
+    /// # Errors
+    /// Returns the reason if there is no response, `TimedOut` once `deadline` has passed.
+    pub async fn send(
+        &self,
+        address: SocketAddr,
+        request: &OutgoingRequest,
+        deadline: Instant,
+    ) -> Result<TargetResponse, ExchangeError> {
+        if let Some(connection) = self.checkout(address, request.retryable).await {
+            match self.send_over(connection, address, request, deadline).await {
+                // The target may have closed the idle connection while the request was in transit.
+                Err(ExchangeError::Interrupted(_)) if request.retryable => {
+                    self.discard_idle(address)
+                }
+                Err(ExchangeError::TimedOut) => {
+                    self.discard_idle(address);
+                    return Err(ExchangeError::TimedOut);
+                }
+                other => return other,
+            }
+        }
+        let connection = Connection::open(address, time_left(deadline)).await?;
+        self.send_over(connection, address, request, deadline).await
+    }
+
+    async fn send_over(
+        &self,
+        mut connection: Connection,
+        address: SocketAddr,
+        request: &OutgoingRequest,
+        deadline: Instant,
+    ) -> Result<TargetResponse, ExchangeError> {
+        let sent = timeout(time_left(deadline), connection.send(&request.data)).await;
+        let (head, written) = sent.map_err(|_| ExchangeError::TimedOut)??;
+        self.response(address, connection, head, request, written)
+    }
+
+    /// Closes all idle connections to a target after one of them turned out to be broken.
+    fn discard_idle(&self, address: SocketAddr) {
+        self.idle.borrow_mut().swap_remove(&address);
+    }
+
+    /// Closes expired idle connections and those to addresses that are no longer used.
+    pub fn retain(&self, is_used: impl Fn(&SocketAddr) -> bool) {
+        let now = Instant::now();
+        self.idle.borrow_mut().retain(|address, idle| {
+            idle.retain(|i| i.expires > now);
+            is_used(address) && !idle.is_empty()
+        });
+    }
+
+    /// Takes an idle connection that has received nothing since its last exchange.
+    ///
+    /// A non-idempotent request only gets a recently used connection: the target may close a
+    /// connection that was idle for longer while the request is in transit, and the request could
+    /// not be retried.
+    async fn checkout(&self, address: SocketAddr, retryable: bool) -> Option<Connection> {
+        loop {
+            let idle = self.idle.borrow_mut().get_mut(&address)?.pop()?;
+            if !retryable && idle.since.elapsed() > MAX_IDLE_NON_IDEMPOTENT {
+                return None;
+            }
+            let mut connection = idle.connection;
+            if idle.expires > Instant::now() && connection.is_quiet().await {
+                return Some(connection);
+            }
+        }
+    }
+
+    fn response(
+        &self,
+        address: SocketAddr,
+        connection: Connection,
+        head: ResponseHead,
+        request: &OutgoingRequest,
+        written: bool,
+    ) -> Result<TargetResponse, ExchangeError> {
+        let echo = head.headers.get(self.id_field).map(|v| v.as_bytes());
+        let echoed = match (echo, &request.id) {
+            (Some(echo), Some(id)) if echo != id.as_ref() => {
+                return Err(ExchangeError::Interrupted("response belongs to another request"));
+            }
+            (None, Some(_)) if connection.reused => {
+                return Err(ExchangeError::Interrupted(
+                    "response on a reused connection has no request identifier",
+                ));
+            }
+            (echo, _) => echo.is_some(),
+        };
+        let no_body = request.bodiless
+            || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+        let length = framing::body_length(head.version, &head.headers);
+        let body = match length
+            .map_err(|_| ExchangeError::Interrupted("response has invalid body framing"))?
+        {
+            _ if no_body => Body::Done,
+            BodyLength::Absent => Body::UntilClose,
+            BodyLength::Fixed(0) => Body::Done,
+            length => {
+                let body = BodyReader::new(length, MAX_BODY_BYTES);
+                Body::Framed(body.map_err(|_| ExchangeError::Interrupted("response is too large"))?)
+            }
+        };
+        let persistent = head.version == Version::HTTP_11 && !has_token(&head.headers, "close");
+        let identified = echoed || request.id.is_none();
+        Ok(TargetResponse {
+            status: head.status,
+            headers: head.headers,
+            address,
+            connection,
+            body,
+            reusable: written && persistent && identified,
+            client: self.clone(),
+        })
+    }
+
+    fn checkin(&self, address: SocketAddr, mut connection: Connection, headers: &HeaderMap) {
+        // Bytes after the response belong to no request.
+        if connection.reader.buffered() > 0 {
+            return;
+        }
+        connection.reused = true;
+        let since = Instant::now();
+        let expires = since + keep_alive_timeout(headers).unwrap_or(IDLE_TIMEOUT);
+        let mut all = self.idle.borrow_mut();
+        let idle = all.entry(address).or_default();
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(IdleConnection { connection, since, expires });
+        }
+    }
+}
+
+impl Connection {
+    async fn open(address: SocketAddr, time_limit: Duration) -> Result<Self, ExchangeError> {
+        let not_sent = |cause: String| ExchangeError::NotSent(cause);
+        let connect =
+            timeout(CONNECT_TIMEOUT.min(time_limit), TcpStream::connect_addr(address)).await;
+        let stream = connect.map_err(|_| not_sent("connect timed out".to_owned()))?;
+        let stream = stream.map_err(|e| not_sent(e.to_string()))?;
+        // Requests are written in one go, so Nagle's algorithm would only add delay.
+        let _ = stream.set_nodelay(true);
+        let (read, write) = stream.into_split();
+        Ok(Self { reader: Reader::new(read), write, reused: false })
+    }
+
+    /// Returns whether the peer has neither sent data nor closed since the last exchange.
+    async fn is_quiet(&mut self) -> bool {
+        if self.reader.buffered() > 0 {
+            return false;
+        }
+        let mut fill = pin!(self.reader.fill(0));
+        std::future::poll_fn(|cx| std::task::Poll::Ready(fill.as_mut().poll(cx).is_pending())).await
+    }
+
+    /// Writes a request and reads the response head, which may arrive before all is written.
+    ///
+    /// Returns as well whether the whole request was written.
+    async fn send(&mut self, data: &Bytes) -> Result<(ResponseHead, bool), ExchangeError> {
+        let Self { reader, write, .. } = self;
+        let mut head = pin!(read_head(reader));
+        let written = {
+            let mut writing = pin!(write_all(write, data.clone()));
+            monoio::select! {
+                written = &mut writing => Some(written),
+                early = &mut head => {
+                    return early.map(|h| (h, false)).map_err(read_error);
+                }
+            }
+        };
+        if let Some(Err(_)) = written {
+            let early = timeout(EARLY_RESPONSE_TIMEOUT, head).await;
+            let error =
+                ExchangeError::Interrupted("connection failed while the request was being written");
+            return early.ok().and_then(Result::ok).map(|h| (h, false)).ok_or(error);
+        }
+        head.await.map(|h| (h, true)).map_err(read_error)
+    }
+}
+
+impl TargetResponse {
+    /// Returns the next chunk of the body, or `None` at its end.
+    ///
+    /// # Errors
+    /// Returns `TimedOut` if nothing arrives before `deadline`, or another error if the body is
+    /// truncated.
+    pub async fn chunk(&mut self, deadline: Instant) -> Result<Option<Bytes>, ExchangeError> {
+        let chunk = timeout(time_left(deadline), self.next());
+        chunk.await.map_err(|_| ExchangeError::TimedOut)?
+    }
+
+    /// Returns the rest of the body.
+    ///
+    /// # Errors
+    /// Returns the errors of [`TargetResponse::chunk`], or an error if the body is too large.
+    pub async fn read_to_end(&mut self, deadline: Instant) -> Result<Bytes, ExchangeError> {
+        let Some(first) = self.chunk(deadline).await? else { return Ok(Bytes::new()) };
+        let mut body = BytesMut::from(first.as_ref());
+        while let Some(chunk) = self.chunk(deadline).await? {
+            if body.len() + chunk.len() > MAX_BODY_BYTES {
+                return Err(ExchangeError::Interrupted("response is too large"));
+            }
+            body.extend_from_slice(&chunk);
+        }
+        Ok(body.freeze())
+    }
+
+    /// Ends the exchange; the connection is kept for reuse if the response was read to its end.
+    pub fn finish(self) {
+        let done = match &self.body {
+            Body::Done => true,
+            Body::Framed(body) => body.is_done(),
+            Body::UntilClose => false,
+        };
+        if done && self.reusable {
+            self.client.checkin(self.address, self.connection, &self.headers);
+        }
+    }
+
+    async fn next(&mut self) -> Result<Option<Bytes>, ExchangeError> {
+        let reader = &mut self.connection.reader;
+        match &mut self.body {
+            Body::Done => Ok(None),
+            Body::Framed(body) => body.next(reader).await.map_err(read_error),
+            Body::UntilClose => {
+                if reader.buffered() == 0 && reader.fill(0).await.map_err(io_error)? == 0 {
+                    self.body = Body::Done;
+                    return Ok(None);
+                }
+                let buffer = reader.buffer();
+                Ok(Some(buffer.split().freeze()))
+            }
+        }
+    }
+}
+
+async fn read_head(reader: &mut Reader) -> Result<ResponseHead, ReadError> {
+    for _ in 0..=MAX_INTERIM_RESPONSES {
+        let head = framing::read_response_head(reader, MAX_HEAD_BYTES).await?;
+        if !head.status.is_informational() {
+            return Ok(head);
+        }
+    }
+    Err(ReadError::Malformed("too many informational responses"))
+}
+
+async fn write_all(write: &mut OwnedWriteHalf<TcpStream>, mut data: Bytes) -> io::Result<()> {
+    while data.has_remaining() {
+        let (result, _) = write.write(data.clone()).await;
+        match result? {
+            0 => return Err(io::ErrorKind::WriteZero.into()),
+            count => data.advance(count.min(data.len())),
+        }
+    }
+    Ok(())
+}
+
+fn read_error(error: ReadError) -> ExchangeError {
+    match error {
+        ReadError::Closed => ExchangeError::Interrupted("closed before the response"),
+        ReadError::Truncated => ExchangeError::Interrupted("response is truncated"),
+        ReadError::HeadTooLarge | ReadError::BodyTooLarge => {
+            ExchangeError::Interrupted("response is too large")
+        }
+        ReadError::Malformed(cause) => ExchangeError::Interrupted(cause),
+        ReadError::Io(error) => io_error(error),
+    }
+}
+
+fn io_error(_: io::Error) -> ExchangeError {
+    ExchangeError::Interrupted("connection reset")
+}
+
+/// Returns the reuse time of an idle connection according to the `Keep-Alive` header field.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let text = headers.get("keep-alive")?.to_str().ok()?;
+    let timeout = text.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
+    let timeout = Duration::from_secs(timeout.trim().parse().ok()?);
+    Some(timeout.saturating_sub(KEEP_ALIVE_MARGIN))
+}
+
+fn time_left(deadline: Instant) -> Duration {
+    deadline.saturating_duration_since(Instant::now())
+}
--- /dev/null
+++ b/hawthornkeel/src/forward/internal_request.rs
@@ -0,0 +1,71 @@
+//! HTTP requests of the system itself to the platform and to targets.
+
+use std::net::SocketAddr;
+use std::time::Instant;
+
+use bytes::Bytes;
+use bytes::BytesMut;
+
+use crate::forward::http_client::ExchangeError;
+use crate::forward::http_client::HttpClient;
+use crate::forward::http_client::OutgoingRequest;
+
+/// Request that is not sent on behalf of one caller.
+#[derive(Clone, Copy, Debug)]
+pub struct InternalRequest<'a> {
+    /// Address.
+    pub address: SocketAddr,
+    /// Path.
+    pub path: &'a str,
+    /// JSON body of a POST request, or `None` for a GET request.
+    pub body: Option<&'a [u8]>,
+    /// Additional header fields.
+    pub fields: &'a [(&'a str, &'a str)],
+    /// Deadline for the whole exchange.
+    pub deadline: Instant,
+}
+
+/// Response to an internal request.
+#[derive(Clone, Debug)]
+pub struct InternalResponse {
+    /// Status.
+    pub status: u16,
+    /// Whether the target reports that it did not run the request.
+    pub not_run: bool,
+    /// Body.
+    pub body: Bytes,
+}
+
+/// Sends a request and returns its complete response, whatever the status.
+///
+/// # Errors
+/// Returns an error if there is no complete response before the deadline.
+pub async fn send(
+    client: &HttpClient,
+    request: &InternalRequest<'_>,
+) -> Result<InternalResponse, ExchangeError> {
+    let outgoing =
+        OutgoingRequest { data: encode(request), id: None, bodiless: false, retryable: true };
+    let mut response = client.send(request.address, &outgoing, request.deadline).await?;
+    let body = response.read_to_end(request.deadline).await?;
+    let status = response.status.as_u16();
+    let not_run = response.headers.contains_key(hawthornkeel_platform::fields::NOT_RUN);
+    response.finish();
+    Ok(InternalResponse { status, not_run, body })
+}
+
+fn encode(request: &InternalRequest<'_>) -> Bytes {
+    let method = if request.body.is_some() { "POST" } else { "GET" };
+    let mut text = format!("{method} {} HTTP/1.1\r\nhost: {}\r\n", request.path, request.address);
+    for (name, value) in request.fields {
+        text.push_str(&format!("{name}: {value}\r\n"));
+    }
+    if let Some(body) = request.body {
+        text.push_str("content-type: application/json\r\n");
+        text.push_str(&format!("content-length: {}\r\n", body.len()));
+    }
+    text.push_str("\r\n");
+    let mut out = BytesMut::from(text.as_bytes());
+    out.extend_from_slice(request.body.unwrap_or_default());
+    out.freeze()
+}
--- a/hawthornkeel/src/forward/mod.rs
+++ b/hawthornkeel/src/forward/mod.rs
@@ -1,22 +1,22 @@
-//! Forwarding of routes: requests go on unchanged to a target of a pool, answers come back whole.
+//! Reverse proxy for routes: forwards requests to a target of a pool and returns its responses.
 //!
-//! This is the way into the system for callers behind a platform's balancer. What may be sent, to
-//! whom and how often is decided in the core; the platform's names come from its own crate.
+//! Callers reach it through the platform's load balancer. Target selection, retry budgets and
+//! scheduling are decided in the core crate; names on the platform's wire come from its own crate.
 
-pub mod calls;
+pub mod access;
 pub mod context;
-pub mod desks;
 pub mod discovery_client;
 pub mod discovery_server;
-pub mod exchange;
-pub mod gate;
 pub mod handler;
+pub mod http_client;
+pub mod internal_request;
 pub mod operators;
-pub mod prepare;
+pub mod outcome;
 pub mod relay;
 pub mod request;
+pub mod schedulers;
 pub mod server;
-pub mod verdict;
+pub mod stages;
 
-mod booking;
 mod plan;
+mod reservation;
--- a/hawthornkeel/src/forward/operators.rs
+++ b/hawthornkeel/src/forward/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' requests in the platform's own form.
+//! Handles operators' requests in the API of the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,24 +34,24 @@
 use crate::peer::frame::Follow;
 use crate::peer::frame::Followed;
 
-/// Time for an order to be decided: the caller asks another instance soon after.
-const ORDER_TIME: Duration = Duration::from_millis(1_800);
-/// Time for a leader to confirm what is in force.
-const READ_TIME: Duration = Duration::from_millis(700);
-/// Time after which an order that was not taken may be sent again.
-const RETRY: Duration = Duration::from_millis(200);
-/// Document, in bytes at most.
-const MAX_DOCUMENT: usize = 4 << 20;
+/// Timeout for an order to be committed; the operator retries at another instance soon after.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// Timeout for a leader to confirm the document in force.
+const READ_TIMEOUT: Duration = Duration::from_millis(700);
+/// Retry delay for an order that was not committed.
+const RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Maximum size of a document.
+const MAX_DOCUMENT_BYTES: usize = 4 << 20;
 
-/// Answers operators' requests.
+/// Handler of operators' requests.
 pub struct OperatorHandler {
     /// Endpoint of this instance.
     pub endpoint: Endpoint,
-    /// State in force at this instance.
+    /// Source of the published state in force.
     pub follower: Follower,
-    /// Way to the control instances.
+    /// Client that proposes commands to the control instances.
     pub client: ControlClient,
-    /// Control instances that are known.
+    /// Known control instances.
     pub directory: Directory,
 }
 
@@ -59,9 +59,9 @@
     async fn handle(&self, request: Request) -> Response {
         let Head { method, path, .. } = &request.head;
         let response = match operators::order(method.as_str(), path) {
-            Ok(Order::Replace) => self.replace(&request.body).await,
-            Ok(Order::Read) => self.read().await,
-            Ok(Order::Centre(centre, state)) => self.centre(centre, state).await,
+            Ok(Order::Replace) => self.replace_document(&request.body).await,
+            Ok(Order::Read) => self.read_document().await,
+            Ok(Order::Centre(centre, state)) => self.order_centre(centre, state).await,
             Err(NoOrder::Path) => Problem::not_run(Code::NotFound).into_response(),
             Err(NoOrder::Method) => Problem::not_run(Code::MethodNotAllowed).into_response(),
         };
@@ -70,12 +70,12 @@
     }
 
     fn max_body(&self, _head: &Head) -> Option<usize> {
-        Some(MAX_DOCUMENT)
+        Some(MAX_DOCUMENT_BYTES)
     }
 }
 
 impl OperatorHandler {
-    async fn replace(&self, body: &Bytes) -> Response {
+    async fn replace_document(&self, body: &Bytes) -> Response {
         let table = match document::decode(body) {
             Ok(table) => table,
             Err(invalid) => {
@@ -89,46 +89,47 @@
         };
         let (version, text) = (table.version, Arc::from(text));
         let replace = Replace { version, hash: Arc::from(content_hash(&text)), text };
-        match self.client.propose(Command::Replace(replace), ORDER_TIME).await {
+        match self.client.propose(Command::Replace(replace), ORDER_TIMEOUT).await {
             Ok(Outcome::Replace(in_force)) => {
                 tracing::info!(event = "document-taken", %version, %in_force);
                 accepted()
             }
-            Ok(_) => unknown("unexpected outcome"),
-            Err(error) => unknown(&error.to_string()),
+            Ok(_) => unknown_outcome("unexpected outcome"),
+            Err(error) => unknown_outcome(&error.to_string()),
         }
     }
 
-    async fn centre(&self, centre: CentreName, state: CentreState) -> Response {
+    async fn order_centre(&self, centre: CentreName, state: CentreState) -> Response {
         let operation = OperationNumber(rand::random());
         let order = CentreOrder { operator: OperatorName::default(), operation, centre, state };
         tracing::info!(event = "centre-order", centre = %order.centre, ?state, %operation);
-        match self.client.propose(Command::Centre(order), ORDER_TIME).await {
+        match self.client.propose(Command::Centre(order), ORDER_TIMEOUT).await {
             Ok(Outcome::Centre(_)) => accepted(),
-            Ok(_) => unknown("unexpected outcome"),
-            Err(error) => unknown(&error.to_string()),
+            Ok(_) => unknown_outcome("unexpected outcome"),
+            Err(error) => unknown_outcome(&error.to_string()),
         }
     }
 
-    /// Returns the document that a leader confirms to be the newest.
-    async fn read(&self) -> Response {
-        let own = monoio::time::timeout(READ_TIME, self.follower.confirmed()).await;
-        let text = match own {
+    /// Returns the document that a leader confirms to be the latest.
+    async fn read_document(&self) -> Response {
+        let confirmed = monoio::time::timeout(READ_TIMEOUT, self.follower.confirmed()).await;
+        let text = match confirmed {
             Ok(Some(published)) => Some(published.text),
-            _ => self.ask_leader().await,
+            _ => self.read_from_leader().await,
         };
         match text.filter(|t| !t.is_empty()) {
             Some(text) => Response::json(Bytes::copy_from_slice(text.as_bytes())),
-            None => unknown("no leader confirms what is in force"),
+            None => unknown_outcome("no leader confirms what is in force"),
         }
     }
 
-    async fn ask_leader(&self) -> Option<Arc<str>> {
+    async fn read_from_leader(&self) -> Option<Arc<str>> {
         let frame = Frame::Follow(Follow::Latest);
-        let latest = |f: &Frame| matches!(f, Frame::Followed(Followed { published: Some(_), .. }));
+        let is_latest =
+            |f: &Frame| matches!(f, Frame::Followed(Followed { published: Some(_), .. }));
         let controls = self.directory.others();
-        let answers = ask_all(&self.endpoint, &controls, &frame, READ_TIME, latest).await;
-        answers.into_iter().find_map(|(_, frame)| match frame {
+        let replies = ask_all(&self.endpoint, &controls, &frame, READ_TIMEOUT, is_latest).await;
+        replies.into_iter().find_map(|(_, frame)| match frame {
             Frame::Followed(followed) => followed.published.map(|p| p.text),
             _ => None,
         })
@@ -139,8 +140,8 @@
     Response::whole(StatusCode::OK, "application/json", "{}")
 }
 
-/// Answers that the order may or may not be taken: it may be sent again, to any instance.
-fn unknown(detail: &str) -> Response {
-    let problem = Problem::not_run(Code::NoQuorum).with_retry_after(RETRY);
+/// Responds that the outcome is unknown; the operator may retry at any instance.
+fn unknown_outcome(detail: &str) -> Response {
+    let problem = Problem::not_run(Code::NoQuorum).with_retry_after(RETRY_AFTER);
     problem.with_detail(detail).into_response()
 }
--- /dev/null
+++ b/hawthornkeel/src/forward/outcome.rs
@@ -0,0 +1,114 @@
+//! Outcomes of forwarding a request, and the responses derived from them.
+
+use std::fmt;
+use std::time::Duration;
+
+use bytes::Bytes;
+use hawthornkeel_core::place::board::Chosen;
+use hawthornkeel_core::place::health::Ended;
+use hawthornkeel_core::request::refusal::Ran;
+use hawthornkeel_platform::fields;
+use http::HeaderMap;
+use http::HeaderValue;
+use http::StatusCode;
+use http::header::CONTENT_LENGTH;
+use http::header::CONTENT_TYPE;
+use http::header::RETRY_AFTER;
+
+use crate::forward::http_client::TargetResponse;
+use crate::forward::request::is_hop_by_hop;
+use crate::http::message::Body;
+use crate::http::message::Response;
+use crate::http::problem::Code;
+use crate::http::problem::Problem;
+
+/// Retry delay for callers whose request found no target or could not be run in time.
+pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
+
+/// Outcome of forwarding a request, retries included.
+pub(super) enum ForwardOutcome {
+    /// Response of a target to return to the caller.
+    Response(Box<TargetResponse>, Chosen),
+    /// Stage results that the request needs are no longer available; it did not run.
+    ResultsGone,
+    /// No target is left to try.
+    Exhausted(Problem),
+}
+
+/// Outcome of one attempt at a target.
+pub(super) enum AttemptOutcome {
+    /// Response to return to the caller.
+    Responded(Box<TargetResponse>),
+    /// Server error of the target.
+    Failed(Box<TargetResponse>),
+    /// The request did not reach the target.
+    Unreached,
+    /// The target did not run the request.
+    NotRun,
+    /// The target did not run the request, as stage results are no longer available.
+    ResultsGone,
+    /// There was no response; the target may have run the request.
+    Lost,
+}
+
+impl fmt::Display for AttemptOutcome {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Responded(_) => "answered",
+            Self::Failed(_) => "failed",
+            Self::Unreached => "unreached",
+            Self::NotRun => "not-run",
+            Self::ResultsGone => "results-gone",
+            Self::Lost => "lost",
+        })
+    }
+}
+
+/// Classifies a response by its head; the target outcome is `None` if it depends on the body.
+pub(super) fn classify_response(response: TargetResponse) -> (AttemptOutcome, Option<Ended>) {
+    let status = response.status;
+    let not_run = response.headers.contains_key(fields::NOT_RUN);
+    match status {
+        StatusCode::MISDIRECTED_REQUEST => (AttemptOutcome::NotRun, Some(Ended::Unreached)),
+        StatusCode::CONFLICT if not_run => (AttemptOutcome::ResultsGone, Some(Ended::GivenUp)),
+        _ if not_run => (AttemptOutcome::NotRun, Some(Ended::Refused)),
+        _ if status.is_server_error() => (AttemptOutcome::Failed(Box::new(response)), None),
+        _ => (AttemptOutcome::Responded(Box::new(response)), None),
+    }
+}
+
+/// Returns the outcome of a request for which no target is left to try.
+pub(super) fn exhausted(ran: Ran, failed: Option<(Box<TargetResponse>, Chosen)>) -> ForwardOutcome {
+    if let Some((response, target)) = failed {
+        return ForwardOutcome::Response(response, target);
+    }
+    ForwardOutcome::Exhausted(match ran {
+        Ran::NotRun => Problem::not_run(Code::NoTarget).with_retry_after(DEFAULT_RETRY_AFTER),
+        ran => Problem::new(Code::OutcomeUnknown, ran),
+    })
+}
+
+/// Returns the header fields of a response that are forwarded to the caller.
+pub(super) fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
+    for (name, value) in headers {
+        if !is_hop_by_hop(name, headers) && name != CONTENT_LENGTH {
+            forwarded.append(name.clone(), value.clone());
+        }
+    }
+    forwarded
+}
+
+/// Returns the response that reports a problem.
+pub(super) fn problem_response(problem: Problem) -> Response {
+    let retry_after = problem.retry_after;
+    let body = Bytes::from(problem.to_json());
+    let mut headers = HeaderMap::new();
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/problem+json"));
+    if let Some(retry_after) = retry_after
+        && let Ok(value) = HeaderValue::from_str(&format!("{:.2}", retry_after.as_secs_f64()))
+    {
+        headers.insert(RETRY_AFTER, value);
+    }
+    Response { status: problem.code.status(), headers, body: Body::Whole(body) }
+}
--- a/hawthornkeel/src/forward/plan.rs
+++ b/hawthornkeel/src/forward/plan.rs
@@ -1,4 +1,4 @@
-//! What is to be done for a request with stages: which of them, in what order, where and by when.
+//! Execution plan of a request with stages: their order, placement and deadlines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,234 +21,261 @@
 use hawthornkeel_platform::pieces;
 
 use crate::forward::context::Context;
-use crate::forward::desks::Desks;
-use crate::forward::desks::Results;
-use crate::forward::request::Ticket;
+use crate::forward::request::IncomingRequest;
+use crate::forward::schedulers::Schedulers;
+use crate::forward::schedulers::StageResults;
 
-/// Time that a request takes at an engine up to its first event, where none was seen yet.
-pub const ENGINE_TIME: Duration = Duration::from_millis(150);
-/// Times longer that a stage takes as others share its calls.
-const SHARED: f64 = 1.2;
-/// Bytes of inputs or results from which on it matters in which data centre a stage is done.
-const LARGE: u64 = 300_000;
-/// Part of the slack, as its divisor, for which a stage waits for a target near its inputs.
-const INPUTS_PART: u64 = 2;
-/// Part of the slack, as its divisor, for which it waits for one near where its results are used.
+/// Default latency of a target until its response begins, used before any is observed.
+pub const DEFAULT_LATENCY: Duration = Duration::from_millis(150);
+/// Factor by which a stage takes longer because others share its calls.
+const SHARED_CALL_FACTOR: f64 = 1.2;
+/// Size of inputs or results from which the data centre of a stage matters, in bytes.
+const LOCALITY_BYTES: u64 = 300_000;
+/// Divisor of the slack that a stage spends waiting for a target near its inputs.
+const INPUT_WAIT_DIVISOR: u64 = 2;
+/// Divisor of the slack that a stage spends waiting for a target near the consumer of its results.
 ///
-/// Results cross once, inputs with every piece.
-const RESULTS_PART: u64 = 8;
-/// Time that a stage takes where its pool's document says nothing.
-const STAGE_TIME: Duration = Duration::from_millis(250);
+/// Larger than for inputs, as results are transferred once and inputs once per piece.
+const RESULT_WAIT_DIVISOR: u64 = 8;
+/// Default time of a stage whose pool has no stage workload in the document.
+const DEFAULT_STAGE_TIME: Duration = Duration::from_millis(250);
 
-/// What was expected of a request as it was begun.
+/// Estimate made when a request is started.
 #[derive(Clone, Copy, Debug)]
-pub struct Expected {
-    /// Time from its arrival until its answer begins.
-    pub end: Duration,
-    /// Whether it can meet its objective.
-    pub pace: Pace,
+pub struct ResponseEstimate {
+    /// Time from the arrival of the request until its response begins.
+    pub until_response: Duration,
+    /// Whether the request can meet its objective.
+    pub timeliness: Pace,
 }
 
-/// What is to be done for one request.
+/// Execution plan of one request.
 pub(super) struct Plan<'a> {
     pub(super) context: &'a Context,
-    pub(super) ticket: &'a Ticket,
+    pub(super) request: &'a IncomingRequest,
     pass: u16,
-    /// Pieces of each stage.
-    pub(super) counts: Vec<u32>,
-    /// Stages whose results the request itself needs.
-    pub(super) last: Vec<u16>,
+    /// Number of pieces of each stage.
+    pub(super) piece_counts: Vec<u32>,
+    /// Stages whose results the request itself consumes.
+    pub(super) final_stages: Vec<u16>,
     /// Data centre in which the request is likely to run.
-    centre: Option<CentreName>,
-    /// Data centre in which its stages are done, where pools are split by data centre.
-    pub(super) place: Option<CentreName>,
-    /// Whether it can still meet its objective.
-    pub(super) pace: Pace,
-    pub(super) expected: Option<Expected>,
+    likely_centre: Option<CentreName>,
+    /// Data centre in which its stages run, for pools that are partitioned by data centre.
+    pub(super) stage_centre: Option<CentreName>,
+    /// Whether the request can still meet its objective.
+    pub(super) timeliness: Pace,
+    pub(super) estimate: Option<ResponseEstimate>,
 }
 
 impl<'a> Plan<'a> {
-    pub(super) fn new(context: &'a Context, ticket: &'a Ticket, pieces: &[u32], pass: u16) -> Self {
-        let stages = ticket.route.stages.len();
-        let counts = (0..stages).map(|at| pieces.get(at).copied().unwrap_or(0)).collect();
-        let last = ticket.route.last_stages();
-        let centre = crate::forward::handler::likely_centre(context, ticket);
-        let pace = if ticket.fresh.is_zero() { Pace::Late } else { Pace::Prompt };
-        let place = centre.clone();
-        Self { context, ticket, pass, counts, last, centre, place, pace, expected: None }
+    pub(super) fn new(
+        context: &'a Context,
+        request: &'a IncomingRequest,
+        pieces: &[u32],
+        pass: u16,
+    ) -> Self {
+        let stages = request.route.stages.len();
+        let piece_counts = (0..stages).map(|at| pieces.get(at).copied().unwrap_or(0)).collect();
+        let final_stages = request.route.last_stages();
+        let likely_centre = crate::forward::handler::likely_centre(context, request);
+        let timeliness =
+            if request.first_attempt_slack.is_zero() { Pace::Late } else { Pace::Prompt };
+        let stage_centre = likely_centre.clone();
+        Self {
+            context,
+            request,
+            pass,
+            piece_counts,
+            final_stages,
+            likely_centre,
+            stage_centre,
+            timeliness,
+            estimate: None,
+        }
     }
 
     fn stage(&self, at: u16) -> Option<&Stage> {
-        self.ticket.route.stages.get(usize::from(at))
+        self.request.route.stages.get(usize::from(at))
     }
 
-    fn count(&self, at: u16) -> u32 {
-        self.counts.get(usize::from(at)).copied().unwrap_or(0)
+    fn piece_count(&self, at: u16) -> u32 {
+        self.piece_counts.get(usize::from(at)).copied().unwrap_or(0)
     }
 
-    /// Returns the stages that may begin.
-    pub(super) fn ready(&self, stages: &[Option<Results>], begun: &[bool]) -> Vec<u16> {
+    /// Returns the stages that are not started and whose inputs are complete.
+    pub(super) fn ready(&self, results: &[Option<StageResults>], started: &[bool]) -> Vec<u16> {
         let done = |at: &u16| {
-            self.count(*at) == 0 || stages.get(usize::from(*at)).is_some_and(Option::is_some)
+            self.piece_count(*at) == 0 || results.get(usize::from(*at)).is_some_and(Option::is_some)
         };
-        let all = (0..self.counts.len()).filter_map(|at| u16::try_from(at).ok());
+        let all = (0..self.piece_counts.len()).filter_map(|at| u16::try_from(at).ok());
         all.filter(|at| {
-            self.count(*at) > 0 && !begun.get(usize::from(*at)).copied().unwrap_or(true)
+            self.piece_count(*at) > 0 && !started.get(usize::from(*at)).copied().unwrap_or(true)
         })
         .filter(|at| self.stage(*at).is_some_and(|s| s.after.iter().all(done)))
         .collect()
     }
 
-    /// Gives up the results that no stage and not the request itself needs any more.
-    pub(super) fn give_up(&self, stages: &mut [Option<Results>]) {
-        let done: Vec<bool> = stages.iter().map(Option::is_some).collect();
+    /// Releases the results that neither a stage nor the request itself still needs.
+    pub(super) fn release_unneeded(&self, results: &mut [Option<StageResults>]) {
+        let done: Vec<bool> = results.iter().map(Option::is_some).collect();
         let done_at = |at: usize| done.get(at).copied().unwrap_or(true);
-        for at in 0..stages.len() {
-            let Ok(number) = u16::try_from(at) else { continue };
+        for at in 0..results.len() {
+            let Ok(stage) = u16::try_from(at) else { continue };
             let mut followers = self
-                .ticket
+                .request
                 .route
                 .stages
                 .iter()
                 .enumerate()
-                .filter(|(_, s)| s.after.contains(&number));
-            let needed = self.last.contains(&number)
+                .filter(|(_, s)| s.after.contains(&stage));
+            let needed = self.final_stages.contains(&stage)
                 || followers
-                    .any(|(f, _)| !done_at(f) && self.counts.get(f).is_some_and(|c| *c > 0));
-            if !needed && let Some(stage) = stages.get_mut(at) {
-                // Its place still tells that the stage is done.
-                if let Some(results) = stage {
-                    results.give_up();
+                    .any(|(f, _)| !done_at(f) && self.piece_counts.get(f).is_some_and(|c| *c > 0));
+            if !needed && let Some(slot) = results.get_mut(at) {
+                // The slot stays occupied to mark the stage as done.
+                if let Some(stage_results) = slot {
+                    stage_results.release();
                 }
             }
         }
     }
 
-    /// Returns the data centres to have the stages done in, the one where the request runs first.
-    pub(super) fn places(&self, desks: &Desks) -> Vec<Option<CentreName>> {
+    /// Returns the candidate data centres for the stages in order of preference.
+    ///
+    /// The one in which the request itself runs comes first, unless it is partitioned.
+    pub(super) fn candidate_centres(&self, schedulers: &Schedulers) -> Vec<Option<CentreName>> {
         let pools: Vec<&PoolName> =
-            self.wanted().filter_map(|at| Some(&self.stage(at)?.pool)).collect();
-        let board = self.context.board.borrow();
-        let first = self.centre.clone();
-        let other = board.other_centre(&pools, first.as_ref(), &self.ticket.id);
-        let mut places = vec![first];
-        places.extend(other.map(Some));
-        if places.len() > 1 && self.centre.as_ref().is_some_and(|c| desks.is_cut(c)) {
-            places.reverse();
+            self.nonempty_stages().filter_map(|at| Some(&self.stage(at)?.pool)).collect();
+        let balancer = self.context.balancer.borrow();
+        let first = self.likely_centre.clone();
+        let alternative = balancer.other_centre(&pools, first.as_ref(), &self.request.id);
+        let mut centres = vec![first];
+        centres.extend(alternative.map(Some));
+        if centres.len() > 1
+            && self.likely_centre.as_ref().is_some_and(|c| schedulers.is_partitioned(c))
+        {
+            centres.reverse();
         }
-        places
+        centres
     }
 
-    /// Returns the desk that does a stage.
-    pub(super) fn desk(&self, at: u16) -> Option<DeskName> {
-        let board = self.context.board.borrow();
-        Some(board.desk(&self.stage(at)?.pool, self.place.as_ref(), &self.ticket.id))
+    /// Returns the scheduler that runs a stage.
+    pub(super) fn scheduler(&self, at: u16) -> Option<DeskName> {
+        let balancer = self.context.balancer.borrow();
+        Some(balancer.desk(&self.stage(at)?.pool, self.stage_centre.as_ref(), &self.request.id))
     }
 
-    pub(super) fn steps(&self) -> Vec<Step> {
+    pub(super) fn stage_timings(&self) -> Vec<Step> {
         let after = |at: u16| self.stage(at).map(|s| s.after.clone()).unwrap_or_default();
-        self.wanted().map(|at| Step { at, after: after(at), usual: self.time(at) }).collect()
+        self.nonempty_stages()
+            .map(|at| Step { at, after: after(at), usual: self.shared_time(at) })
+            .collect()
     }
 
     pub(super) fn times(&self) -> Times {
-        let ticket = self.ticket;
+        let request = self.request;
         Times {
-            objective: ticket.route.objective,
-            due: ticket.due.saturating_duration_since(Instant::now()),
-            left: ticket.left(),
-            fresh: ticket.fresh,
+            objective: request.route.objective,
+            due: request.objective_deadline.saturating_duration_since(Instant::now()),
+            left: request.time_left(),
+            fresh: request.first_attempt_slack,
         }
     }
 
-    pub(super) fn booking(&self, at: u16) -> Booking {
-        let due = self.ticket.due.saturating_duration_since(Instant::now());
+    pub(super) fn reservation(&self, at: u16) -> Booking {
+        let due = self.request.objective_deadline.saturating_duration_since(Instant::now());
         Booking {
-            id: self.id(at),
-            pieces: self.count(at),
-            priority: self.pace.rank(self.ticket.rank),
-            due_ms: millis(due.saturating_sub(self.rest(at))),
+            id: self.job_id(at),
+            pieces: self.piece_count(at),
+            priority: self.timeliness.rank(self.request.priority),
+            due_ms: millis(due.saturating_sub(self.time_after(at))),
         }
     }
 
-    fn id(&self, at: u16) -> JobId {
-        JobId { request: Arc::clone(&self.ticket.id), stage: at, pass: self.pass }
+    fn job_id(&self, at: u16) -> JobId {
+        JobId { request: Arc::clone(&self.request.id), stage: at, pass: self.pass }
     }
 
     /// Returns the stages that have pieces.
-    pub(super) fn wanted(&self) -> impl Iterator<Item = u16> {
-        let all = (0..self.counts.len()).filter_map(|at| u16::try_from(at).ok());
-        all.filter(|at| self.count(*at) > 0)
+    pub(super) fn nonempty_stages(&self) -> impl Iterator<Item = u16> {
+        let all = (0..self.piece_counts.len()).filter_map(|at| u16::try_from(at).ok());
+        all.filter(|at| self.piece_count(*at) > 0)
     }
 
-    pub(super) fn job(&self, at: u16, stages: &[Option<Results>]) -> Job {
+    pub(super) fn job(&self, at: u16, results: &[Option<StageResults>]) -> Job {
         let stage = self.stage(at);
         let after = stage.map(|s| s.after.as_slice()).unwrap_or_default();
-        let inputs = after.iter().filter_map(|a| stages.get(usize::from(*a))?.as_ref());
+        let inputs = after.iter().filter_map(|a| results.get(usize::from(*a))?.as_ref());
         let inputs: Vec<Handle> = inputs.flat_map(|r| r.handles.iter().cloned()).collect();
-        let key = self.ticket.head.header(fields::PIECE_KEY).unwrap_or_default();
+        let key = self.request.head.header(fields::PIECE_KEY).unwrap_or_default();
         let now = Instant::now();
-        let until = |point: Instant| millis(point.saturating_duration_since(now));
-        let due_ms = until(self.ticket.due).saturating_sub(millis(self.rest(at)));
+        let until_ms = |time: Instant| millis(time.saturating_duration_since(now));
+        let due_ms =
+            until_ms(self.request.objective_deadline).saturating_sub(millis(self.time_after(at)));
         Job {
-            id: self.id(at),
-            pieces: self.count(at),
-            priority: self.pace.rank(self.ticket.rank),
+            id: self.job_id(at),
+            pieces: self.piece_count(at),
+            priority: self.timeliness.rank(self.request.priority),
             key: after.is_empty().then(|| Arc::from(key)),
-            near: self.near(at, &inputs, due_ms),
+            near: self.locality(at, &inputs, due_ms),
             inputs: Arc::from(inputs),
             bytes: stage.map_or(0, |s| s.bytes),
             due_ms,
-            end_ms: until(self.ticket.end),
+            end_ms: until_ms(self.request.deadline),
         }
     }
 
-    /// Returns where a stage should be done: near its inputs, or near where its results are used.
-    fn near(&self, at: u16, inputs: &[Handle], due_ms: u64) -> Option<Near> {
-        if self.desk(at)?.centre.is_some() {
+    /// Returns the data centre that a stage prefers: that of its large inputs, or that of the
+    /// consumer of its large results.
+    fn locality(&self, at: u16, inputs: &[Handle], due_ms: u64) -> Option<Near> {
+        if self.scheduler(at)?.centre.is_some() {
             return None;
         }
         let stage = self.stage(at)?;
-        let size = |a: &u16| self.stage(*a).map_or(0, |s| s.bytes) * u64::from(self.count(*a));
-        let read: u64 = stage.after.iter().map(size).sum::<u64>() * u64::from(self.count(at));
-        let made = stage.bytes * u64::from(self.count(at));
-        let slack = due_ms.saturating_sub(millis(self.own_time(at)));
-        if read >= LARGE {
-            let board = self.context.board.borrow();
-            let keeper = inputs.iter().find_map(|i| pieces::keeper(i))?;
-            let centre = board.centre_at(keeper)?.clone();
-            return Some(Near { centre, wait_ms: slack / INPUTS_PART });
+        let size =
+            |a: &u16| self.stage(*a).map_or(0, |s| s.bytes) * u64::from(self.piece_count(*a));
+        let input_bytes: u64 =
+            stage.after.iter().map(size).sum::<u64>() * u64::from(self.piece_count(at));
+        let result_bytes = stage.bytes * u64::from(self.piece_count(at));
+        let slack = due_ms.saturating_sub(millis(self.exclusive_time(at)));
+        if input_bytes >= LOCALITY_BYTES {
+            let balancer = self.context.balancer.borrow();
+            let holder = inputs.iter().find_map(|i| pieces::keeper(i))?;
+            let centre = balancer.centre_at(holder)?.clone();
+            return Some(Near { centre, wait_ms: slack / INPUT_WAIT_DIVISOR });
         }
-        let used = made >= LARGE && self.last.contains(&at);
-        let centre = self.centre.clone().filter(|_| used)?;
-        Some(Near { centre, wait_ms: slack / RESULTS_PART })
+        let prefers_consumer = result_bytes >= LOCALITY_BYTES && self.final_stages.contains(&at);
+        let centre = self.likely_centre.clone().filter(|_| prefers_consumer)?;
+        Some(Near { centre, wait_ms: slack / RESULT_WAIT_DIVISOR })
     }
 
-    /// Returns the time that a request takes after a stage, about.
-    fn rest(&self, at: u16) -> Duration {
-        let followers = self.ticket.route.stages.iter().enumerate();
+    /// Returns the expected time from the end of a stage until the response begins.
+    fn time_after(&self, at: u16) -> Duration {
+        let followers = self.request.route.stages.iter().enumerate();
         let followers = followers.filter_map(|(f, s)| {
             let follower = u16::try_from(f).ok().filter(|_| s.after.contains(&at))?;
-            (self.count(follower) > 0).then(|| self.time(follower) + self.rest(follower))
+            (self.piece_count(follower) > 0)
+                .then(|| self.shared_time(follower) + self.time_after(follower))
         });
-        followers.max().unwrap_or_else(|| self.engine_time())
+        followers.max().unwrap_or_else(|| self.target_latency())
     }
 
-    /// Returns the time that a request takes at its engine up to the first event, about.
-    pub(super) fn engine_time(&self) -> Duration {
-        self.context.time(&self.ticket.pool.name, ENGINE_TIME)
+    /// Returns the expected latency of the request at its target until the response begins.
+    pub(super) fn target_latency(&self) -> Duration {
+        self.context.expected_latency(&self.request.pool.name, DEFAULT_LATENCY)
     }
 
-    /// Returns the time that a stage takes beside others in its calls, about.
-    fn time(&self, at: u16) -> Duration {
-        self.own_time(at).mul_f64(SHARED)
+    /// Returns the expected time of a stage in calls shared with other stages.
+    fn shared_time(&self, at: u16) -> Duration {
+        self.exclusive_time(at).mul_f64(SHARED_CALL_FACTOR)
     }
 
-    /// Returns the time that a stage takes in calls of its own.
-    fn own_time(&self, at: u16) -> Duration {
-        let pool = self.stage(at).and_then(|s| self.ticket.table.pools.get(&s.pool));
+    /// Returns the time of a stage in calls of its own.
+    fn exclusive_time(&self, at: u16) -> Duration {
+        let pool = self.stage(at).and_then(|s| self.request.table.pools.get(&s.pool));
         match pool.map(|p| &p.work) {
-            Some(Work::Pieces(pieces)) => pieces.overhead + pieces.item * self.count(at),
-            _ => STAGE_TIME,
+            Some(Work::Pieces(pieces)) => pieces.overhead + pieces.item * self.piece_count(at),
+            _ => DEFAULT_STAGE_TIME,
         }
     }
 }
--- a/hawthornkeel/src/forward/relay.rs
+++ b/hawthornkeel/src/forward/relay.rs
@@ -1,7 +1,7 @@
-//! Streams of events on their way from a target to the caller.
+//! Relays event streams from targets to callers.
 //!
-//! Events go on whole, as they come. Where the route allows it, a stream that breaks off goes on at
-//! another target after the last event that the caller got.
+//! Only complete events are forwarded. If the route allows resumption, a stream that fails is
+//! resumed at another target after the last event sent to the caller.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,167 +17,201 @@
 
 use crate::clock::boot_now;
 use crate::forward::context::Context;
-use crate::forward::exchange::Answer;
-use crate::forward::exchange::Failure;
-use crate::forward::handler::Course;
-use crate::forward::handler::Open;
-use crate::forward::request::Ticket;
+use crate::forward::handler::InFlightGuard;
+use crate::forward::handler::RequestProgress;
+use crate::forward::http_client::ExchangeError;
+use crate::forward::http_client::TargetResponse;
+use crate::forward::request::IncomingRequest;
 use crate::http::channel::Sender;
 use crate::http::signal::Signal;
 
-/// Time without an event after which a stream that may go on elsewhere does.
-const SILENCE: Duration = Duration::from_millis(600);
+/// Time without an event after which a resumable stream is resumed at another target.
+const EVENT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Stream of events from targets to a caller.
-pub struct Relay {
-    /// What the parts of the entry share.
+/// Event stream from targets to a caller.
+pub struct StreamRelay {
+    /// Shared state of the entry.
     pub context: Rc<Context>,
     /// Request.
-    pub ticket: Rc<Ticket>,
-    /// Set once the caller has left.
-    pub left: Signal,
-    /// Course of the request so far.
-    pub course: Course,
-    /// Counts the request among those in progress.
-    pub open: Open,
+    pub request: Rc<IncomingRequest>,
+    /// Set once the caller has disconnected.
+    pub disconnected: Signal,
+    /// Progress of the request so far.
+    pub progress: RequestProgress,
+    /// Counts the request as in progress.
+    pub guard: InFlightGuard,
 }
 
 /// How a stream from one target ended.
-enum Cut {
-    /// Whole.
-    Whole,
-    /// The caller has left.
-    Left,
-    /// It broke off or fell silent.
-    Broken(Failure),
-    /// The time has passed.
-    Late,
+enum StreamEnd {
+    /// The stream is complete.
+    Complete,
+    /// The caller has disconnected.
+    Disconnected,
+    /// The stream was truncated or timed out.
+    Failed(ExchangeError),
+    /// The deadline of the request has passed.
+    DeadlinePassed,
 }
 
-/// Events of a stream, of which only whole ones go on.
+/// Buffer that splits a stream after complete events.
 #[derive(Default)]
-struct Events {
+struct EventBuffer {
     buffer: BytesMut,
-    last: Option<String>,
+    last_id: Option<String>,
 }
 
-impl Events {
-    /// Adds bytes and returns the events that are whole now.
-    fn add(&mut self, piece: &[u8]) -> Option<Bytes> {
-        self.buffer.extend_from_slice(piece);
+impl EventBuffer {
+    /// Appends a chunk and returns the events that are complete.
+    fn push(&mut self, chunk: &[u8]) -> Option<Bytes> {
+        self.buffer.extend_from_slice(chunk);
         let end = self.buffer.windows(2).rposition(|w| w == b"\n\n")? + 2;
         let events = self.buffer.split_to(end).freeze();
-        if let Some(last) = fields::last_event(&events) {
-            self.last = Some(last.to_owned());
+        if let Some(last_id) = fields::last_event(&events) {
+            self.last_id = Some(last_id.to_owned());
         }
         Some(events)
     }
 }
 
-impl Relay {
-    /// Relays a stream to its end.
-    pub async fn run(mut self, first: Answer, target: Chosen, sender: Sender) {
-        let mut events = Events::default();
-        let (mut answer, mut target) = (first, target);
+impl StreamRelay {
+    /// Relays the stream to its end.
+    pub async fn run(mut self, first: TargetResponse, target: Chosen, sender: Sender) {
+        let mut events = EventBuffer::default();
+        let (mut response, mut target) = (first, target);
         loop {
-            let cut = self.pump(&mut answer, &mut events, &sender).await;
-            let ended = match &cut {
-                Cut::Whole => Ended::Well,
-                Cut::Left | Cut::Late => Ended::GivenUp,
-                Cut::Broken(_) => Ended::Badly,
+            let end = self.forward_events(&mut response, &mut events, &sender).await;
+            let outcome = match &end {
+                StreamEnd::Complete => Ended::Well,
+                StreamEnd::Disconnected | StreamEnd::DeadlinePassed => Ended::GivenUp,
+                StreamEnd::Failed(_) => Ended::Badly,
             };
-            self.context.board.borrow_mut().ended(boot_now(), &target.name, ended);
-            match cut {
-                Cut::Whole => {
-                    answer.finish();
+            self.context.balancer.borrow_mut().ended(boot_now(), &target.name, outcome);
+            match end {
+                StreamEnd::Complete => {
+                    response.finish();
                     sender.finish();
-                    return self.course.log(&self.ticket, "answered", 200);
+                    return self.progress.log_end(&self.request, "answered", 200);
                 }
-                Cut::Left => return self.course.log(&self.ticket, "caller-left", 200),
-                Cut::Late => return self.course.log(&self.ticket, "stream-late", 200),
-                Cut::Broken(failure) => {
-                    let (last, name) = (events.last.as_deref(), &target.name);
-                    tracing::info!(event = "stream-broken", request = %self.ticket.id, target = %name, last, %failure);
+                StreamEnd::Disconnected => {
+                    return self.progress.log_end(&self.request, "caller-left", 200);
+                }
+                StreamEnd::DeadlinePassed => {
+                    return self.progress.log_end(&self.request, "stream-late", 200);
+                }
+                StreamEnd::Failed(error) => {
+                    let (last, name) = (events.last_id.as_deref(), &target.name);
+                    tracing::info!(
+                        event = "stream-broken",
+                        request = %self.request.id,
+                        target = %name,
+                        last,
+                        failure = %error,
+                    );
                 }
             }
-            // The former run must be over before another goes on.
-            drop(answer);
+            // Cancels the old run before the stream is resumed elsewhere.
+            drop(response);
             events.buffer.clear();
-            match self.resume(&target.name, events.last.as_deref()).await {
-                Some((next, at)) => (answer, target) = (next, at),
-                None => return self.course.log(&self.ticket, "stream-cut", 200),
+            match self.resume(&target.name, events.last_id.as_deref()).await {
+                Some((next, next_target)) => (response, target) = (next, next_target),
+                None => return self.progress.log_end(&self.request, "stream-cut", 200),
             }
         }
     }
 
-    /// Passes events on until the stream ends.
-    async fn pump(&self, answer: &mut Answer, events: &mut Events, sender: &Sender) -> Cut {
+    /// Forwards events until the stream ends.
+    async fn forward_events(
+        &self,
+        response: &mut TargetResponse,
+        events: &mut EventBuffer,
+        sender: &Sender,
+    ) -> StreamEnd {
         loop {
-            let limit = match self.resumes() {
-                true => self.ticket.end.min(Instant::now() + SILENCE),
-                false => self.ticket.end,
+            let deadline = match self.is_resumable() {
+                true => self.request.deadline.min(Instant::now() + EVENT_TIMEOUT),
+                false => self.request.deadline,
             };
-            let piece = monoio::select! {
-                piece = answer.piece(limit) => piece,
-                () = self.left.wait() => return Cut::Left,
+            let chunk = monoio::select! {
+                chunk = response.chunk(deadline) => chunk,
+                () = self.disconnected.wait() => return StreamEnd::Disconnected,
             };
-            match piece {
-                Ok(Some(piece)) => {
-                    if let Some(whole) = events.add(&piece)
-                        && sender.send(whole).await.is_err()
+            match chunk {
+                Ok(Some(chunk)) => {
+                    if let Some(complete) = events.push(&chunk)
+                        && sender.send(complete).await.is_err()
                     {
-                        return Cut::Left;
+                        return StreamEnd::Disconnected;
                     }
                 }
-                Ok(None) if events.buffer.is_empty() => return Cut::Whole,
-                Ok(None) => return Cut::Broken(Failure::Lost("stream ended inside an event")),
-                Err(_) if Instant::now() >= self.ticket.end => return Cut::Late,
-                Err(failure) => return Cut::Broken(failure),
+                Ok(None) if events.buffer.is_empty() => return StreamEnd::Complete,
+                Ok(None) => {
+                    return StreamEnd::Failed(ExchangeError::Interrupted(
+                        "stream ended inside an event",
+                    ));
+                }
+                Err(_) if Instant::now() >= self.request.deadline => {
+                    return StreamEnd::DeadlinePassed;
+                }
+                Err(error) => return StreamEnd::Failed(error),
             }
         }
     }
 
-    fn resumes(&self) -> bool {
-        self.ticket.route.kind == RouteKind::Stream { resumable: true }
+    fn is_resumable(&self) -> bool {
+        self.request.route.kind == RouteKind::Stream { resumable: true }
     }
 
-    /// Has another target go on after the event `last`.
-    async fn resume(&mut self, from: &TargetName, last: Option<&str>) -> Option<(Answer, Chosen)> {
-        if !self.resumes() {
+    /// Resumes the stream at another target than `failed`, after the event `last`.
+    async fn resume(
+        &mut self,
+        failed: &TargetName,
+        last: Option<&str>,
+    ) -> Option<(TargetResponse, Chosen)> {
+        if !self.is_resumable() {
             return None;
         }
-        if !self.course.tried.contains(from) {
-            self.course.tried.push(from.clone());
+        if !self.progress.tried.contains(failed) {
+            self.progress.tried.push(failed.clone());
         }
-        self.course.runs += 1;
-        let last = last.or_else(|| self.ticket.head.header(fields::LAST_EVENT)).map(str::to_owned);
+        self.progress.possible_runs += 1;
+        let last = last.or_else(|| self.request.head.header(fields::LAST_EVENT)).map(str::to_owned);
         loop {
-            let attempts = self.ticket.route.attempts;
-            let allowed = self.course.runs < attempts && self.ticket.left() > SILENCE;
-            if !allowed || !self.context.may_repeat(&self.ticket.pool.name) {
+            let max_attempts = self.request.route.attempts;
+            let allowed = self.progress.possible_runs < max_attempts
+                && self.request.time_left() > EVENT_TIMEOUT;
+            if !allowed || !self.context.try_retry(&self.request.pool.name) {
                 return None;
             }
-            let target = self.course.choose(&self.context, &self.ticket).ok()?;
-            let request = self.ticket.outgoing(&target, &self.course.results(), last.as_deref());
-            let until = self.ticket.end.min(Instant::now() + SILENCE * 2);
-            let sent = monoio::select! {
-                sent = self.context.exchanges.send(target.address, &request, until) => sent,
-                () = self.left.wait() => return None,
+            let target = self.progress.choose_target(&self.context, &self.request).ok()?;
+            let outgoing =
+                self.request.encode_for(&target, &self.progress.results(), last.as_deref());
+            let deadline = self.request.deadline.min(Instant::now() + EVENT_TIMEOUT * 2);
+            let result = monoio::select! {
+                result = self.context.http_client.send(target.address, &outgoing, deadline) => {
+                    result
+                }
+                () = self.disconnected.wait() => return None,
             };
-            let ended = match sent {
-                Ok(answer) if answer.status.is_success() => {
-                    tracing::info!(event = "stream-resumed", request = %self.ticket.id, target = %target.name, last);
-                    return Some((answer, target));
+            let outcome = match result {
+                Ok(response) if response.status.is_success() => {
+                    tracing::info!(
+                        event = "stream-resumed",
+                        request = %self.request.id,
+                        target = %target.name,
+                        last,
+                    );
+                    return Some((response, target));
                 }
                 Ok(_) => Ended::Refused,
-                Err(failure) if failure.is_not_run() => Ended::Unreached,
+                Err(error) if error.is_not_run() => Ended::Unreached,
                 Err(_) => {
-                    self.course.runs += 1;
+                    self.progress.possible_runs += 1;
                     Ended::Badly
                 }
             };
-            self.context.board.borrow_mut().ended(boot_now(), &target.name, ended);
-            self.course.tried.push(target.name);
+            self.context.balancer.borrow_mut().ended(boot_now(), &target.name, outcome);
+            self.progress.tried.push(target.name);
         }
     }
 }
--- a/hawthornkeel/src/forward/request.rs
+++ b/hawthornkeel/src/forward/request.rs
@@ -1,4 +1,4 @@
-//! Caller's request as it is read and as it goes on to a target.
+//! Caller's request as admitted, and its encoding for a target.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -29,88 +29,93 @@
 use http::header::TRANSFER_ENCODING;
 use http::header::UPGRADE;
 
-use crate::forward::exchange::Outgoing;
+use crate::forward::http_client::OutgoingRequest;
 use crate::http::message::Head;
 use crate::http::message::Request;
 
-/// Time that a request needs at a target at least.
-pub const MIN_LEFT: Duration = Duration::from_millis(5);
+/// Minimum time left for a request to be sent to a target.
+pub const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
-/// Caller's request that may pass.
-pub struct Ticket {
+/// Admitted request of a caller.
+pub struct IncomingRequest {
     /// Head of the request.
     pub head: Head,
     /// Body.
     pub body: Bytes,
-    /// Identity that the caller gave.
+    /// Request identifier given by the caller.
     pub id: Arc<str>,
     /// Route.
     pub route: Arc<Route>,
-    /// Pool that it goes to.
+    /// Pool that serves the request.
     pub pool: Arc<Pool>,
-    /// Document that it passed under.
+    /// Route table under which the request was admitted.
     pub table: Rc<RouteTable>,
     /// Workspace of the caller.
     pub workspace: Option<WorkspaceName>,
-    /// Rank, zero the highest.
-    pub rank: u16,
-    /// Number that is the same for requests that share a prompt.
+    /// Priority; zero is the highest.
+    pub priority: u16,
+    /// Affinity key, equal for requests that share a prompt prefix.
     pub session: u64,
-    /// When it came.
+    /// Time of arrival.
     pub started: Instant,
-    /// When its answer is worth most at the latest.
-    pub due: Instant,
-    /// When the caller or the operator gives up.
-    pub end: Instant,
-    /// Time after which the caller, if it is turned away, is known to have been here before: zero
-    /// where it has.
-    pub fresh: Duration,
+    /// Time by which the response should begin to meet the objective of the route.
+    pub objective_deadline: Instant,
+    /// Time at which the caller's or the route's timeout expires.
+    pub deadline: Instant,
+    /// Time left beyond what a retrying caller would have; zero if this is a retry of a rejected
+    /// request.
+    pub first_attempt_slack: Duration,
 }
 
-impl Ticket {
-    /// Reads a request that has passed; `None` where its route leads to no pool.
-    pub fn new(request: Request, pass: Pass, table: Rc<RouteTable>) -> Option<Self> {
+impl IncomingRequest {
+    /// Creates an admitted request, or returns `None` if its route has no known pool.
+    pub fn new(request: Request, admitted: Pass, table: Rc<RouteTable>) -> Option<Self> {
         let started = Instant::now();
         let head = request.head;
         let id: Arc<str> = Arc::from(head.header(fields::REQUEST_ID).unwrap_or_default());
         let hash = xxhash_rust::xxh3::xxh3_64(id.as_bytes());
-        let pool = pass.route.pool(hash).and_then(|p| table.pools.get(p)).cloned()?;
-        let asked = head.header(fields::DEADLINE).and_then(|d| d.trim().parse::<f64>().ok());
-        let asked = asked.and_then(|d| Duration::try_from_secs_f64(d / 1_000.0).ok());
-        let timeout = pass.route.timeout;
-        let fresh = fresh_for(timeout, asked.unwrap_or(timeout));
-        let end = started + asked.unwrap_or(timeout).min(timeout);
-        let due = end.min(started + pass.route.objective);
-        let session = session(&head).unwrap_or(hash);
+        let pool = admitted.route.pool(hash).and_then(|p| table.pools.get(p)).cloned()?;
+        let requested = head.header(fields::DEADLINE).and_then(|d| d.trim().parse::<f64>().ok());
+        let requested = requested.and_then(|d| Duration::try_from_secs_f64(d / 1_000.0).ok());
+        let timeout = admitted.route.timeout;
+        let first_attempt_slack = fresh_for(timeout, requested.unwrap_or(timeout));
+        let deadline = started + requested.unwrap_or(timeout).min(timeout);
+        let objective_deadline = deadline.min(started + admitted.route.objective);
+        let session = session_key(&head).unwrap_or(hash);
         Some(Self {
             body: request.body,
             id,
-            route: pass.route,
+            route: admitted.route,
             pool,
             table,
-            workspace: pass.workspace,
-            rank: pass.rank,
+            workspace: admitted.workspace,
+            priority: admitted.rank,
             session,
             started,
-            due,
-            end,
-            fresh,
+            objective_deadline,
+            deadline,
+            first_attempt_slack,
             head,
         })
     }
 
-    /// Returns the time left.
-    pub fn left(&self) -> Duration {
-        self.end.saturating_duration_since(Instant::now())
+    /// Returns the time left until the deadline.
+    pub fn time_left(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Returns the number of pieces of each stage, as the caller says; `None` where it can't be read.
-    pub fn pieces(&self) -> Option<Vec<u32>> {
+    /// Returns the caller's number of pieces of each stage, or `None` if the field is malformed.
+    pub fn piece_counts(&self) -> Option<Vec<u32>> {
         fields::numbers(self.head.header(fields::PIECES).unwrap_or_default())
     }
 
-    /// Encodes the request for `target`; a stream goes on after the event `last`, if there is one.
-    pub fn outgoing(&self, target: &Chosen, results: &[Handle], last: Option<&str>) -> Outgoing {
+    /// Encodes the request for `target`; a stream resumes after the event `last_event`, if given.
+    pub fn encode_for(
+        &self,
+        target: &Chosen,
+        results: &[Handle],
+        last_event: Option<&str>,
+    ) -> OutgoingRequest {
         let Head { method, path, query, headers } = &self.head;
         let mut out = BytesMut::with_capacity(1_024 + self.body.len());
         put(&mut out, &[method.as_str(), " ", path]);
@@ -118,13 +123,13 @@
             put(&mut out, &["?", query]);
         }
         put(&mut out, &[" HTTP/1.1\r\n"]);
-        for (name, value) in headers.iter().filter(|(n, _)| self.goes_on(n, last)) {
+        for (name, value) in headers.iter().filter(|(n, _)| self.is_forwarded(n, last_event)) {
             put(&mut out, &[name.as_str(), ": "]);
             out.extend_from_slice(value.as_bytes());
             put(&mut out, &["\r\n"]);
         }
-        let left = self.left().as_millis().max(1).to_string();
-        put_field(&mut out, fields::DEADLINE, &left);
+        let left_ms = self.time_left().as_millis().max(1).to_string();
+        put_field(&mut out, fields::DEADLINE, &left_ms);
         put_field(&mut out, fields::TARGET, target.name.as_str());
         if let Some(workspace) = &self.workspace {
             put_field(&mut out, fields::WORKSPACE, workspace.as_str());
@@ -132,52 +137,52 @@
         if !results.is_empty() {
             put_field(&mut out, fields::RESULTS, &results.join(","));
         }
-        if let Some(last) = last {
-            put_field(&mut out, fields::LAST_EVENT, last);
+        if let Some(last_event) = last_event {
+            put_field(&mut out, fields::LAST_EVENT, last_event);
         }
         if !self.body.is_empty() || takes_body(method) {
             put_field(&mut out, CONTENT_LENGTH.as_str(), &self.body.len().to_string());
         }
         put(&mut out, &["\r\n"]);
         out.extend_from_slice(&self.body);
-        Outgoing {
+        OutgoingRequest {
             data: out.freeze(),
             id: (!self.id.is_empty()).then(|| Bytes::copy_from_slice(self.id.as_bytes())),
             bodiless: method == Method::HEAD,
-            repeatable: self.route.kind.may_repeat(),
+            retryable: self.route.kind.may_repeat(),
         }
     }
 
-    /// Tells whether a field of the caller's goes on to a target.
-    fn goes_on(&self, name: &HeaderName, last: Option<&str>) -> bool {
+    /// Returns whether a header field of the caller is forwarded to targets.
+    fn is_forwarded(&self, name: &HeaderName, last_event: Option<&str>) -> bool {
         if name == AUTHORIZATION {
             return !self.table.keyed;
         }
-        let replaced = last.is_some() && name == fields::LAST_EVENT;
+        let replaced = last_event.is_some() && name == fields::LAST_EVENT;
         !replaced
-            && !is_hop(name, &self.head.headers)
+            && !is_hop_by_hop(name, &self.head.headers)
             && name != EXPECT
             && name != CONTENT_LENGTH
             && !fields::RESERVED.contains(&name.as_str())
     }
 }
 
-/// Returns the number that requests of one session share.
-fn session(head: &Head) -> Option<u64> {
+/// Returns the affinity key of the prompt prefix.
+fn session_key(head: &Head) -> Option<u64> {
     let parts = fields::parts(head.header(fields::PROMPT)?);
-    // The last part is the request's own.
+    // The last part belongs to this request only.
     let shared = parts.len().checked_sub(2).and_then(|at| parts.get(at));
     shared.or(parts.first()).map(|p| p.id)
 }
 
-/// Tells whether a field concerns only one connection.
-pub fn is_hop(name: &HeaderName, headers: &HeaderMap) -> bool {
-    let known = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE].contains(name)
+/// Returns whether a header field is hop-by-hop.
+pub fn is_hop_by_hop(name: &HeaderName, headers: &HeaderMap) -> bool {
+    let is_standard = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE].contains(name)
         || matches!(
             name.as_str(),
             "keep-alive" | "proxy-connection" | "proxy-authenticate" | "proxy-authorization"
         );
-    known || crate::http::connection::has_token(headers, name.as_str()) && name != HOST
+    is_standard || crate::http::connection::has_token(headers, name.as_str()) && name != HOST
 }
 
 fn takes_body(method: &Method) -> bool {
--- /dev/null
+++ b/hawthornkeel/src/forward/schedulers/mod.rs
@@ -0,0 +1,487 @@
+//! Stage schedulers that this entry owns, and access to those of other entries.
+//!
+//! Each scheduler is owned by one entry. If the owner can't be reached, the next entry in ranking
+//! order takes over. Two owners at the same time only make calls wait longer at the targets.
+
+mod batches;
+mod results;
+
+use std::cell::Cell;
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+use std::time::Instant;
+
+use futures_channel::oneshot;
+use hawthornkeel_core::names::CentreName;
+use hawthornkeel_core::names::InstanceName;
+use hawthornkeel_core::names::PoolName;
+use hawthornkeel_core::stages::desk::Action;
+use hawthornkeel_core::stages::desk::Desk;
+use hawthornkeel_core::stages::desk::Input;
+use hawthornkeel_core::stages::desk::Summary;
+use hawthornkeel_core::stages::job::Booked;
+use hawthornkeel_core::stages::job::Booking;
+use hawthornkeel_core::stages::job::DeskName;
+use hawthornkeel_core::stages::job::Job;
+use hawthornkeel_core::stages::job::JobId;
+use hawthornkeel_core::stages::job::JobOutcome;
+use hawthornkeel_core::table::pool::Pieces;
+use indexmap::IndexMap;
+use indexmap::IndexSet;
+
+use crate::clock::boot_now;
+use crate::forward::context::Context;
+pub use crate::forward::schedulers::results::JobError;
+use crate::forward::schedulers::results::PendingJob;
+pub use crate::forward::schedulers::results::StageResults;
+use crate::peer::Frame;
+use crate::peer::frame::Book;
+use crate::peer::frame::Dismiss;
+use crate::peer::frame::FrameKind;
+use crate::peer::frame::Offer;
+use crate::peer::signal::Signal;
+
+/// Time for which the owner holds an offer while its job is unfinished, in milliseconds.
+const LONG_POLL_MS: u32 = 250;
+/// Timeout of a call to another entry, in addition to its long poll.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Maximum number of candidate owners tried before this entry itself.
+const MAX_OWNERS: usize = 3;
+/// Suspected entries of a data centre from which it counts as partitioned from this entry.
+const PARTITION_SUSPECTS: usize = 2;
+/// Interval between probes of a suspected entry.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// Time after which a suspected entry is dropped from the suspects, as it may be gone for good.
+const SUSPECT_TTL: Duration = Duration::from_secs(30);
+/// Interval at which schedulers are checked for due timers.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between log lines about a scheduler.
+const LOG_INTERVAL: Duration = Duration::from_millis(1_000);
+
+/// Stage schedulers; clones share them.
+#[derive(Clone)]
+pub struct Schedulers {
+    inner: Rc<Inner>,
+}
+
+struct Inner {
+    context: Rc<Context>,
+    pools: RefCell<IndexMap<PoolName, Pieces>>,
+    schedulers: RefCell<IndexMap<DeskName, LocalScheduler>>,
+    /// Entries that did not respond to a call and are being probed.
+    suspects: RefCell<IndexSet<InstanceName>>,
+    input_arrived: Signal,
+    ticking: Cell<bool>,
+}
+
+/// Scheduler owned by this entry.
+struct LocalScheduler {
+    scheduler: Desk,
+    waiters: IndexMap<JobId, Vec<oneshot::Sender<JobOutcome>>>,
+}
+
+impl Schedulers {
+    /// Starts the background tasks and the frame handlers for other entries.
+    pub fn start(context: &Rc<Context>) -> Self {
+        let schedulers = Self {
+            inner: Rc::new(Inner {
+                context: Rc::clone(context),
+                pools: RefCell::default(),
+                schedulers: RefCell::default(),
+                suspects: RefCell::default(),
+                input_arrived: Signal::default(),
+                ticking: Cell::new(false),
+            }),
+        };
+        schedulers.register_handlers();
+        monoio::spawn(schedulers.clone().run_timers());
+        monoio::spawn(schedulers.clone().log_state());
+        schedulers
+    }
+
+    fn register_handlers(&self) {
+        let endpoint = &self.inner.context.endpoint;
+        let schedulers = self.clone();
+        endpoint.on_call(FrameKind::Offer, move |_, frame| {
+            let schedulers = schedulers.clone();
+            async move {
+                match frame {
+                    Frame::Offer(offer) => Frame::Offered(schedulers.handle_offer(offer).await),
+                    other => other,
+                }
+            }
+        });
+        let schedulers = self.clone();
+        endpoint.on_call(FrameKind::Book, move |_, frame| {
+            let response = match frame {
+                Frame::Book(book) => Frame::Booked(schedulers.apply_reservations(&book)),
+                other => other,
+            };
+            async move { response }
+        });
+        endpoint.on_call(FrameKind::Ping, |_, _| async { Frame::Pong });
+        let schedulers = self.clone();
+        endpoint.on_frame(FrameKind::Dismiss, move |_, frame| {
+            if let Frame::Dismiss(dismiss) = frame {
+                schedulers.handle_dismiss(dismiss);
+            }
+        });
+    }
+
+    /// Replaces the pools that run stages.
+    pub fn set_pools(&self, pools: Vec<(PoolName, Pieces)>) {
+        for (name, local) in self.inner.schedulers.borrow_mut().iter_mut() {
+            if let Some((_, pieces)) = pools.iter().find(|(pool, _)| *pool == name.pool) {
+                local.scheduler.set_pool(*pieces);
+            }
+        }
+        *self.inner.pools.borrow_mut() = pools.into_iter().collect();
+    }
+
+    /// Updates the workers of all schedulers after a change of the targets.
+    pub fn update_workers(&self) {
+        let names: Vec<DeskName> = self.inner.schedulers.borrow().keys().cloned().collect();
+        for name in names {
+            let workers = self.inner.context.balancer.borrow().makers(&name);
+            self.handle_input(&name, Input::Makers(workers));
+        }
+    }
+
+    /// Returns whether a data centre seems partitioned from this entry: its entries don't respond.
+    pub fn is_partitioned(&self, centre: &CentreName) -> bool {
+        let serving_entries = self.inner.context.serving_entries.borrow();
+        let suspects = self.inner.suspects.borrow();
+        let members = serving_entries.entries.iter().filter(|e| e.centre == *centre);
+        members.filter(|e| suspects.contains(&e.name)).count() >= PARTITION_SUSPECTS
+    }
+
+    /// Runs a stage on its scheduler, whichever entry owns it.
+    ///
+    /// Dropping the future cancels the job.
+    ///
+    /// # Errors
+    /// Returns the reason if the stage yields no results.
+    pub async fn run_job(&self, name: &DeskName, job: Job) -> Result<StageResults, JobError> {
+        let started = Instant::now();
+        let mut last_error = JobError::Failed;
+        for owner in self.candidates(name) {
+            let Some(job) = after_delay(&job, started.elapsed()) else {
+                return Err(JobError::Late);
+            };
+            match self.submit(&owner, name, job).await {
+                Some(JobOutcome::Done(handles)) => {
+                    let schedulers = self.clone();
+                    return Ok(StageResults { handles, name: name.clone(), owner, schedulers });
+                }
+                Some(JobOutcome::Late) => return Err(JobError::Late),
+                Some(JobOutcome::Gone) => return Err(JobError::Gone),
+                Some(JobOutcome::Failed) => return Err(JobError::Failed),
+                Some(JobOutcome::Open | JobOutcome::Elsewhere) | None => {
+                    last_error = JobError::Failed
+                }
+            }
+        }
+        Err(last_error)
+    }
+
+    /// Reserves capacity for stages of a request on a scheduler.
+    ///
+    /// Returns the scheduler's owner and the estimate of each reservation, or `None` if no owner
+    /// responds.
+    pub async fn reserve(
+        &self,
+        name: &DeskName,
+        reservations: Vec<Booking>,
+    ) -> Option<(InstanceName, Vec<Option<Booked>>)> {
+        let book = Book { desk: name.clone(), bookings: reservations };
+        for owner in self.candidates(name) {
+            let estimates = self.reserve_at(&owner, &book).await;
+            // An entry that is stopping returns no estimates.
+            if let Some(estimates) = estimates.filter(|e| !e.is_empty()) {
+                return Some((owner, estimates));
+            }
+        }
+        None
+    }
+
+    async fn reserve_at(&self, owner: &InstanceName, book: &Book) -> Option<Vec<Option<Booked>>> {
+        if owner == self.inner.context.endpoint.name() {
+            return Some(self.apply_reservations(book));
+        }
+        let frame = Frame::Book(book.clone());
+        match self.inner.context.endpoint.call(owner, &frame, RESPONSE_TIMEOUT).await {
+            Ok(Frame::Booked(estimates)) => Some(estimates),
+            Ok(_) => None,
+            Err(error) => {
+                tracing::info!(event = "booking-failed", %owner, desk = %book.desk, %error);
+                self.mark_suspect(owner);
+                None
+            }
+        }
+    }
+
+    /// Cancels jobs or reservations on a scheduler of `owner`.
+    pub fn cancel(&self, owner: &InstanceName, name: &DeskName, jobs: Vec<JobId>) {
+        self.send_dismiss(owner, Dismiss { desk: name.clone(), jobs, results: Vec::new() });
+    }
+
+    fn apply_reservations(&self, book: &Book) -> Vec<Option<Booked>> {
+        if !self.ensure_open(&book.desk) {
+            return Vec::new();
+        }
+        let mut schedulers = self.inner.schedulers.borrow_mut();
+        let Some(local) = schedulers.get_mut(&book.desk) else { return Vec::new() };
+        book.bookings.iter().map(|b| local.scheduler.book(boot_now(), b)).collect()
+    }
+
+    /// Returns the candidate owners of a scheduler in the order to try, this entry included.
+    fn candidates(&self, name: &DeskName) -> Vec<InstanceName> {
+        let own = self.inner.context.endpoint.name();
+        let suspects = self.inner.suspects.borrow();
+        let mut owners = self.inner.context.owners(name);
+        owners.retain(|o| o == own || !suspects.contains(o));
+        owners.truncate(MAX_OWNERS);
+        if !owners.contains(own) {
+            owners.push(own.clone());
+        }
+        owners
+    }
+
+    /// Skips an entry as owner until it responds to a probe.
+    fn mark_suspect(&self, owner: &InstanceName) {
+        if !self.inner.suspects.borrow_mut().insert(owner.clone()) {
+            return;
+        }
+        tracing::info!(event = "entry-suspected", entry = %owner);
+        let (schedulers, owner) = (self.clone(), owner.clone());
+        monoio::spawn(async move {
+            let since = Instant::now();
+            while since.elapsed() < SUSPECT_TTL {
+                monoio::time::sleep(PROBE_INTERVAL).await;
+                let endpoint = &schedulers.inner.context.endpoint;
+                if endpoint.call(&owner, &Frame::Ping, RESPONSE_TIMEOUT).await.is_ok() {
+                    break;
+                }
+            }
+            tracing::info!(event = "entry-trusted", entry = %owner);
+            schedulers.inner.suspects.borrow_mut().swap_remove(&owner);
+        });
+    }
+
+    /// Submits a job to an owner and waits for its outcome; `None` if the owner doesn't respond.
+    async fn submit(&self, owner: &InstanceName, name: &DeskName, job: Job) -> Option<JobOutcome> {
+        let id = job.id.clone();
+        let mut pending = PendingJob {
+            schedulers: self.clone(),
+            owner: owner.clone(),
+            name: name.clone(),
+            job: Some(id.clone()),
+        };
+        let started = Instant::now();
+        loop {
+            let job = after_delay(&job, started.elapsed())?;
+            let offer = Offer { desk: name.clone(), job, wait_ms: LONG_POLL_MS };
+            let outcome = self.send_offer(owner, offer).await;
+            match &outcome {
+                Some(JobOutcome::Open) => continue,
+                None => {
+                    tracing::info!(
+                        event = "desk-silent",
+                        owner = %owner,
+                        desk = %name,
+                        request = %id.request,
+                    );
+                    self.mark_suspect(owner);
+                }
+                Some(_) => pending.job = None,
+            }
+            return outcome;
+        }
+    }
+
+    async fn send_offer(&self, owner: &InstanceName, offer: Offer) -> Option<JobOutcome> {
+        if owner == self.inner.context.endpoint.name() {
+            return Some(self.handle_offer(offer).await);
+        }
+        let timeout = RESPONSE_TIMEOUT + Duration::from_millis(offer.wait_ms.into());
+        let frame = Frame::Offer(offer);
+        match self.inner.context.endpoint.call(owner, &frame, timeout).await {
+            Ok(Frame::Offered(outcome)) => Some(outcome),
+            Ok(_) => None,
+            Err(error) => {
+                tracing::info!(event = "offer-failed", owner = %owner, %error);
+                None
+            }
+        }
+    }
+
+    /// Returns whether a scheduler of this entry has a job, which it finishes even during a stop.
+    fn has_job(&self, name: &DeskName, job: &JobId) -> bool {
+        self.inner.schedulers.borrow().get(name).is_some_and(|l| l.scheduler.knows(job))
+    }
+
+    /// Accepts an offer and returns the outcome of its job, or `Open` after the long poll.
+    async fn handle_offer(&self, offer: Offer) -> JobOutcome {
+        let Offer { desk: name, job, wait_ms } = offer;
+        let id = job.id.clone();
+        if !self.has_job(&name, &id) && !self.ensure_open(&name) {
+            return JobOutcome::Elsewhere;
+        }
+        let (sender, outcome) = oneshot::channel();
+        if let Some(local) = self.inner.schedulers.borrow_mut().get_mut(&name) {
+            let waiters = local.waiters.entry(id).or_default();
+            waiters.retain(|w| !w.is_canceled());
+            waiters.push(sender);
+        }
+        self.handle_input(&name, Input::Offer(job));
+        let wait = Duration::from_millis(wait_ms.into());
+        match monoio::time::timeout(wait, outcome).await {
+            Ok(Ok(outcome)) => outcome,
+            Ok(Err(_)) | Err(_) => JobOutcome::Open,
+        }
+    }
+
+    /// Creates a scheduler if needed; returns whether it exists.
+    ///
+    /// None is created for a pool missing from the document or during a stop.
+    fn ensure_open(&self, name: &DeskName) -> bool {
+        if self.inner.context.stopping.get() {
+            return false;
+        }
+        if self.inner.schedulers.borrow().contains_key(name) {
+            return true;
+        }
+        let Some(pieces) = self.inner.pools.borrow().get(&name.pool).copied() else { return false };
+        tracing::info!(event = "desk-opened", desk = %name);
+        let local = LocalScheduler { scheduler: Desk::new(pieces), waiters: IndexMap::new() };
+        self.inner.schedulers.borrow_mut().insert(name.clone(), local);
+        let workers = self.inner.context.balancer.borrow().makers(name);
+        self.handle_input(name, Input::Makers(workers));
+        true
+    }
+
+    /// Tells the owner of a scheduler which jobs and results are no longer needed.
+    pub(super) fn send_dismiss(&self, owner: &InstanceName, dismiss: Dismiss) {
+        if owner == self.inner.context.endpoint.name() {
+            self.handle_dismiss(dismiss);
+            return;
+        }
+        if let Err(error) = self.inner.context.endpoint.send(owner, &Frame::Dismiss(dismiss)) {
+            tracing::info!(event = "dismiss-unsent", owner = %owner, %error);
+        }
+    }
+
+    fn handle_dismiss(&self, dismiss: Dismiss) {
+        let Dismiss { desk: name, jobs, results } = dismiss;
+        for job in jobs {
+            if let Some(local) = self.inner.schedulers.borrow_mut().get_mut(&name) {
+                local.waiters.swap_remove(&job);
+            }
+            self.handle_input(&name, Input::Withdraw(job));
+        }
+        if !results.is_empty() {
+            self.handle_input(&name, Input::Release(results));
+        }
+    }
+
+    /// Passes an input to a scheduler and executes the resulting actions.
+    fn handle_input(&self, name: &DeskName, input: Input) {
+        let actions = match self.inner.schedulers.borrow_mut().get_mut(name) {
+            Some(local) => local.scheduler.handle(boot_now(), input),
+            None => return,
+        };
+        for action in actions {
+            self.execute(name, action);
+        }
+        if !self.inner.ticking.get() {
+            self.inner.input_arrived.notify();
+        }
+    }
+
+    fn execute(&self, name: &DeskName, action: Action) {
+        match action {
+            Action::Run { call, maker, items, limit } => {
+                monoio::spawn(self.clone().run_batch(name.clone(), call, maker, items, limit));
+            }
+            Action::Free { maker, results } => {
+                monoio::spawn(self.clone().free_results(maker, results));
+            }
+            Action::Answer { job, outcome } => {
+                let mut schedulers = self.inner.schedulers.borrow_mut();
+                let Some(local) = schedulers.get_mut(name) else { return };
+                let waiters = local.waiters.swap_remove(&job).unwrap_or_default();
+                if !matches!(outcome, JobOutcome::Done(_)) {
+                    tracing::info!(
+                        event = "job-ended",
+                        desk = %name,
+                        request = %job.request,
+                        stage = job.stage,
+                        ?outcome,
+                    );
+                }
+                for waiter in waiters {
+                    // Fails if the waiter timed out: it offers the job again or cancels it.
+                    let _ = waiter.send(outcome.clone());
+                }
+            }
+        }
+    }
+
+    /// Periodically logs the state of each scheduler that has work.
+    async fn log_state(self) {
+        loop {
+            monoio::time::sleep(LOG_INTERVAL).await;
+            for (name, local) in self.inner.schedulers.borrow().iter() {
+                if local.scheduler.is_idle() {
+                    continue;
+                }
+                let Summary { jobs, waiting, late, booked, calls, makers, counted, free, held } =
+                    local.scheduler.summary();
+                tracing::info!(
+                    event = "desk-state",
+                    desk = %name,
+                    jobs,
+                    waiting,
+                    late,
+                    booked,
+                    calls,
+                    makers,
+                    counted,
+                    free,
+                    held
+                );
+            }
+        }
+    }
+
+    /// Fires due timers of the schedulers while any of them has work.
+    async fn run_timers(self) {
+        loop {
+            let seen = self.inner.input_arrived.count();
+            let busy = self.inner.schedulers.borrow().values().any(|l| !l.scheduler.is_idle());
+            self.inner.ticking.set(busy);
+            if !busy {
+                self.inner.input_arrived.after(seen).await;
+                continue;
+            }
+            monoio::time::sleep(TICK_INTERVAL).await;
+            let now = boot_now();
+            let due = |l: &LocalScheduler| l.scheduler.deadline().is_some_and(|d| d <= now);
+            let schedulers = self.inner.schedulers.borrow();
+            let names: Vec<DeskName> =
+                schedulers.iter().filter(|(_, l)| due(l)).map(|(n, _)| n.clone()).collect();
+            drop(schedulers);
+            for name in names {
+                self.handle_input(&name, Input::Tick);
+            }
+        }
+    }
+}
+
+/// Returns a job with its times reduced by `delay`, or `None` if its deadline has passed.
+fn after_delay(job: &Job, delay: Duration) -> Option<Job> {
+    let delay_ms = u64::try_from(delay.as_millis()).unwrap_or(u64::MAX);
+    let end_ms = job.end_ms.checked_sub(delay_ms).filter(|e| *e > 0)?;
+    Some(Job { due_ms: job.due_ms.saturating_sub(delay_ms), end_ms, ..job.clone() })
+}
--- a/hawthornkeel/src/forward/server.rs
+++ b/hawthornkeel/src/forward/server.rs
@@ -1,4 +1,4 @@
-//! Start and planned stop of an entry that forwards routes.
+//! Server of a forwarding entry: start-up, readiness checks and planned stop.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,9 +11,9 @@
 use crate::control::directory::Directory;
 use crate::entry::start::StopReport;
 use crate::forward::context::Context;
-use crate::forward::desks::Desks;
 use crate::forward::discovery_client;
-use crate::forward::handler::Callers;
+use crate::forward::handler::ForwardHandler;
+use crate::forward::schedulers::Schedulers;
 use crate::http::message::Request;
 use crate::http::message::Response;
 use crate::http::problem::Code;
@@ -25,21 +25,23 @@
 use crate::peer::Endpoint;
 use crate::stop::StopRequest;
 
-/// Pause between two looks at whether a stop was asked for or is done.
-const POLL: Duration = Duration::from_millis(25);
-/// Part of the grace time for which connections are accepted, as the balancer lags.
-const DRAIN_PART: f64 = 0.45;
-/// Part of the grace time after which what still runs is cut off.
-const STOP_PART: f64 = 0.93;
-/// Time that a connection may stay open between requests.
-const IDLE: Duration = Duration::from_secs(60);
-/// Bytes of bodies held for all callers, as a part of the memory.
-const HELD_PART: u64 = 4;
+/// Interval at which stop requests and the progress of a stop are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Fraction of the grace time in which connections are still accepted.
+///
+/// The platform's load balancer keeps sending them until it notices the stop.
+const DRAIN_FRACTION: f64 = 0.45;
+/// Fraction of the grace time after which requests in progress are aborted.
+const ABORT_FRACTION: f64 = 0.93;
+/// Time for which an idle connection of a caller is kept open.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Divisor of `memory_mb` that limits the request bodies held for all callers.
+const BODY_MEMORY_DIVISOR: u64 = 4;
 
-/// Entry that forwards routes.
+/// Server of a forwarding entry.
 pub struct ForwardServer {
     context: Rc<Context>,
-    desks: Desks,
+    schedulers: Schedulers,
     server: Server,
 }
 
@@ -47,7 +49,7 @@
     /// Listens for callers on `address` and for readiness checks.
     ///
     /// # Errors
-    /// Fails where an address can't be taken.
+    /// Returns an error if an address can't be bound.
     pub fn listen(
         settings: &Settings,
         endpoint: &Endpoint,
@@ -56,43 +58,43 @@
         let server = Server::bind(address, limits(settings))?;
         let directory = Directory::new(settings);
         let context = Rc::new(Context::new(settings.clone(), endpoint.clone(), directory));
-        let desks = Desks::start(&context);
-        monoio::spawn(discovery_client::follow(Rc::clone(&context), desks.clone()));
-        monoio::spawn(discovery_client::tell_presence(Rc::clone(&context)));
+        let schedulers = Schedulers::start(&context);
+        monoio::spawn(discovery_client::run(Rc::clone(&context), schedulers.clone()));
+        monoio::spawn(discovery_client::send_heartbeats(Rc::clone(&context)));
         if let Some(ready) = settings.forward.ready {
             let readiness = Rc::clone(&context);
             let checks = Server::bind(ready, Limits::default())?;
             monoio::spawn(checks.serve(move |request: Request| {
-                let response = answer_check(&readiness, &request);
+                let response = readiness_response(&readiness, &request);
                 async move { response }
             }));
         }
-        Ok(Self { context, desks, server })
+        Ok(Self { context, schedulers, server })
     }
 
-    /// Serves until `stop` is asked for, then stops as planned.
+    /// Serves until a stop is requested, then performs the planned stop.
     pub async fn serve(self, stop: StopRequest) -> StopReport {
-        let Self { context, desks, server } = self;
+        let Self { context, schedulers, server } = self;
         let control = server.control();
         let (name, address) = (context.endpoint.name().clone(), server.address());
         tracing::info!(event = "entry-started", %name, %address);
-        let callers = Callers { context: Rc::clone(&context), desks };
-        let serving = monoio::spawn(server.serve(callers));
+        let handler = ForwardHandler { context: Rc::clone(&context), schedulers };
+        let serving = monoio::spawn(server.serve(handler));
         while stop.count() == 0 {
             if stop.take_reload() {
                 tracing::info!(event = "reload-asked");
             }
-            monoio::time::sleep(POLL).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
-        let report = stop_planned(&context, &control).await;
-        // Connections that are idle by now were told to close.
-        let _ = monoio::time::timeout(POLL * 4, serving).await;
+        let report = planned_stop(&context, &control).await;
+        // Idle connections have been told to close by now.
+        let _ = monoio::time::timeout(POLL_INTERVAL * 4, serving).await;
         report
     }
 }
 
-/// Answers a readiness check: an entry is ready once it can tell callers' requests apart.
-fn answer_check(context: &Context, request: &Request) -> Response {
+/// Responds to a readiness check: an entry is ready once it has a route table.
+fn readiness_response(context: &Context, request: &Request) -> Response {
     if request.head.path != READINESS {
         return Problem::not_run(Code::NotFound).into_response();
     }
@@ -101,35 +103,35 @@
     Response::whole(status, "text/plain", "")
 }
 
-/// Takes the steps of a planned stop.
-async fn stop_planned(context: &Context, control: &Control) -> StopReport {
+/// Performs the planned stop: drains connections, stops accepting, then aborts what is left.
+async fn planned_stop(context: &Context, control: &Control) -> StopReport {
     let grace = Duration::from_secs_f64(context.settings.forward.grace_s.max(0.1));
-    tracing::info!(event = "stop-begun", open = context.open.get());
+    tracing::info!(event = "stop-begun", open = context.in_flight.get());
     context.stopping.set(true);
-    discovery_client::send_presence(context, true);
+    discovery_client::send_heartbeat(context, true);
     control.drain.set();
     let started = std::time::Instant::now();
-    monoio::time::sleep(grace.mul_f64(DRAIN_PART)).await;
+    monoio::time::sleep(grace.mul_f64(DRAIN_FRACTION)).await;
     control.stop.set();
-    while context.open.get() > 0 && started.elapsed() < grace.mul_f64(STOP_PART) {
-        monoio::time::sleep(POLL).await;
+    while context.in_flight.get() > 0 && started.elapsed() < grace.mul_f64(ABORT_FRACTION) {
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
-    let cut = context.open.get();
-    tracing::info!(event = "entry-stopped", cut);
-    if cut > 0 {
+    let aborted = context.in_flight.get();
+    tracing::info!(event = "entry-stopped", cut = aborted);
+    if aborted > 0 {
         control.abort.set();
-        return StopReport::Cut(cut);
+        return StopReport::Cut(aborted);
     }
     StopReport::Complete
 }
 
 fn limits(settings: &Settings) -> Limits {
-    let memory = settings.forward.memory_mb.saturating_mul(1 << 20) / HELD_PART;
+    let body_memory = settings.forward.memory_mb.saturating_mul(1 << 20) / BODY_MEMORY_DIVISOR;
     Limits {
         max_body: 4 << 20,
-        max_held: usize::try_from(memory).unwrap_or(usize::MAX),
+        max_held: usize::try_from(body_memory).unwrap_or(usize::MAX),
         max_connections: settings.forward.max_connections,
-        idle: IDLE,
+        idle: IDLE_TIMEOUT,
         ..Limits::default()
     }
 }
--- a/hawthornkeel/tests/forward_routes.rs
+++ b/hawthornkeel/tests/forward_routes.rs
@@ -1,15 +1,15 @@
-//! Forwarded routes through processes: from the operators' document to the caller's answer.
+//! End-to-end tests of forwarded routes, from the operators' document to the caller's response.
 
 mod forward_site;
 
 use crate::forward_site::Site;
 
-/// Returns a document of a version whose plain route goes to `prefix`.
+/// Returns a document whose route without stages has the path prefix `prefix`.
 fn document(version: u32, prefix: &str) -> String {
-    let route = |name: &str, prefix: &str, kind: &str, rest: &str| {
+    let route = |name: &str, prefix: &str, kind: &str, extra: &str| {
         format!(
             r#"{{"name":"{name}","hostname":"a.example","path_prefix":"{prefix}","route_type":"{kind}",
-            "timeout_ms":5000,"target_latency_ms":2000,"service":"ledger","max_attempts":2{rest}}}"#
+            "timeout_ms":5000,"target_latency_ms":2000,"service":"ledger","max_attempts":2{extra}}}"#
         )
     };
     let staged = r#","stages":[{"service":"portal","after":[],"byte_count":1000}]"#;
@@ -32,7 +32,7 @@
 const KEY: &str = "Authorization: Token k1\r\nRequest-Id: r1\r\n";
 
 #[test]
-fn whole_request() {
+fn request_passes() {
     let site = Site::start(71);
     assert_eq!(site.put(&document(3, "/lots/")), 200);
     site.call_until(200, "/lots/warm", KEY);
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn denied_and_unsure() {
+fn denied_and_unready() {
     let site = Site::start(72);
-    // No document: not even a route can be told to be missing.
+    // Without a document, even a missing route can't be denied.
     site.call_until(503, "/lots/1", KEY);
     assert_eq!(site.put(&document(3, "/lots/")), 200);
     site.call_until(200, "/lots/1", KEY);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn repeats() {
+fn retries() {
     let site = Site::start(74);
     assert_eq!(site.put(&document(1, "/lots/")), 200);
     site.call_until(200, "/lots/1", KEY);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn stages_come_first() {
+fn stages_run_first() {
     let site = Site::start(75);
     assert_eq!(site.put(&document(1, "/lots/")), 200);
     site.call_until(200, "/lots/1", KEY);
@@ -116,18 +116,18 @@
 }
 
 #[test]
-fn stream_goes_on() {
+fn stream_resumes() {
     let site = Site::start(76);
     assert_eq!(site.put(&document(1, "/lots/")), 200);
     site.call_until(200, "/lots/1", KEY);
     let got = site.call("GET", "/events/1", KEY, "");
     assert_eq!(got.status, 200);
-    // Whole events once each, and the end mark of the body.
-    let bare: String =
+    // Each event arrives complete and once, followed by the last chunk of the body.
+    let events: String =
         got.body.split("\r\n").filter(|l| !l.chars().all(|c| c.is_ascii_hexdigit())).collect();
-    assert_eq!(bare, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
+    assert_eq!(events, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
     assert!(got.body.ends_with("0\r\n\r\n"), "{got:?}");
-    let again = site.got("GET /events/1");
-    assert_eq!(again[1].headers.get("last-event-id").unwrap(), "1");
-    assert_ne!(again[0].target, again[1].target);
+    let attempts = site.got("GET /events/1");
+    assert_eq!(attempts[1].headers.get("last-event-id").unwrap(), "1");
+    assert_ne!(attempts[0].target, attempts[1].target);
 }
--- a/hawthornkeel/tests/forward_soak.rs
+++ b/hawthornkeel/tests/forward_soak.rs
@@ -1,4 +1,4 @@
-//! Random kills and freezes of processes under load; SOAK_SEEDS sets how many seeds are run.
+//! Kills and freezes random processes under load; SOAK_SEEDS sets the number of seeds.
 
 mod forward_site;
 
@@ -17,14 +17,14 @@
 use crate::forward_site::Callers;
 use crate::forward_site::Site;
 
-/// Seeds in CI; by hand 50 and more are run.
-const SEEDS: u64 = 3;
-/// Time of faults for each seed.
-const FAULTS: Duration = Duration::from_secs(6);
-/// Time in which the site must serve again after the faults.
-const RECOVERY: Duration = Duration::from_secs(15);
-/// Fields that callers send.
-const KEY: &str = "Authorization: Token k1\r\nDeadline-Milliseconds: 900\r\n";
+/// Default number of seeds, as run in CI; longer runs use 50 and more.
+const DEFAULT_SEEDS: u64 = 3;
+/// Duration of the faults for each seed.
+const FAULT_DURATION: Duration = Duration::from_secs(6);
+/// Time within which requests must succeed again after the faults.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Header fields that callers send.
+const FIELDS: &str = "Authorization: Token k1\r\nDeadline-Milliseconds: 900\r\n";
 
 fn document(version: u64) -> String {
     let route = |name: &str, kind: &str| {
@@ -41,10 +41,10 @@
     )
 }
 
-/// Outcome of each request, by its path.
+/// Response status of each request by its path, `None` without a response.
 type Outcomes = BTreeMap<String, Option<u16>>;
 
-/// Sends requests one after the other until told to stop.
+/// Sends requests one after the other until `stop` is set.
 fn load(callers: &Callers, seed: u64, caller: u64, stop: &AtomicBool) -> Outcomes {
     let mut rng = ChaCha8Rng::seed_from_u64(seed * 100 + caller);
     let mut outcomes = Outcomes::new();
@@ -52,10 +52,10 @@
     while !stop.load(Ordering::Relaxed) {
         let (method, kind) = if rng.random_bool(0.6) { ("POST", "sign") } else { ("GET", "lots") };
         let path = format!("/{kind}/{caller}-{number}");
-        let fields = format!("{KEY}Request-Id: {caller}-{number}\r\n");
+        let fields = format!("{FIELDS}Request-Id: {caller}-{number}\r\n");
         let got = callers.try_call(rng.random_range(0..2), method, &path, &fields);
         if let Some(got) = got.as_ref().filter(|g| g.status == 200) {
-            assert!(got.body.ends_with(&path), "answer of another request: {got:?}");
+            assert!(got.body.ends_with(&path), "response to another request: {got:?}");
         }
         outcomes.insert(path, got.map(|g| g.status));
         number += 1;
@@ -64,9 +64,11 @@
     outcomes
 }
 
-/// Kills, freezes and restarts processes, and has documents changed; returns the last acknowledged.
-fn disturb(site: &mut Site, rng: &mut ChaCha8Rng, stop: &AtomicBool) -> u64 {
-    let until = Instant::now() + FAULTS;
+/// Kills, freezes and restarts processes and replaces documents.
+///
+/// Returns the version of the last acknowledged document.
+fn inject_faults(site: &mut Site, rng: &mut ChaCha8Rng, stop: &AtomicBool) -> u64 {
+    let until = Instant::now() + FAULT_DURATION;
     let (mut version, mut acknowledged) = (1, 1);
     let mut frozen = Vec::new();
     while Instant::now() < until {
@@ -97,22 +99,23 @@
     acknowledged
 }
 
-/// Waits until something holds.
-fn eventually(what: &str, site: &Site, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + RECOVERY;
-    while !holds() {
-        assert!(Instant::now() < until, "{what}:\n{}", site.logs());
+/// Waits until a condition holds; panics with `message` after the recovery timeout.
+fn eventually(message: &str, site: &Site, mut condition: impl FnMut() -> bool) {
+    let until = Instant::now() + RECOVERY_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < until, "{message}:\n{}", site.logs());
         thread::sleep(Duration::from_millis(100));
     }
 }
 
-fn check(site: &Site, outcomes: &Outcomes, seed: u64) {
+/// Asserts that non-idempotent requests ran at most once and as their response status implies.
+fn check_runs(site: &Site, outcomes: &Outcomes, seed: u64) {
     for (path, status) in outcomes.iter().filter(|(p, _)| p.starts_with("/sign/")) {
         let runs = site.got(&format!("POST {path}?")).len();
         assert!(runs <= 1, "seed {seed}: {path} ran {runs} times");
         match status {
-            Some(200) => assert_eq!(runs, 1, "seed {seed}: {path} was answered and never ran"),
-            Some(429 | 503) => assert_eq!(runs, 0, "seed {seed}: {path} was refused and ran"),
+            Some(200) => assert_eq!(runs, 1, "seed {seed}: {path} was answered but never ran"),
+            Some(429 | 503) => assert_eq!(runs, 0, "seed {seed}: {path} was rejected but ran"),
             _ => {}
         }
     }
@@ -120,14 +123,14 @@
 
 #[test]
 fn random_faults() {
-    let seeds = std::env::var("SOAK_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(SEEDS);
+    let seeds = std::env::var("SOAK_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(DEFAULT_SEEDS);
     for seed in 0..seeds {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // The stand-ins of earlier seeds still listen on their addresses.
+        // The fake targets of earlier seeds still listen on their addresses.
         let net = 80 + u8::try_from(seed % 150).unwrap();
         let mut site = Site::with_controls(net, 3);
         assert_eq!(site.put(&document(1)), 200);
-        site.call_until(200, "/lots/first", &format!("{KEY}Request-Id: first\r\n"));
+        site.call_until(200, "/lots/first", &format!("{FIELDS}Request-Id: first\r\n"));
         let stop = AtomicBool::new(false);
         let callers = site.callers();
         let (acknowledged, outcomes) = thread::scope(|scope| {
@@ -137,13 +140,13 @@
                     scope.spawn(move || load(callers, seed, caller, stop))
                 })
                 .collect();
-            let acknowledged = disturb(&mut site, &mut rng, &stop);
+            let acknowledged = inject_faults(&mut site, &mut rng, &stop);
             let outcomes: Outcomes = loads.into_iter().flat_map(|l| l.join().unwrap()).collect();
             (acknowledged, outcomes)
         });
-        check(&site, &outcomes, seed);
-        eventually("not served again", &site, || {
-            let fields = format!("{KEY}Request-Id: last\r\n");
+        check_runs(&site, &outcomes, seed);
+        eventually("requests fail after the faults", &site, || {
+            let fields = format!("{FIELDS}Request-Id: last\r\n");
             let answers = (0..2).map(|e| callers.try_call(e, "GET", "/lots/last", &fields));
             answers.into_iter().all(|a| a.is_some_and(|g| g.status == 200))
         });
@@ -154,7 +157,7 @@
                 version.is_some()
             })
         });
-        let served = outcomes.values().filter(|s| **s == Some(200)).count();
-        assert!(served > 0, "seed {seed}: nothing was served");
+        let succeeded = outcomes.values().filter(|s| **s == Some(200)).count();
+        assert!(succeeded > 0, "seed {seed}: no request succeeded");
     }
 }
