--- a/hawthornkeel/tests/forward_soak.rs
+++ b/hawthornkeel/tests/forward_soak.rs
@@ -123,7 +123,8 @@
 
 #[test]
 fn random_faults() {
-    let seeds = std::env::var("SOAK_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(DEFAULT_SEEDS);
+    let seeds =
+        std::env::var("SOAK_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(DEFAULT_SEEDS);
     for seed in 0..seeds {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         // The fake targets of earlier seeds still listen on their addresses.
