--- a/hawthornkeel/src/forward/plan.rs
+++ b/hawthornkeel/src/forward/plan.rs
@@ -75,7 +75,8 @@
         pass: u16,
     ) -> Self {
         let stages = request.route.stages.len();
-        let piece_counts = (0..stages).map(|at| pieces.get(at).copied().unwrap_or(0)).collect();
+        let piece_counts =
+            (0..stages).map(|index| pieces.get(index).copied().unwrap_or(0)).collect();
         let final_stages = request.route.last_stages();
         let likely_centre = crate::forward::handler::likely_centre(context, request);
         let timeliness =
@@ -94,33 +95,35 @@
         }
     }
 
-    fn stage(&self, at: u16) -> Option<&Stage> {
-        self.request.route.stages.get(usize::from(at))
+    fn stage(&self, index: u16) -> Option<&Stage> {
+        self.request.route.stages.get(usize::from(index))
     }
 
-    fn piece_count(&self, at: u16) -> u32 {
-        self.piece_counts.get(usize::from(at)).copied().unwrap_or(0)
+    fn piece_count(&self, index: u16) -> u32 {
+        self.piece_counts.get(usize::from(index)).copied().unwrap_or(0)
     }
 
     /// Returns the stages that are not started and whose inputs are complete.
     pub(super) fn ready(&self, results: &[Option<StageResults>], started: &[bool]) -> Vec<u16> {
-        let done = |at: &u16| {
-            self.piece_count(*at) == 0 || results.get(usize::from(*at)).is_some_and(Option::is_some)
+        let done = |index: &u16| {
+            self.piece_count(*index) == 0
+                || results.get(usize::from(*index)).is_some_and(Option::is_some)
         };
-        let all = (0..self.piece_counts.len()).filter_map(|at| u16::try_from(at).ok());
-        all.filter(|at| {
-            self.piece_count(*at) > 0 && !started.get(usize::from(*at)).copied().unwrap_or(true)
+        let all = (0..self.piece_counts.len()).filter_map(|index| u16::try_from(index).ok());
+        all.filter(|index| {
+            self.piece_count(*index) > 0
+                && !started.get(usize::from(*index)).copied().unwrap_or(true)
         })
-        .filter(|at| self.stage(*at).is_some_and(|s| s.after.iter().all(done)))
+        .filter(|index| self.stage(*index).is_some_and(|s| s.after.iter().all(done)))
         .collect()
     }
 
     /// Releases the results that neither a stage nor the request itself still needs.
     pub(super) fn release_unneeded(&self, results: &mut [Option<StageResults>]) {
         let done: Vec<bool> = results.iter().map(Option::is_some).collect();
-        let done_at = |at: usize| done.get(at).copied().unwrap_or(true);
-        for at in 0..results.len() {
-            let Ok(stage) = u16::try_from(at) else { continue };
+        let is_done = |index: usize| done.get(index).copied().unwrap_or(true);
+        for index in 0..results.len() {
+            let Ok(stage) = u16::try_from(index) else { continue };
             let mut followers = self
                 .request
                 .route
@@ -130,8 +133,8 @@
                 .filter(|(_, s)| s.after.contains(&stage));
             let needed = self.final_stages.contains(&stage)
                 || followers
-                    .any(|(f, _)| !done_at(f) && self.piece_counts.get(f).is_some_and(|c| *c > 0));
-            if !needed && let Some(slot) = results.get_mut(at) {
+                    .any(|(f, _)| !is_done(f) && self.piece_counts.get(f).is_some_and(|c| *c > 0));
+            if !needed && let Some(slot) = results.get_mut(index) {
                 // The slot stays occupied to mark the stage as done.
                 if let Some(stage_results) = slot {
                     stage_results.release();
@@ -145,7 +148,7 @@
     /// The one in which the request itself runs comes first, unless it is partitioned.
     pub(super) fn candidate_centres(&self, schedulers: &Schedulers) -> Vec<Option<CentreName>> {
         let pools: Vec<&PoolName> =
-            self.nonempty_stages().filter_map(|at| Some(&self.stage(at)?.pool)).collect();
+            self.nonempty_stages().filter_map(|index| Some(&self.stage(index)?.pool)).collect();
         let balancer = self.context.balancer.borrow();
         let first = self.likely_centre.clone();
         let alternative = balancer.other_centre(&pools, first.as_ref(), &self.request.id);
@@ -160,15 +163,15 @@
     }
 
     /// Returns the scheduler that runs a stage.
-    pub(super) fn scheduler(&self, at: u16) -> Option<DeskName> {
+    pub(super) fn scheduler(&self, index: u16) -> Option<DeskName> {
         let balancer = self.context.balancer.borrow();
-        Some(balancer.desk(&self.stage(at)?.pool, self.stage_centre.as_ref(), &self.request.id))
+        Some(balancer.desk(&self.stage(index)?.pool, self.stage_centre.as_ref(), &self.request.id))
     }
 
     pub(super) fn stage_timings(&self) -> Vec<Step> {
-        let after = |at: u16| self.stage(at).map(|s| s.after.clone()).unwrap_or_default();
+        let after = |index: u16| self.stage(index).map(|s| s.after.clone()).unwrap_or_default();
         self.nonempty_stages()
-            .map(|at| Step { at, after: after(at), usual: self.shared_time(at) })
+            .map(|index| Step { at: index, after: after(index), usual: self.shared_time(index) })
             .collect()
     }
 
@@ -182,42 +185,42 @@
         }
     }
 
-    pub(super) fn reservation(&self, at: u16) -> Booking {
+    pub(super) fn reservation(&self, index: u16) -> Booking {
         let due = self.request.objective_deadline.saturating_duration_since(Instant::now());
         Booking {
-            id: self.job_id(at),
-            pieces: self.piece_count(at),
+            id: self.job_id(index),
+            pieces: self.piece_count(index),
             priority: self.timeliness.rank(self.request.priority),
-            due_ms: millis(due.saturating_sub(self.time_after(at))),
+            due_ms: millis(due.saturating_sub(self.time_after(index))),
         }
     }
 
-    fn job_id(&self, at: u16) -> JobId {
-        JobId { request: Arc::clone(&self.request.id), stage: at, pass: self.pass }
+    fn job_id(&self, index: u16) -> JobId {
+        JobId { request: Arc::clone(&self.request.id), stage: index, pass: self.pass }
     }
 
     /// Returns the stages that have pieces.
     pub(super) fn nonempty_stages(&self) -> impl Iterator<Item = u16> {
-        let all = (0..self.piece_counts.len()).filter_map(|at| u16::try_from(at).ok());
-        all.filter(|at| self.piece_count(*at) > 0)
+        let all = (0..self.piece_counts.len()).filter_map(|index| u16::try_from(index).ok());
+        all.filter(|index| self.piece_count(*index) > 0)
     }
 
-    pub(super) fn job(&self, at: u16, results: &[Option<StageResults>]) -> Job {
-        let stage = self.stage(at);
+    pub(super) fn job(&self, index: u16, results: &[Option<StageResults>]) -> Job {
+        let stage = self.stage(index);
         let after = stage.map(|s| s.after.as_slice()).unwrap_or_default();
         let inputs = after.iter().filter_map(|a| results.get(usize::from(*a))?.as_ref());
         let inputs: Vec<Handle> = inputs.flat_map(|r| r.handles.iter().cloned()).collect();
         let key = self.request.head.header(fields::PIECE_KEY).unwrap_or_default();
         let now = Instant::now();
         let until_ms = |time: Instant| millis(time.saturating_duration_since(now));
-        let due_ms =
-            until_ms(self.request.objective_deadline).saturating_sub(millis(self.time_after(at)));
+        let due_ms = until_ms(self.request.objective_deadline)
+            .saturating_sub(millis(self.time_after(index)));
         Job {
-            id: self.job_id(at),
-            pieces: self.piece_count(at),
+            id: self.job_id(index),
+            pieces: self.piece_count(index),
             priority: self.timeliness.rank(self.request.priority),
             key: after.is_empty().then(|| Arc::from(key)),
-            near: self.locality(at, &inputs, due_ms),
+            near: self.locality(index, &inputs, due_ms),
             inputs: Arc::from(inputs),
             bytes: stage.map_or(0, |s| s.bytes),
             due_ms,
@@ -227,33 +230,33 @@
 
     /// Returns the data centre that a stage prefers: that of its large inputs, or that of the
     /// consumer of its large results.
-    fn locality(&self, at: u16, inputs: &[Handle], due_ms: u64) -> Option<Near> {
-        if self.scheduler(at)?.centre.is_some() {
+    fn locality(&self, index: u16, inputs: &[Handle], due_ms: u64) -> Option<Near> {
+        if self.scheduler(index)?.centre.is_some() {
             return None;
         }
-        let stage = self.stage(at)?;
+        let stage = self.stage(index)?;
         let size =
             |a: &u16| self.stage(*a).map_or(0, |s| s.bytes) * u64::from(self.piece_count(*a));
         let input_bytes: u64 =
-            stage.after.iter().map(size).sum::<u64>() * u64::from(self.piece_count(at));
-        let result_bytes = stage.bytes * u64::from(self.piece_count(at));
-        let slack = due_ms.saturating_sub(millis(self.exclusive_time(at)));
+            stage.after.iter().map(size).sum::<u64>() * u64::from(self.piece_count(index));
+        let result_bytes = stage.bytes * u64::from(self.piece_count(index));
+        let slack = due_ms.saturating_sub(millis(self.exclusive_time(index)));
         if input_bytes >= LOCALITY_BYTES {
             let balancer = self.context.balancer.borrow();
             let holder = inputs.iter().find_map(|i| pieces::keeper(i))?;
             let centre = balancer.centre_at(holder)?.clone();
             return Some(Near { centre, wait_ms: slack / INPUT_WAIT_DIVISOR });
         }
-        let prefers_consumer = result_bytes >= LOCALITY_BYTES && self.final_stages.contains(&at);
+        let prefers_consumer = result_bytes >= LOCALITY_BYTES && self.final_stages.contains(&index);
         let centre = self.likely_centre.clone().filter(|_| prefers_consumer)?;
         Some(Near { centre, wait_ms: slack / RESULT_WAIT_DIVISOR })
     }
 
     /// Returns the expected time from the end of a stage until the response begins.
-    fn time_after(&self, at: u16) -> Duration {
+    fn time_after(&self, index: u16) -> Duration {
         let followers = self.request.route.stages.iter().enumerate();
         let followers = followers.filter_map(|(f, s)| {
-            let follower = u16::try_from(f).ok().filter(|_| s.after.contains(&at))?;
+            let follower = u16::try_from(f).ok().filter(|_| s.after.contains(&index))?;
             (self.piece_count(follower) > 0)
                 .then(|| self.shared_time(follower) + self.time_after(follower))
         });
@@ -266,15 +269,15 @@
     }
 
     /// Returns the expected time of a stage in calls shared with other stages.
-    fn shared_time(&self, at: u16) -> Duration {
-        self.exclusive_time(at).mul_f64(SHARED_CALL_FACTOR)
+    fn shared_time(&self, index: u16) -> Duration {
+        self.exclusive_time(index).mul_f64(SHARED_CALL_FACTOR)
     }
 
     /// Returns the time of a stage in calls of its own.
-    fn exclusive_time(&self, at: u16) -> Duration {
-        let pool = self.stage(at).and_then(|s| self.request.table.pools.get(&s.pool));
+    fn exclusive_time(&self, index: u16) -> Duration {
+        let pool = self.stage(index).and_then(|s| self.request.table.pools.get(&s.pool));
         match pool.map(|p| &p.work) {
-            Some(Work::Pieces(pieces)) => pieces.overhead + pieces.item * self.piece_count(at),
+            Some(Work::Pieces(pieces)) => pieces.overhead + pieces.item * self.piece_count(index),
             _ => DEFAULT_STAGE_TIME,
         }
     }
--- a/hawthornkeel/src/forward/reservation.rs
+++ b/hawthornkeel/src/forward/reservation.rs
@@ -28,8 +28,8 @@
     }
 
     /// Marks the reservation of a stage as used, before the job that replaces it is submitted.
-    pub(super) fn mark_used(&mut self, at: u16) {
-        self.unused.retain(|(_, _, id)| id.stage != at);
+    pub(super) fn mark_used(&mut self, index: u16) {
+        self.unused.retain(|(_, _, id)| id.stage != index);
     }
 }
 
@@ -87,9 +87,9 @@
     /// Reserves capacity for the stages in the current data centre and timeliness.
     async fn reserve_stages(&self, schedulers: &Schedulers) -> (Reservations, Outlook) {
         let mut requests: IndexMap<DeskName, Vec<Booking>> = IndexMap::new();
-        for at in self.nonempty_stages() {
-            if let Some(scheduler) = self.scheduler(at) {
-                requests.entry(scheduler).or_default().push(self.reservation(at));
+        for index in self.nonempty_stages() {
+            if let Some(scheduler) = self.scheduler(index) {
+                requests.entry(scheduler).or_default().push(self.reservation(index));
             }
         }
         let mut pending: FuturesUnordered<_> = requests
--- a/hawthornkeel/src/forward/stages.rs
+++ b/hawthornkeel/src/forward/stages.rs
@@ -35,8 +35,10 @@
 
     /// Returns the handles of the results in the order of stages and pieces.
     pub fn handles(&self) -> Vec<Handle> {
-        let consumed =
-            self.final_stages.iter().filter_map(|at| self.results.get(usize::from(*at))?.as_ref());
+        let consumed = self
+            .final_stages
+            .iter()
+            .filter_map(|index| self.results.get(usize::from(*index))?.as_ref());
         consumed.flat_map(|r| r.handles.iter().cloned()).collect()
     }
 }
@@ -80,17 +82,17 @@
     let mut started = vec![false; plan.piece_counts.len()];
     let mut running = FuturesUnordered::new();
     loop {
-        for at in plan.ready(&results, &started) {
-            if let Some(started) = started.get_mut(usize::from(at)) {
+        for index in plan.ready(&results, &started) {
+            if let Some(started) = started.get_mut(usize::from(index)) {
                 *started = true;
             }
-            reservations.mark_used(at);
-            let job = plan.job(at, &results);
-            let run = run_stage(schedulers, plan.scheduler(at), job);
-            running.push(async move { (at, run.await) });
+            reservations.mark_used(index);
+            let job = plan.job(index, &results);
+            let run = run_stage(schedulers, plan.scheduler(index), job);
+            running.push(async move { (index, run.await) });
         }
-        let Some((at, outcome)) = running.next().await else { break };
-        if let Some(slot) = results.get_mut(usize::from(at)) {
+        let Some((index, outcome)) = running.next().await else { break };
+        if let Some(slot) = results.get_mut(usize::from(index)) {
             *slot = Some(outcome?);
         }
         plan.release_unneeded(&mut results);
