--- a/hawthornkeel/src/forward/access.rs
+++ b/hawthornkeel/src/forward/access.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hawthornkeel_core::table::gate;
-use hawthornkeel_core::table::gate::Claim;
-use hawthornkeel_core::table::gate::Confirmed;
-use hawthornkeel_core::table::gate::Denied;
+use hawthornkeel_core::table::access;
+use hawthornkeel_core::table::access::AccessRequest;
+use hawthornkeel_core::table::access::Denied;
+use hawthornkeel_core::table::access::Freshness;
 use hawthornkeel_platform::fields;
 use http::header::AUTHORIZATION;
 use http::header::HOST;
@@ -38,9 +38,9 @@
     let age = context.watch.age().ok_or_else(not_ready)?;
     let key_age =
         Duration::from_millis(context.settings.forward.confirm_ms).mul_f64(KEY_AGE_FRACTION);
-    let freshness = Confirmed { age, keys: key_age, denials: MAX_DENIAL_AGE };
+    let freshness = Freshness { age, max_key_age: key_age, max_denial_age: MAX_DENIAL_AGE };
     let admitted =
-        gate::admit(&table, &access_request(&request.head), freshness).map_err(|denied| {
+        access::authorize(&table, &access_request(&request.head), freshness).map_err(|denied| {
             let (id, version) = (request.head.header(fields::REQUEST_ID), table.version);
             tracing::info!(
                 event = "request-denied",
@@ -58,8 +58,8 @@
     IncomingRequest::new(request, admitted, Rc::clone(&table)).ok_or_else(not_ready)
 }
 
-fn access_request(head: &Head) -> Claim<'_> {
-    Claim {
+fn access_request(head: &Head) -> AccessRequest<'_> {
+    AccessRequest {
         host: head.header(HOST.as_str()).unwrap_or_default(),
         path: &head.path,
         key: head.header(AUTHORIZATION.as_str()).and_then(fields::key),
--- a/hawthornkeel/src/forward/context.rs
+++ b/hawthornkeel/src/forward/context.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use hawthornkeel_config::settings::Settings;
-use hawthornkeel_core::fleet::Present;
+use hawthornkeel_core::fleet::ServingEntry;
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::names::PoolName;
-use hawthornkeel_core::place::board::Board;
-use hawthornkeel_core::place::repeats::Budget;
-use hawthornkeel_core::place::repeats::Repeats;
-use hawthornkeel_core::stages::job::DeskName;
+use hawthornkeel_core::placement::balancer::Balancer;
+use hawthornkeel_core::placement::retries::RetryBucket;
+use hawthornkeel_core::placement::retries::RetryBudget;
+use hawthornkeel_core::stages::job::SchedulerName;
 use hawthornkeel_core::table::RouteTable;
 use hawthornkeel_platform::fields;
 use indexmap::IndexMap;
@@ -44,7 +44,7 @@
     /// HTTP client with the connections to targets.
     pub http_client: HttpClient,
     /// Load balancer over the targets.
-    pub balancer: RefCell<Board>,
+    pub balancer: RefCell<Balancer>,
     /// Route table in force, `None` before the first document.
     pub table: RefCell<Option<Rc<RouteTable>>>,
     /// Entries that serve callers.
@@ -53,7 +53,7 @@
     pub stopping: Cell<bool>,
     /// Number of requests in progress.
     pub in_flight: Cell<usize>,
-    retry_buckets: RefCell<IndexMap<PoolName, Repeats>>,
+    retry_buckets: RefCell<IndexMap<PoolName, RetryBucket>>,
     latencies: RefCell<IndexMap<PoolName, f64>>,
 }
 
@@ -61,9 +61,9 @@
 #[derive(Debug, Default)]
 pub struct ServingEntries {
     /// Entries in order of their names.
-    pub entries: Vec<Present>,
+    pub entries: Vec<ServingEntry>,
     /// Time of the last report about each entry.
-    last_reports: IndexMap<InstanceName, (hawthornkeel_core::time::Instant, Present)>,
+    last_reports: IndexMap<InstanceName, (hawthornkeel_core::time::Instant, ServingEntry)>,
     /// Highest recent number of entries and the time at which it was seen.
     peak: Option<(usize, hawthornkeel_core::time::Instant)>,
 }
@@ -73,13 +73,14 @@
     ///
     /// An entry missing from the report is kept for a while, as another control instance may still
     /// report it.
-    pub fn merge(&mut self, entries: Vec<Present>) -> bool {
+    pub fn merge(&mut self, entries: Vec<ServingEntry>) -> bool {
         let now = boot_now();
         for entry in entries {
             self.last_reports.insert(entry.name.clone(), (now, entry));
         }
         self.last_reports.retain(|_, (at, _)| now.since(*at) < ENTRY_TTL);
-        let mut known: Vec<Present> = self.last_reports.values().map(|(_, e)| e.clone()).collect();
+        let mut known: Vec<ServingEntry> =
+            self.last_reports.values().map(|(_, e)| e.clone()).collect();
         known.sort();
         let count = known.len();
         let outdated = |(peak, at)| count >= peak || now.since(at) > PEAK_WINDOW;
@@ -129,9 +130,9 @@
     /// schedulers move when an entry joins or leaves. Entries in the scheduler's data centre come
     /// first. Entries that have just started come last, as two schedulers call the same targets
     /// for a while whenever ownership moves.
-    pub fn owners(&self, scheduler: &DeskName) -> Vec<InstanceName> {
+    pub fn owners(&self, scheduler: &SchedulerName) -> Vec<InstanceName> {
         let serving = self.serving_entries.borrow();
-        let rank = |p: &Present| {
+        let rank = |p: &ServingEntry| {
             let text = format!("{scheduler}/{}", p.name);
             let far = scheduler.centre.as_ref().is_some_and(|c| p.centre != *c);
             (far, !p.settled, xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
@@ -149,7 +150,7 @@
             .borrow_mut()
             .entry(pool.clone())
             .or_default()
-            .count(&budget, entry_count);
+            .record_request(&budget, entry_count);
     }
 
     /// Takes one retry from the budget of a pool; returns whether one was left.
@@ -158,16 +159,16 @@
             (self.retry_budget(), self.serving_entries.borrow().peak_count());
         let mut buckets = self.retry_buckets.borrow_mut();
         let granted =
-            buckets.entry(pool.clone()).or_default().take(boot_now(), &budget, entry_count);
+            buckets.entry(pool.clone()).or_default().try_take(boot_now(), &budget, entry_count);
         if !granted {
             tracing::info!(event = "repeat-refused", %pool, entries = entry_count);
         }
         granted
     }
 
-    fn retry_budget(&self) -> Budget {
+    fn retry_budget(&self) -> RetryBudget {
         let forward = &self.settings.forward;
-        Budget {
+        RetryBudget {
             ratio: forward.retry_ratio,
             slack: forward.retry_slack,
             window: Duration::from_secs_f64(forward.retry_window_s.max(0.001)),
--- a/hawthornkeel/src/forward/discovery_client.rs
+++ b/hawthornkeel/src/forward/discovery_client.rs
@@ -8,8 +8,8 @@
 
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::names::PoolName;
-use hawthornkeel_core::table::pool::Pieces;
-use hawthornkeel_core::table::pool::Work;
+use hawthornkeel_core::table::pool::StageWorkload;
+use hawthornkeel_core::table::pool::Workload;
 use hawthornkeel_platform::document;
 
 use crate::clock::boot_now;
@@ -125,7 +125,7 @@
 
 /// Applies the document in the published state to this entry.
 fn apply_document(context: &Context, schedulers: &Schedulers) {
-    context.balancer.borrow_mut().set_out(boot_now(), context.watch.taken_out());
+    context.balancer.borrow_mut().set_taken_out(boot_now(), context.watch.taken_out());
     let Some(published) = context.watch.current() else { return };
     let current = context.table.borrow().as_ref().map(|t| t.version);
     if published.text.is_empty() || current == Some(published.version) {
@@ -135,13 +135,15 @@
         Ok(table) => {
             let (version, routes) = (table.version, table.len());
             tracing::info!(event = "routes-in-force", %version, routes);
-            let stage_workload = |work: &Work| match work {
-                Work::Pieces(workload) => Some(*workload),
-                Work::Plain | Work::Engine(_) => None,
+            let stage_workload = |work: &Workload| match work {
+                Workload::Stages(workload) => Some(*workload),
+                Workload::Requests | Workload::Engine(_) => None,
             };
-            let pools =
-                table.pools.iter().filter_map(|(n, p)| Some((n.clone(), stage_workload(&p.work)?)));
-            let pools: Vec<(PoolName, Pieces)> = pools.collect();
+            let pools = table
+                .pools
+                .iter()
+                .filter_map(|(n, p)| Some((n.clone(), stage_workload(&p.workload)?)));
+            let pools: Vec<(PoolName, StageWorkload)> = pools.collect();
             *context.table.borrow_mut() = Some(Rc::new(table));
             schedulers.set_pools(pools);
         }
--- a/hawthornkeel/src/forward/discovery_server.rs
+++ b/hawthornkeel/src/forward/discovery_server.rs
@@ -11,8 +11,8 @@
 use std::time::Instant;
 
 use hawthornkeel_config::settings::Settings;
-use hawthornkeel_core::fleet::Listing;
-use hawthornkeel_core::fleet::Present;
+use hawthornkeel_core::fleet::ServingEntry;
+use hawthornkeel_core::fleet::TargetList;
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_platform::listing;
@@ -63,7 +63,7 @@
     http_client: HttpClient,
     list_address: SocketAddr,
     poll_interval: Duration,
-    target_list: RefCell<Listing>,
+    target_list: RefCell<TargetList>,
     list_time: Cell<Option<Instant>>,
     entries: RefCell<IndexMap<InstanceName, EntryRecord>>,
     changed: Signal,
@@ -211,7 +211,7 @@
         let entries = self.inner.entries.borrow();
         // After its own start this instance can't tell old entries from new ones.
         let just_started = self.inner.started.elapsed() < SETTLE_TIME * 2;
-        let serving = |(name, record): (&InstanceName, &EntryRecord)| Present {
+        let serving = |(name, record): (&InstanceName, &EntryRecord)| ServingEntry {
             name: name.clone(),
             centre: record.centre.clone(),
             settled: just_started || record.first_heartbeat.elapsed() > SETTLE_TIME,
@@ -313,7 +313,7 @@
         tracing::warn!(event = "list-unread", cause, age_ms = age);
     }
 
-    fn set_target_list(&self, list: Listing) {
+    fn set_target_list(&self, list: TargetList) {
         let known = self.inner.list_time.get().is_some();
         if known && self.inner.target_list.borrow().mark == list.mark {
             // Only the times of cold targets have changed.
@@ -330,7 +330,7 @@
 }
 
 /// Returns the entries in an order that is the same on all control instances.
-fn sorted(mut entries: Vec<Present>) -> Vec<Present> {
+fn sorted(mut entries: Vec<ServingEntry>) -> Vec<ServingEntry> {
     entries.sort();
     entries
 }
--- a/hawthornkeel/src/forward/handler.rs
+++ b/hawthornkeel/src/forward/handler.rs
@@ -7,11 +7,11 @@
 
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::TargetName;
-use hawthornkeel_core::place::board::Ask;
-use hawthornkeel_core::place::board::Chosen;
-use hawthornkeel_core::place::board::NoTarget;
-use hawthornkeel_core::place::health::Ended;
-use hawthornkeel_core::request::refusal::Ran;
+use hawthornkeel_core::placement::balancer::ChosenTarget;
+use hawthornkeel_core::placement::balancer::NoTarget;
+use hawthornkeel_core::placement::balancer::TargetQuery;
+use hawthornkeel_core::placement::health::TargetOutcome;
+use hawthornkeel_core::request::refusal::RunStatus;
 use hawthornkeel_core::stages::job::Handle;
 use hawthornkeel_core::table::route::RouteKind;
 
@@ -111,7 +111,7 @@
         &self,
         context: &Context,
         request: &IncomingRequest,
-    ) -> Result<Chosen, NoTarget> {
+    ) -> Result<ChosenTarget, NoTarget> {
         let entry_count = context.serving_entries.borrow().peak_count();
         let centre = preferred_centre(context, request);
         let query = target_query(request, centre.as_ref(), &self.tried, entry_count);
@@ -146,7 +146,7 @@
 pub fn likely_centre(context: &Context, request: &IncomingRequest) -> Option<CentreName> {
     let centre = preferred_centre(context, request);
     let query = target_query(request, centre.as_ref(), &[], 1);
-    context.balancer.borrow_mut().centre(boot_now(), &query)
+    context.balancer.borrow_mut().likely_centre(boot_now(), &query)
 }
 
 fn target_query<'a>(
@@ -154,9 +154,9 @@
     centre: Option<&'a CentreName>,
     tried: &'a [TargetName],
     entry_count: usize,
-) -> Ask<'a> {
+) -> TargetQuery<'a> {
     let IncomingRequest { pool, session, .. } = request;
-    Ask {
+    TargetQuery {
         pool: &pool.name,
         session: *session,
         centre,
@@ -169,7 +169,7 @@
 /// Returns the data centre whose targets are preferred: this entry's own, unless the route uses
 /// session affinity.
 fn preferred_centre(context: &Context, request: &IncomingRequest) -> Option<CentreName> {
-    (!request.route.affine).then(|| context.centre().clone())
+    (!request.route.session_affinity).then(|| context.centre().clone())
 }
 
 impl Handler for ForwardHandler {
@@ -186,7 +186,7 @@
             response = work => response,
             // The caller has disconnected; dropping `work` cancels what is running.
             () = disconnected.wait() => {
-                problem_response(Problem::new(Code::Internal, Ran::Unknown))
+                problem_response(Problem::new(Code::Internal, RunStatus::Unknown))
             }
         }
     }
@@ -275,7 +275,7 @@
         request: &IncomingRequest,
         progress: &mut RequestProgress,
     ) -> ForwardOutcome {
-        let mut ran = Ran::NotRun;
+        let mut ran = RunStatus::NotRun;
         let mut failed = None;
         let mut reached = progress.possible_runs > 0;
         loop {
@@ -311,19 +311,19 @@
                 AttemptOutcome::Unreached => {}
                 AttemptOutcome::NotRun => reached = true,
                 AttemptOutcome::Failed(response) => {
-                    ran = Ran::Unknown;
+                    ran = RunStatus::Unknown;
                     reached = true;
                     progress.possible_runs += 1;
-                    if !request.route.kind.may_repeat() {
+                    if !request.route.kind.is_retryable() {
                         return ForwardOutcome::Response(response, target);
                     }
                     failed = Some((response, target));
                 }
                 AttemptOutcome::Lost => {
-                    ran = Ran::Unknown;
+                    ran = RunStatus::Unknown;
                     reached = true;
                     progress.possible_runs += 1;
-                    if !request.route.kind.may_repeat() {
+                    if !request.route.kind.is_retryable() {
                         return exhausted(ran, None);
                     }
                 }
@@ -333,7 +333,7 @@
 
     /// Takes one retry from the budget; returns whether the request may be sent again.
     fn may_retry(&self, request: &IncomingRequest, progress: &RequestProgress) -> bool {
-        progress.possible_runs < request.route.attempts
+        progress.possible_runs < request.route.max_attempts
             && self.context.try_retry(&request.pool.name)
     }
 
@@ -342,7 +342,7 @@
         &self,
         request: &IncomingRequest,
         progress: &RequestProgress,
-    ) -> Result<Chosen, NoTarget> {
+    ) -> Result<ChosenTarget, NoTarget> {
         let limit = request.started + request.route.objective / COLD_WAIT_DIVISOR;
         loop {
             match progress.choose_target(&self.context, request) {
@@ -358,7 +358,7 @@
     /// Returns the time until which to wait for a response before the request is retried.
     fn response_deadline(&self, request: &IncomingRequest, possible_runs: u32) -> Instant {
         let retryable =
-            request.route.kind.may_repeat() && possible_runs + 1 < request.route.attempts;
+            request.route.kind.is_retryable() && possible_runs + 1 < request.route.max_attempts;
         if !retryable {
             return request.deadline;
         }
@@ -371,19 +371,25 @@
     fn record_attempt(
         &self,
         request: &IncomingRequest,
-        target: &Chosen,
+        target: &ChosenTarget,
         result: Result<TargetResponse, ExchangeError>,
     ) -> AttemptOutcome {
         let (outcome, target_outcome) = match result {
             Ok(response) => classify_response(response),
-            Err(error) if error.is_not_run() => (AttemptOutcome::Unreached, Some(Ended::Unreached)),
+            Err(error) if error.is_not_run() => {
+                (AttemptOutcome::Unreached, Some(TargetOutcome::Unreached))
+            }
             Err(ExchangeError::TimedOut) if Instant::now() >= request.deadline => {
-                (AttemptOutcome::Lost, Some(Ended::GivenUp))
+                (AttemptOutcome::Lost, Some(TargetOutcome::Abandoned))
             }
-            Err(_) => (AttemptOutcome::Lost, Some(Ended::Badly)),
+            Err(_) => (AttemptOutcome::Lost, Some(TargetOutcome::Failed)),
         };
         if let Some(target_outcome) = target_outcome {
-            self.context.balancer.borrow_mut().ended(boot_now(), &target.name, target_outcome);
+            self.context.balancer.borrow_mut().record_outcome(
+                boot_now(),
+                &target.name,
+                target_outcome,
+            );
         }
         outcome
     }
@@ -396,7 +402,7 @@
         disconnected: Signal,
         guard: InFlightGuard,
         response: Box<TargetResponse>,
-        target: Chosen,
+        target: ChosenTarget,
     ) -> Response {
         let status = response.status;
         progress.response_began = request.started.elapsed();
@@ -424,17 +430,21 @@
         request: &IncomingRequest,
         mut progress: RequestProgress,
         mut response: TargetResponse,
-        mut target: Chosen,
+        mut target: ChosenTarget,
     ) -> Response {
         let mut deadline = self.response_deadline(request, 0);
         loop {
             let status = response.status;
             let body = response.read_to_end(deadline).await;
             let target_outcome = match &body {
-                Ok(_) if !status.is_server_error() => Ended::Well,
-                _ => Ended::Badly,
+                Ok(_) if !status.is_server_error() => TargetOutcome::Succeeded,
+                _ => TargetOutcome::Failed,
             };
-            self.context.balancer.borrow_mut().ended(boot_now(), &target.name, target_outcome);
+            self.context.balancer.borrow_mut().record_outcome(
+                boot_now(),
+                &target.name,
+                target_outcome,
+            );
             match body {
                 Ok(body) => {
                     let headers = forwarded_headers(&response.headers);
@@ -455,7 +465,7 @@
             match self.retry(request, &mut progress).await {
                 Some((next, next_target)) => (response, target) = (*next, next_target),
                 None => {
-                    let problem = Problem::new(Code::StageFailed, Ran::Unknown);
+                    let problem = Problem::new(Code::StageFailed, RunStatus::Unknown);
                     progress.log_end(request, "answer-lost", problem.code.status().as_u16());
                     return problem_response(problem);
                 }
@@ -469,9 +479,9 @@
         &self,
         request: &IncomingRequest,
         progress: &mut RequestProgress,
-    ) -> Option<(Box<TargetResponse>, Chosen)> {
+    ) -> Option<(Box<TargetResponse>, ChosenTarget)> {
         progress.possible_runs += 1;
-        if !request.route.kind.may_repeat() || !self.may_retry(request, progress) {
+        if !request.route.kind.is_retryable() || !self.may_retry(request, progress) {
             return None;
         }
         match self.forward(request, progress).await {
--- a/hawthornkeel/src/forward/outcome.rs
+++ b/hawthornkeel/src/forward/outcome.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hawthornkeel_core::place::board::Chosen;
-use hawthornkeel_core::place::health::Ended;
-use hawthornkeel_core::request::refusal::Ran;
+use hawthornkeel_core::placement::balancer::ChosenTarget;
+use hawthornkeel_core::placement::health::TargetOutcome;
+use hawthornkeel_core::request::refusal::RunStatus;
 use hawthornkeel_platform::fields;
 use http::HeaderMap;
 use http::HeaderValue;
@@ -28,7 +28,7 @@
 /// Outcome of forwarding a request, retries included.
 pub(super) enum ForwardOutcome {
     /// Response of a target to return to the caller.
-    Response(Box<TargetResponse>, Chosen),
+    Response(Box<TargetResponse>, ChosenTarget),
     /// Stage results that the request needs are no longer available; it did not run.
     ResultsGone,
     /// No target is left to try.
@@ -65,25 +65,32 @@
 }
 
 /// Classifies a response by its head; the target outcome is `None` if it depends on the body.
-pub(super) fn classify_response(response: TargetResponse) -> (AttemptOutcome, Option<Ended>) {
+pub(super) fn classify_response(
+    response: TargetResponse,
+) -> (AttemptOutcome, Option<TargetOutcome>) {
     let status = response.status;
     let not_run = response.headers.contains_key(fields::NOT_RUN);
     match status {
-        StatusCode::MISDIRECTED_REQUEST => (AttemptOutcome::NotRun, Some(Ended::Unreached)),
-        StatusCode::CONFLICT if not_run => (AttemptOutcome::ResultsGone, Some(Ended::GivenUp)),
-        _ if not_run => (AttemptOutcome::NotRun, Some(Ended::Refused)),
+        StatusCode::MISDIRECTED_REQUEST => (AttemptOutcome::NotRun, Some(TargetOutcome::Unreached)),
+        StatusCode::CONFLICT if not_run => {
+            (AttemptOutcome::ResultsGone, Some(TargetOutcome::Abandoned))
+        }
+        _ if not_run => (AttemptOutcome::NotRun, Some(TargetOutcome::Refused)),
         _ if status.is_server_error() => (AttemptOutcome::Failed(Box::new(response)), None),
         _ => (AttemptOutcome::Responded(Box::new(response)), None),
     }
 }
 
 /// Returns the outcome of a request for which no target is left to try.
-pub(super) fn exhausted(ran: Ran, failed: Option<(Box<TargetResponse>, Chosen)>) -> ForwardOutcome {
+pub(super) fn exhausted(
+    ran: RunStatus,
+    failed: Option<(Box<TargetResponse>, ChosenTarget)>,
+) -> ForwardOutcome {
     if let Some((response, target)) = failed {
         return ForwardOutcome::Response(response, target);
     }
     ForwardOutcome::Exhausted(match ran {
-        Ran::NotRun => Problem::not_run(Code::NoTarget).with_retry_after(DEFAULT_RETRY_AFTER),
+        RunStatus::NotRun => Problem::not_run(Code::NoTarget).with_retry_after(DEFAULT_RETRY_AFTER),
         ran => Problem::new(Code::OutcomeUnknown, ran),
     })
 }
--- a/hawthornkeel/src/forward/plan.rs
+++ b/hawthornkeel/src/forward/plan.rs
@@ -6,16 +6,16 @@
 
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::PoolName;
-use hawthornkeel_core::stages::admission::Pace;
-use hawthornkeel_core::stages::admission::Step;
+use hawthornkeel_core::stages::admission::StageTiming;
+use hawthornkeel_core::stages::admission::Timeliness;
 use hawthornkeel_core::stages::admission::Times;
-use hawthornkeel_core::stages::job::Booking;
-use hawthornkeel_core::stages::job::DeskName;
 use hawthornkeel_core::stages::job::Handle;
 use hawthornkeel_core::stages::job::Job;
 use hawthornkeel_core::stages::job::JobId;
-use hawthornkeel_core::stages::job::Near;
-use hawthornkeel_core::table::pool::Work;
+use hawthornkeel_core::stages::job::Locality;
+use hawthornkeel_core::stages::job::Reservation;
+use hawthornkeel_core::stages::job::SchedulerName;
+use hawthornkeel_core::table::pool::Workload;
 use hawthornkeel_core::table::route::Stage;
 use hawthornkeel_platform::fields;
 use hawthornkeel_platform::pieces;
@@ -46,7 +46,7 @@
     /// Time from the arrival of the request until its response begins.
     pub until_response: Duration,
     /// Whether the request can meet its objective.
-    pub timeliness: Pace,
+    pub timeliness: Timeliness,
 }
 
 /// Execution plan of one request.
@@ -63,7 +63,7 @@
     /// Data centre in which its stages run, for pools that are partitioned by data centre.
     pub(super) stage_centre: Option<CentreName>,
     /// Whether the request can still meet its objective.
-    pub(super) timeliness: Pace,
+    pub(super) timeliness: Timeliness,
     pub(super) estimate: Option<ResponseEstimate>,
 }
 
@@ -77,10 +77,13 @@
         let stages = request.route.stages.len();
         let piece_counts =
             (0..stages).map(|index| pieces.get(index).copied().unwrap_or(0)).collect();
-        let final_stages = request.route.last_stages();
+        let final_stages = request.route.final_stages();
         let likely_centre = crate::forward::handler::likely_centre(context, request);
-        let timeliness =
-            if request.first_attempt_slack.is_zero() { Pace::Late } else { Pace::Prompt };
+        let timeliness = if request.first_attempt_slack.is_zero() {
+            Timeliness::Late
+        } else {
+            Timeliness::OnTime
+        };
         let stage_centre = likely_centre.clone();
         Self {
             context,
@@ -151,7 +154,7 @@
             self.nonempty_stages().filter_map(|index| Some(&self.stage(index)?.pool)).collect();
         let balancer = self.context.balancer.borrow();
         let first = self.likely_centre.clone();
-        let alternative = balancer.other_centre(&pools, first.as_ref(), &self.request.id);
+        let alternative = balancer.alternative_centre(&pools, first.as_ref(), &self.request.id);
         let mut centres = vec![first];
         centres.extend(alternative.map(Some));
         if centres.len() > 1
@@ -163,15 +166,23 @@
     }
 
     /// Returns the scheduler that runs a stage.
-    pub(super) fn scheduler(&self, index: u16) -> Option<DeskName> {
+    pub(super) fn scheduler(&self, index: u16) -> Option<SchedulerName> {
         let balancer = self.context.balancer.borrow();
-        Some(balancer.desk(&self.stage(index)?.pool, self.stage_centre.as_ref(), &self.request.id))
+        Some(balancer.scheduler_for(
+            &self.stage(index)?.pool,
+            self.stage_centre.as_ref(),
+            &self.request.id,
+        ))
     }
 
-    pub(super) fn stage_timings(&self) -> Vec<Step> {
+    pub(super) fn stage_timings(&self) -> Vec<StageTiming> {
         let after = |index: u16| self.stage(index).map(|s| s.after.clone()).unwrap_or_default();
         self.nonempty_stages()
-            .map(|index| Step { at: index, after: after(index), usual: self.shared_time(index) })
+            .map(|index| StageTiming {
+                stage: index,
+                after: after(index),
+                expected: self.shared_time(index),
+            })
             .collect()
     }
 
@@ -185,12 +196,12 @@
         }
     }
 
-    pub(super) fn reservation(&self, index: u16) -> Booking {
+    pub(super) fn reservation(&self, index: u16) -> Reservation {
         let due = self.request.objective_deadline.saturating_duration_since(Instant::now());
-        Booking {
+        Reservation {
             id: self.job_id(index),
             pieces: self.piece_count(index),
-            priority: self.timeliness.rank(self.request.priority),
+            priority: self.timeliness.priority(self.request.priority),
             due_ms: millis(due.saturating_sub(self.time_after(index))),
         }
     }
@@ -218,11 +229,11 @@
         Job {
             id: self.job_id(index),
             pieces: self.piece_count(index),
-            priority: self.timeliness.rank(self.request.priority),
+            priority: self.timeliness.priority(self.request.priority),
             key: after.is_empty().then(|| Arc::from(key)),
             near: self.locality(index, &inputs, due_ms),
             inputs: Arc::from(inputs),
-            bytes: stage.map_or(0, |s| s.bytes),
+            bytes: stage.map_or(0, |s| s.result_bytes),
             due_ms,
             end_ms: until_ms(self.request.deadline),
         }
@@ -230,26 +241,27 @@
 
     /// Returns the data centre that a stage prefers: that of its large inputs, or that of the
     /// consumer of its large results.
-    fn locality(&self, index: u16, inputs: &[Handle], due_ms: u64) -> Option<Near> {
+    fn locality(&self, index: u16, inputs: &[Handle], due_ms: u64) -> Option<Locality> {
         if self.scheduler(index)?.centre.is_some() {
             return None;
         }
         let stage = self.stage(index)?;
-        let size =
-            |a: &u16| self.stage(*a).map_or(0, |s| s.bytes) * u64::from(self.piece_count(*a));
+        let size = |a: &u16| {
+            self.stage(*a).map_or(0, |s| s.result_bytes) * u64::from(self.piece_count(*a))
+        };
         let input_bytes: u64 =
             stage.after.iter().map(size).sum::<u64>() * u64::from(self.piece_count(index));
-        let result_bytes = stage.bytes * u64::from(self.piece_count(index));
+        let result_bytes = stage.result_bytes * u64::from(self.piece_count(index));
         let slack = due_ms.saturating_sub(millis(self.exclusive_time(index)));
         if input_bytes >= LOCALITY_BYTES {
             let balancer = self.context.balancer.borrow();
             let holder = inputs.iter().find_map(|i| pieces::keeper(i))?;
             let centre = balancer.centre_at(holder)?.clone();
-            return Some(Near { centre, wait_ms: slack / INPUT_WAIT_DIVISOR });
+            return Some(Locality { centre, wait_ms: slack / INPUT_WAIT_DIVISOR });
         }
         let prefers_consumer = result_bytes >= LOCALITY_BYTES && self.final_stages.contains(&index);
         let centre = self.likely_centre.clone().filter(|_| prefers_consumer)?;
-        Some(Near { centre, wait_ms: slack / RESULT_WAIT_DIVISOR })
+        Some(Locality { centre, wait_ms: slack / RESULT_WAIT_DIVISOR })
     }
 
     /// Returns the expected time from the end of a stage until the response begins.
@@ -276,8 +288,10 @@
     /// Returns the time of a stage in calls of its own.
     fn exclusive_time(&self, index: u16) -> Duration {
         let pool = self.stage(index).and_then(|s| self.request.table.pools.get(&s.pool));
-        match pool.map(|p| &p.work) {
-            Some(Work::Pieces(pieces)) => pieces.overhead + pieces.item * self.piece_count(index),
+        match pool.map(|p| &p.workload) {
+            Some(Workload::Stages(workload)) => {
+                workload.call_overhead + workload.piece_time * self.piece_count(index)
+            }
             _ => DEFAULT_STAGE_TIME,
         }
     }
--- a/hawthornkeel/src/forward/relay.rs
+++ b/hawthornkeel/src/forward/relay.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use bytes::BytesMut;
 use hawthornkeel_core::names::TargetName;
-use hawthornkeel_core::place::board::Chosen;
-use hawthornkeel_core::place::health::Ended;
+use hawthornkeel_core::placement::balancer::ChosenTarget;
+use hawthornkeel_core::placement::health::TargetOutcome;
 use hawthornkeel_core::table::route::RouteKind;
 use hawthornkeel_platform::fields;
 
@@ -76,17 +76,17 @@
 
 impl StreamRelay {
     /// Relays the stream to its end.
-    pub async fn run(mut self, first: TargetResponse, target: Chosen, sender: Sender) {
+    pub async fn run(mut self, first: TargetResponse, target: ChosenTarget, sender: Sender) {
         let mut events = EventBuffer::default();
         let (mut response, mut target) = (first, target);
         loop {
             let end = self.forward_events(&mut response, &mut events, &sender).await;
             let outcome = match &end {
-                StreamEnd::Complete => Ended::Well,
-                StreamEnd::Disconnected | StreamEnd::DeadlinePassed => Ended::GivenUp,
-                StreamEnd::Failed(_) => Ended::Badly,
+                StreamEnd::Complete => TargetOutcome::Succeeded,
+                StreamEnd::Disconnected | StreamEnd::DeadlinePassed => TargetOutcome::Abandoned,
+                StreamEnd::Failed(_) => TargetOutcome::Failed,
             };
-            self.context.balancer.borrow_mut().ended(boot_now(), &target.name, outcome);
+            self.context.balancer.borrow_mut().record_outcome(boot_now(), &target.name, outcome);
             match end {
                 StreamEnd::Complete => {
                     response.finish();
@@ -167,7 +167,7 @@
         &mut self,
         failed: &TargetName,
         last: Option<&str>,
-    ) -> Option<(TargetResponse, Chosen)> {
+    ) -> Option<(TargetResponse, ChosenTarget)> {
         if !self.is_resumable() {
             return None;
         }
@@ -177,7 +177,7 @@
         self.progress.possible_runs += 1;
         let last = last.or_else(|| self.request.head.header(fields::LAST_EVENT)).map(str::to_owned);
         loop {
-            let max_attempts = self.request.route.attempts;
+            let max_attempts = self.request.route.max_attempts;
             let allowed = self.progress.possible_runs < max_attempts
                 && self.request.time_left() > EVENT_TIMEOUT;
             if !allowed || !self.context.try_retry(&self.request.pool.name) {
@@ -203,14 +203,14 @@
                     );
                     return Some((response, target));
                 }
-                Ok(_) => Ended::Refused,
-                Err(error) if error.is_not_run() => Ended::Unreached,
+                Ok(_) => TargetOutcome::Refused,
+                Err(error) if error.is_not_run() => TargetOutcome::Unreached,
                 Err(_) => {
                     self.progress.possible_runs += 1;
-                    Ended::Badly
+                    TargetOutcome::Failed
                 }
             };
-            self.context.balancer.borrow_mut().ended(boot_now(), &target.name, outcome);
+            self.context.balancer.borrow_mut().record_outcome(boot_now(), &target.name, outcome);
             self.progress.tried.push(target.name);
         }
     }
--- a/hawthornkeel/src/forward/request.rs
+++ b/hawthornkeel/src/forward/request.rs
@@ -8,11 +8,11 @@
 use bytes::Bytes;
 use bytes::BytesMut;
 use hawthornkeel_core::names::WorkspaceName;
-use hawthornkeel_core::place::board::Chosen;
-use hawthornkeel_core::stages::admission::fresh_for;
+use hawthornkeel_core::placement::balancer::ChosenTarget;
+use hawthornkeel_core::stages::admission::first_attempt_slack;
 use hawthornkeel_core::stages::job::Handle;
 use hawthornkeel_core::table::RouteTable;
-use hawthornkeel_core::table::gate::Pass;
+use hawthornkeel_core::table::access::Admitted;
 use hawthornkeel_core::table::pool::Pool;
 use hawthornkeel_core::table::route::Route;
 use hawthornkeel_platform::fields;
@@ -69,16 +69,16 @@
 
 impl IncomingRequest {
     /// Creates an admitted request, or returns `None` if its route has no known pool.
-    pub fn new(request: Request, admitted: Pass, table: Rc<RouteTable>) -> Option<Self> {
+    pub fn new(request: Request, admitted: Admitted, table: Rc<RouteTable>) -> Option<Self> {
         let started = Instant::now();
         let head = request.head;
         let id: Arc<str> = Arc::from(head.header(fields::REQUEST_ID).unwrap_or_default());
         let hash = xxhash_rust::xxh3::xxh3_64(id.as_bytes());
-        let pool = admitted.route.pool(hash).and_then(|p| table.pools.get(p)).cloned()?;
+        let pool = admitted.route.pick_pool(hash).and_then(|p| table.pools.get(p)).cloned()?;
         let requested = head.header(fields::DEADLINE).and_then(|d| d.trim().parse::<f64>().ok());
         let requested = requested.and_then(|d| Duration::try_from_secs_f64(d / 1_000.0).ok());
         let timeout = admitted.route.timeout;
-        let first_attempt_slack = fresh_for(timeout, requested.unwrap_or(timeout));
+        let first_attempt_slack = first_attempt_slack(timeout, requested.unwrap_or(timeout));
         let deadline = started + requested.unwrap_or(timeout).min(timeout);
         let objective_deadline = deadline.min(started + admitted.route.objective);
         let session = session_key(&head).unwrap_or(hash);
@@ -89,7 +89,7 @@
             pool,
             table,
             workspace: admitted.workspace,
-            priority: admitted.rank,
+            priority: admitted.priority,
             session,
             started,
             objective_deadline,
@@ -112,7 +112,7 @@
     /// Encodes the request for `target`; a stream resumes after the event `last_event`, if given.
     pub fn encode_for(
         &self,
-        target: &Chosen,
+        target: &ChosenTarget,
         results: &[Handle],
         last_event: Option<&str>,
     ) -> OutgoingRequest {
@@ -149,14 +149,14 @@
             data: out.freeze(),
             id: (!self.id.is_empty()).then(|| Bytes::copy_from_slice(self.id.as_bytes())),
             bodiless: method == Method::HEAD,
-            retryable: self.route.kind.may_repeat(),
+            retryable: self.route.kind.is_retryable(),
         }
     }
 
     /// Returns whether a header field of the caller is forwarded to targets.
     fn is_forwarded(&self, name: &HeaderName, last_event: Option<&str>) -> bool {
         if name == AUTHORIZATION {
-            return !self.table.keyed;
+            return !self.table.requires_key;
         }
         let replaced = last_event.is_some() && name == fields::LAST_EVENT;
         !replaced
--- a/hawthornkeel/src/forward/reservation.rs
+++ b/hawthornkeel/src/forward/reservation.rs
@@ -4,11 +4,11 @@
 use futures_util::stream::FuturesUnordered;
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::stages::admission::Outlook;
-use hawthornkeel_core::stages::admission::Pace;
-use hawthornkeel_core::stages::job::Booked;
-use hawthornkeel_core::stages::job::Booking;
-use hawthornkeel_core::stages::job::DeskName;
+use hawthornkeel_core::stages::admission::Timeliness;
 use hawthornkeel_core::stages::job::JobId;
+use hawthornkeel_core::stages::job::Reservation;
+use hawthornkeel_core::stages::job::ReservationEstimate;
+use hawthornkeel_core::stages::job::SchedulerName;
 use indexmap::IndexMap;
 
 use crate::forward::plan::Plan;
@@ -19,7 +19,7 @@
 /// Reservations for the stages of a request; unused ones are cancelled on drop.
 pub(super) struct Reservations {
     schedulers: Schedulers,
-    unused: Vec<(InstanceName, DeskName, JobId)>,
+    unused: Vec<(InstanceName, SchedulerName, JobId)>,
 }
 
 impl Reservations {
@@ -53,7 +53,7 @@
         let mut earliest = None;
         for centre in self.candidate_centres(schedulers) {
             self.stage_centre = centre;
-            if self.timeliness == Pace::Late {
+            if self.timeliness == Timeliness::Late {
                 break;
             }
             let (reservations, outlook) = self.reserve_stages(schedulers).await;
@@ -68,7 +68,7 @@
         if let Some((_, centre)) = earliest {
             self.stage_centre = centre;
         }
-        self.timeliness = Pace::Late;
+        self.timeliness = Timeliness::Late;
         let (reservations, outlook) = self.reserve_stages(schedulers).await;
         let times = self.times();
         tracing::debug!(event = "request-judged", request = %self.request.id, ?outlook, ?times);
@@ -76,7 +76,7 @@
             self.set_estimate(&outlook);
             return Ok(reservations);
         }
-        Err(StagesError::Rejected { retry_after: outlook.retry(self.timeliness, &times) })
+        Err(StagesError::Rejected { retry_after: outlook.retry_after(self.timeliness, &times) })
     }
 
     fn set_estimate(&mut self, outlook: &Outlook) {
@@ -86,7 +86,7 @@
 
     /// Reserves capacity for the stages in the current data centre and timeliness.
     async fn reserve_stages(&self, schedulers: &Schedulers) -> (Reservations, Outlook) {
-        let mut requests: IndexMap<DeskName, Vec<Booking>> = IndexMap::new();
+        let mut requests: IndexMap<SchedulerName, Vec<Reservation>> = IndexMap::new();
         for index in self.nonempty_stages() {
             if let Some(scheduler) = self.scheduler(index) {
                 requests.entry(scheduler).or_default().push(self.reservation(index));
@@ -100,7 +100,7 @@
             })
             .collect();
         let mut reserved = Reservations::new(schedulers);
-        let mut estimates: IndexMap<u16, Option<Booked>> = IndexMap::new();
+        let mut estimates: IndexMap<u16, Option<ReservationEstimate>> = IndexMap::new();
         while let Some((reply, scheduler, ids)) = pending.next().await {
             let Some((owner, replies)) = reply else { continue };
             for (id, estimate) in ids.into_iter().zip(replies) {
--- a/hawthornkeel/src/forward/schedulers/mod.rs
+++ b/hawthornkeel/src/forward/schedulers/mod.rs
@@ -16,17 +16,17 @@
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::names::PoolName;
-use hawthornkeel_core::stages::desk::Action;
-use hawthornkeel_core::stages::desk::Desk;
-use hawthornkeel_core::stages::desk::Input;
-use hawthornkeel_core::stages::desk::Summary;
-use hawthornkeel_core::stages::job::Booked;
-use hawthornkeel_core::stages::job::Booking;
-use hawthornkeel_core::stages::job::DeskName;
 use hawthornkeel_core::stages::job::Job;
 use hawthornkeel_core::stages::job::JobId;
 use hawthornkeel_core::stages::job::JobOutcome;
-use hawthornkeel_core::table::pool::Pieces;
+use hawthornkeel_core::stages::job::Reservation;
+use hawthornkeel_core::stages::job::ReservationEstimate;
+use hawthornkeel_core::stages::job::SchedulerName;
+use hawthornkeel_core::stages::scheduler::Action;
+use hawthornkeel_core::stages::scheduler::Input;
+use hawthornkeel_core::stages::scheduler::Scheduler;
+use hawthornkeel_core::stages::scheduler::Summary;
+use hawthornkeel_core::table::pool::StageWorkload;
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 
@@ -67,8 +67,8 @@
 
 struct Inner {
     context: Rc<Context>,
-    pools: RefCell<IndexMap<PoolName, Pieces>>,
-    schedulers: RefCell<IndexMap<DeskName, LocalScheduler>>,
+    pools: RefCell<IndexMap<PoolName, StageWorkload>>,
+    schedulers: RefCell<IndexMap<SchedulerName, LocalScheduler>>,
     /// Entries that did not respond to a call and are being probed.
     suspects: RefCell<IndexSet<InstanceName>>,
     input_arrived: Signal,
@@ -77,7 +77,7 @@
 
 /// Scheduler owned by this entry.
 struct LocalScheduler {
-    scheduler: Desk,
+    scheduler: Scheduler,
     waiters: IndexMap<JobId, Vec<oneshot::Sender<JobOutcome>>>,
 }
 
@@ -130,7 +130,7 @@
     }
 
     /// Replaces the pools that run stages.
-    pub fn set_pools(&self, pools: Vec<(PoolName, Pieces)>) {
+    pub fn set_pools(&self, pools: Vec<(PoolName, StageWorkload)>) {
         for (name, local) in self.inner.schedulers.borrow_mut().iter_mut() {
             if let Some((_, pieces)) = pools.iter().find(|(pool, _)| *pool == name.pool) {
                 local.scheduler.set_pool(*pieces);
@@ -141,10 +141,10 @@
 
     /// Updates the workers of all schedulers after a change of the targets.
     pub fn update_workers(&self) {
-        let names: Vec<DeskName> = self.inner.schedulers.borrow().keys().cloned().collect();
+        let names: Vec<SchedulerName> = self.inner.schedulers.borrow().keys().cloned().collect();
         for name in names {
-            let workers = self.inner.context.balancer.borrow().makers(&name);
-            self.handle_input(&name, Input::Makers(workers));
+            let workers = self.inner.context.balancer.borrow().workers(&name);
+            self.handle_input(&name, Input::Workers(workers));
         }
     }
 
@@ -162,7 +162,7 @@
     ///
     /// # Errors
     /// Returns the reason if the stage yields no results.
-    pub async fn run_job(&self, name: &DeskName, job: Job) -> Result<StageResults, JobError> {
+    pub async fn run_job(&self, name: &SchedulerName, job: Job) -> Result<StageResults, JobError> {
         let started = Instant::now();
         let mut last_error = JobError::Failed;
         for owner in self.candidates(name) {
@@ -191,9 +191,9 @@
     /// responds.
     pub async fn reserve(
         &self,
-        name: &DeskName,
-        reservations: Vec<Booking>,
-    ) -> Option<(InstanceName, Vec<Option<Booked>>)> {
+        name: &SchedulerName,
+        reservations: Vec<Reservation>,
+    ) -> Option<(InstanceName, Vec<Option<ReservationEstimate>>)> {
         let book = Book { desk: name.clone(), bookings: reservations };
         for owner in self.candidates(name) {
             let estimates = self.reserve_at(&owner, &book).await;
@@ -205,7 +205,11 @@
         None
     }
 
-    async fn reserve_at(&self, owner: &InstanceName, book: &Book) -> Option<Vec<Option<Booked>>> {
+    async fn reserve_at(
+        &self,
+        owner: &InstanceName,
+        book: &Book,
+    ) -> Option<Vec<Option<ReservationEstimate>>> {
         if owner == self.inner.context.endpoint.name() {
             return Some(self.apply_reservations(book));
         }
@@ -222,21 +226,21 @@
     }
 
     /// Cancels jobs or reservations on a scheduler of `owner`.
-    pub fn cancel(&self, owner: &InstanceName, name: &DeskName, jobs: Vec<JobId>) {
+    pub fn cancel(&self, owner: &InstanceName, name: &SchedulerName, jobs: Vec<JobId>) {
         self.send_dismiss(owner, Dismiss { desk: name.clone(), jobs, results: Vec::new() });
     }
 
-    fn apply_reservations(&self, book: &Book) -> Vec<Option<Booked>> {
+    fn apply_reservations(&self, book: &Book) -> Vec<Option<ReservationEstimate>> {
         if !self.ensure_open(&book.desk) {
             return Vec::new();
         }
         let mut schedulers = self.inner.schedulers.borrow_mut();
         let Some(local) = schedulers.get_mut(&book.desk) else { return Vec::new() };
-        book.bookings.iter().map(|b| local.scheduler.book(boot_now(), b)).collect()
+        book.bookings.iter().map(|b| local.scheduler.reserve(boot_now(), b)).collect()
     }
 
     /// Returns the candidate owners of a scheduler in the order to try, this entry included.
-    fn candidates(&self, name: &DeskName) -> Vec<InstanceName> {
+    fn candidates(&self, name: &SchedulerName) -> Vec<InstanceName> {
         let own = self.inner.context.endpoint.name();
         let suspects = self.inner.suspects.borrow();
         let mut owners = self.inner.context.owners(name);
@@ -270,7 +274,12 @@
     }
 
     /// Submits a job to an owner and waits for its outcome; `None` if the owner doesn't respond.
-    async fn submit(&self, owner: &InstanceName, name: &DeskName, job: Job) -> Option<JobOutcome> {
+    async fn submit(
+        &self,
+        owner: &InstanceName,
+        name: &SchedulerName,
+        job: Job,
+    ) -> Option<JobOutcome> {
         let id = job.id.clone();
         let mut pending = PendingJob {
             schedulers: self.clone(),
@@ -317,7 +326,7 @@
     }
 
     /// Returns whether a scheduler of this entry has a job, which it finishes even during a stop.
-    fn has_job(&self, name: &DeskName, job: &JobId) -> bool {
+    fn has_job(&self, name: &SchedulerName, job: &JobId) -> bool {
         self.inner.schedulers.borrow().get(name).is_some_and(|l| l.scheduler.knows(job))
     }
 
@@ -334,7 +343,7 @@
             waiters.retain(|w| !w.is_canceled());
             waiters.push(sender);
         }
-        self.handle_input(&name, Input::Offer(job));
+        self.handle_input(&name, Input::Submit(job));
         let wait = Duration::from_millis(wait_ms.into());
         match monoio::time::timeout(wait, outcome).await {
             Ok(Ok(outcome)) => outcome,
@@ -345,7 +354,7 @@
     /// Creates a scheduler if needed; returns whether it exists.
     ///
     /// None is created for a pool missing from the document or during a stop.
-    fn ensure_open(&self, name: &DeskName) -> bool {
+    fn ensure_open(&self, name: &SchedulerName) -> bool {
         if self.inner.context.stopping.get() {
             return false;
         }
@@ -354,10 +363,10 @@
         }
         let Some(pieces) = self.inner.pools.borrow().get(&name.pool).copied() else { return false };
         tracing::info!(event = "desk-opened", desk = %name);
-        let local = LocalScheduler { scheduler: Desk::new(pieces), waiters: IndexMap::new() };
+        let local = LocalScheduler { scheduler: Scheduler::new(pieces), waiters: IndexMap::new() };
         self.inner.schedulers.borrow_mut().insert(name.clone(), local);
-        let workers = self.inner.context.balancer.borrow().makers(name);
-        self.handle_input(name, Input::Makers(workers));
+        let workers = self.inner.context.balancer.borrow().workers(name);
+        self.handle_input(name, Input::Workers(workers));
         true
     }
 
@@ -378,7 +387,7 @@
             if let Some(local) = self.inner.schedulers.borrow_mut().get_mut(&name) {
                 local.waiters.swap_remove(&job);
             }
-            self.handle_input(&name, Input::Withdraw(job));
+            self.handle_input(&name, Input::Cancel(job));
         }
         if !results.is_empty() {
             self.handle_input(&name, Input::Release(results));
@@ -386,7 +395,7 @@
     }
 
     /// Passes an input to a scheduler and executes the resulting actions.
-    fn handle_input(&self, name: &DeskName, input: Input) {
+    fn handle_input(&self, name: &SchedulerName, input: Input) {
         let actions = match self.inner.schedulers.borrow_mut().get_mut(name) {
             Some(local) => local.scheduler.handle(boot_now(), input),
             None => return,
@@ -399,25 +408,22 @@
         }
     }
 
-    fn execute(&self, name: &DeskName, action: Action) {
+    fn execute(&self, name: &SchedulerName, action: Action) {
         match action {
-            Action::Run { call, maker, items, limit } => {
-                monoio::spawn(self.clone().run_batch(name.clone(), call, maker, items, limit));
+            Action::Run { call, worker, items, timeout } => {
+                monoio::spawn(self.clone().run_batch(name.clone(), call, worker, items, timeout));
             }
-            Action::Free { maker, results } => {
-                monoio::spawn(self.clone().free_results(maker, results));
+            Action::Free { worker, results } => {
+                monoio::spawn(self.clone().free_results(worker, results));
             }
-            Action::Answer { job, outcome } => {
+            Action::Reply { job, outcome } => {
                 let mut schedulers = self.inner.schedulers.borrow_mut();
                 let Some(local) = schedulers.get_mut(name) else { return };
                 let waiters = local.waiters.swap_remove(&job).unwrap_or_default();
                 if !matches!(outcome, JobOutcome::Done(_)) {
                     tracing::info!(
-                        event = "job-ended",
-                        desk = %name,
-                        request = %job.request,
-                        stage = job.stage,
-                        ?outcome,
+                        event = "job-ended", desk = %name, request = %job.request,
+                        stage = job.stage, ?outcome
                     );
                 }
                 for waiter in waiters {
@@ -436,20 +442,20 @@
                 if local.scheduler.is_idle() {
                     continue;
                 }
-                let Summary { jobs, waiting, late, booked, calls, makers, counted, free, held } =
-                    local.scheduler.summary();
-                tracing::info!(
-                    event = "desk-state",
-                    desk = %name,
+                let Summary {
                     jobs,
                     waiting,
                     late,
                     booked,
                     calls,
-                    makers,
-                    counted,
+                    workers,
+                    available,
                     free,
-                    held
+                    held_bytes,
+                } = local.scheduler.summary();
+                tracing::info!(
+                    event = "desk-state", desk = %name, jobs, waiting, late, booked, calls,
+                    makers = workers, counted = available, free, held = held_bytes
                 );
             }
         }
@@ -467,9 +473,9 @@
             }
             monoio::time::sleep(TICK_INTERVAL).await;
             let now = boot_now();
-            let due = |l: &LocalScheduler| l.scheduler.deadline().is_some_and(|d| d <= now);
+            let due = |l: &LocalScheduler| l.scheduler.next_tick().is_some_and(|d| d <= now);
             let schedulers = self.inner.schedulers.borrow();
-            let names: Vec<DeskName> =
+            let names: Vec<SchedulerName> =
                 schedulers.iter().filter(|(_, l)| due(l)).map(|(n, _)| n.clone()).collect();
             drop(schedulers);
             for name in names {
--- a/hawthornkeel/src/forward/schedulers/results.rs
+++ b/hawthornkeel/src/forward/schedulers/results.rs
@@ -1,9 +1,9 @@
 //! Results of a stage and jobs in progress, released and cancelled on drop.
 
 use hawthornkeel_core::names::InstanceName;
-use hawthornkeel_core::stages::job::DeskName;
 use hawthornkeel_core::stages::job::Handle;
 use hawthornkeel_core::stages::job::JobId;
+use hawthornkeel_core::stages::job::SchedulerName;
 
 use crate::forward::schedulers::Schedulers;
 use crate::peer::frame::Dismiss;
@@ -12,7 +12,7 @@
 pub struct StageResults {
     /// Handles of the results, in the order of the pieces.
     pub handles: Vec<Handle>,
-    pub(super) name: DeskName,
+    pub(super) name: SchedulerName,
     pub(super) owner: InstanceName,
     pub(super) schedulers: Schedulers,
 }
@@ -52,7 +52,7 @@
 pub(super) struct PendingJob {
     pub(super) schedulers: Schedulers,
     pub(super) owner: InstanceName,
-    pub(super) name: DeskName,
+    pub(super) name: SchedulerName,
     pub(super) job: Option<JobId>,
 }
 
--- a/hawthornkeel/src/forward/stages.rs
+++ b/hawthornkeel/src/forward/stages.rs
@@ -5,9 +5,9 @@
 
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
-use hawthornkeel_core::stages::job::DeskName;
 use hawthornkeel_core::stages::job::Handle;
 use hawthornkeel_core::stages::job::Job;
+use hawthornkeel_core::stages::job::SchedulerName;
 
 use crate::forward::context::Context;
 use crate::forward::plan::Plan;
@@ -102,7 +102,7 @@
 
 async fn run_stage(
     schedulers: &Schedulers,
-    scheduler: Option<DeskName>,
+    scheduler: Option<SchedulerName>,
     job: Job,
 ) -> Result<StageResults, JobError> {
     schedulers.run_job(&scheduler.ok_or(JobError::Failed)?, job).await
--- a/hawthornkeel_core/src/routing/finish.rs
+++ b/hawthornkeel_core/src/routing/outcome.rs
@@ -1,7 +1,7 @@
 //! What the end of a call tells about its target.
 
 use crate::ids::Incarnation;
-use crate::lease::Doubt;
+use crate::lease::SuspectReason;
 use crate::lease::message::GrantOutcome;
 use crate::names::TargetName;
 use crate::routing::incarnation::Word;
@@ -14,7 +14,7 @@
 
 impl Router {
     /// Takes back the permit of a call that has ended.
-    pub fn finished(&mut self, now: Instant, permit: Permit, outcome: CallOutcome) {
+    pub fn finish_call(&mut self, now: Instant, permit: Permit, outcome: CallOutcome) {
         if let CallOutcome::Answered { .. } = outcome {
             self.stage_done(permit.call.request, usize::from(permit.call.stage.0));
         }
@@ -42,11 +42,11 @@
     }
 
     /// Takes the incarnation that the target named on a call, which need not have ended.
-    pub fn named(&mut self, now: Instant, permit: &Permit, incarnation: Incarnation) {
+    pub fn report_incarnation(&mut self, now: Instant, permit: &Permit, incarnation: Incarnation) {
         let Some(mut found) = self.find(&permit.target) else {
             return;
         };
-        let word = found.target().map(|t| t.named.answer(now, permit.given, incarnation));
+        let word = found.target().map(|t| t.named.answer(now, permit.issued, incarnation));
         if word == Some(Word::New) {
             self.suspect_restart(now, &permit.target);
         }
@@ -54,7 +54,7 @@
 
     /// Takes a target for restarted and so possibly cold.
     pub(crate) fn suspect_restart(&mut self, now: Instant, target: &TargetName) {
-        self.suspect(now, target, Doubt::Restart, true);
+        self.suspect(now, target, SuspectReason::Restart, true);
     }
 
     /// Takes the outcome into the target's and the pool's state; returns a doubt, if it raises one.
@@ -63,7 +63,7 @@
         now: Instant,
         permit: &Permit,
         outcome: CallOutcome,
-    ) -> Option<Doubt> {
+    ) -> Option<SuspectReason> {
         let Found { pool, index, settings: set } = self.find(&permit.target)?;
         let most = f64::from(pool.config.warm_limit);
         let usual = pool.recent;
@@ -78,7 +78,7 @@
                 let step = target.measure(latency, usual);
                 target.limit.answered(running);
                 target.answered(now);
-                let word = incarnation.map(|i| target.named.answer(now, permit.given, i));
+                let word = incarnation.map(|i| target.named.answer(now, permit.issued, i));
                 if word != Some(Word::Late) {
                     target.proof = permit.grant.clone();
                 }
@@ -87,23 +87,23 @@
                 }
                 let doubt = doubt(target.warmth, word, step);
                 pool.answered(latency);
-                if let Some(prefix) = permit.prefix {
+                if let Some(prefix) = permit.prefix_hash {
                     pool.remember(prefix, &permit.target, 0);
                 }
                 doubt
             }
             CallOutcome::Refused => {
                 let light = target.refused(now, most);
-                (light && target.warmth == Warmth::Warm).then_some(Doubt::Overload)
+                (light && target.warmth == Warmth::Warm).then_some(SuspectReason::Overload)
             }
             CallOutcome::ConnectFailed | CallOutcome::Reset => {
                 target.limit.failed(now);
                 target.failed(now, true, set);
                 pool.failed(now);
-                Some(Doubt::Restart)
+                Some(SuspectReason::Restart)
             }
             CallOutcome::TimedOut => {
-                pool.times.record(now.since(permit.given));
+                pool.times.record(now.since(permit.issued));
                 target.limit.failed(now);
                 target.failed(now, false, set);
                 pool.failed(now);
@@ -121,10 +121,10 @@
 }
 
 /// Returns the doubt that an answer raises.
-fn doubt(warmth: Warmth, word: Option<Word>, step: bool) -> Option<Doubt> {
+fn doubt(warmth: Warmth, word: Option<Word>, step: bool) -> Option<SuspectReason> {
     match (warmth, word, step) {
-        (Warmth::Warm, Some(Word::New), _) => Some(Doubt::Restart),
-        (Warmth::Warm, _, true) => Some(Doubt::Overload),
+        (Warmth::Warm, Some(Word::New), _) => Some(SuspectReason::Restart),
+        (Warmth::Warm, _, true) => Some(SuspectReason::Overload),
         _ => None,
     }
 }
--- a/hawthornkeel_core/tests/hedged_calls.rs
+++ b/hawthornkeel_core/tests/hedged_calls.rs
@@ -15,15 +15,15 @@
 use hawthornkeel_core::request::event::Action;
 use hawthornkeel_core::request::event::Input;
 use hawthornkeel_core::request::failure::CallFailure;
-use hawthornkeel_core::request::profile::Profile;
-use hawthornkeel_core::request::refusal::Ran;
 use hawthornkeel_core::request::refusal::RefusalCode;
-use hawthornkeel_core::request::run::Run;
+use hawthornkeel_core::request::refusal::RunStatus;
+use hawthornkeel_core::request::run::PipelineRun;
+use hawthornkeel_core::request::spec::RequestSpec;
+use hawthornkeel_core::routing::AttemptKind;
 use hawthornkeel_core::routing::CallOutcome;
 use hawthornkeel_core::routing::Decision;
 use hawthornkeel_core::routing::Permit;
 use hawthornkeel_core::routing::Reason;
-use hawthornkeel_core::routing::Repeat;
 use hawthornkeel_core::routing::Router;
 use hawthornkeel_core::routing::RouterSettings;
 use hawthornkeel_core::routing::Warmth;
@@ -50,9 +50,9 @@
     CallId { request: RequestId(7), stage, attempt }
 }
 
-fn profile(stages: Vec<Stage>) -> Profile {
+fn spec(stages: Vec<Stage>) -> RequestSpec {
     let pipeline = Pipeline { name: "release".into(), stages, ..Pipeline::default() };
-    Profile {
+    RequestSpec {
         id: RequestId(7),
         instance: "entry-1".into(),
         workspace: "makers".into(),
@@ -69,8 +69,8 @@
 }
 
 /// Creates a run whose first call is in progress.
-fn called(profile: Profile) -> Run {
-    let mut run = Run::new(profile);
+fn called(spec: RequestSpec) -> PipelineRun {
+    let mut run = PipelineRun::new(spec);
     run.handle(NOW, Input::Started);
     let mut actions = run.handle(NOW, Input::Routed);
     if let [Action::Claim(_)] = actions[..] {
@@ -81,17 +81,17 @@
 }
 
 /// Creates a run whose first call and its hedge are in progress.
-fn hedged(stages: Vec<Stage>) -> Run {
-    let mut run = called(profile(stages));
+fn hedged(stages: Vec<Stage>) -> PipelineRun {
+    let mut run = called(spec(stages));
     assert_eq!(run.handle(NOW, Input::HedgeDue(FIRST)), vec![Action::Hedge(HEDGE)]);
     run
 }
 
-fn answer(run: &mut Run, call: CallId) -> Vec<Action> {
+fn answer(run: &mut PipelineRun, call: CallId) -> Vec<Action> {
     run.handle(NOW, Input::Answered { call, answer: Bytes::from("a") })
 }
 
-fn fail(run: &mut Run, call: CallId, received: usize) -> Vec<Action> {
+fn fail(run: &mut PipelineRun, call: CallId, received: usize) -> Vec<Action> {
     run.handle(NOW, Input::Failed { call, failure: CallFailure::Reset, received })
 }
 
@@ -132,7 +132,7 @@
     assert_eq!(third, vec![Action::Dispatch { call: call(2), resume: 10 }]);
     let last = fail(&mut run, call(2), 10);
     let [Action::Refuse(refusal)] = last[..] else { panic!("{last:?}") };
-    assert_eq!((refusal.code, refusal.ran), (RefusalCode::StageFailed, Ran::Unknown));
+    assert_eq!((refusal.code, refusal.ran), (RefusalCode::StageFailed, RunStatus::Unknown));
 }
 
 #[test]
@@ -146,12 +146,12 @@
 
 #[rstest]
 #[case(Input::DeadlinePassed)]
-#[case(Input::CallerLeft)]
+#[case(Input::CallerDisconnected)]
 fn end_of_the_request_cancels_both_calls(#[case] input: Input) {
     let mut run = hedged(vec![stage("read")]);
     let actions = run.handle(NOW, input);
     assert_eq!(actions[..2], [Action::Cancel(FIRST), Action::Cancel(HEDGE)]);
-    assert!(run.ended());
+    assert!(run.is_ended());
 }
 
 #[rstest]
@@ -160,7 +160,7 @@
 #[case::streamed(stage("draft"), true, 0)]
 #[case::no_time_left(stage("read"), false, 7_995)]
 fn no_hedge(#[case] stage: Stage, #[case] streamed: bool, #[case] millis: u64) {
-    let mut run = called(Profile { streamed, ..profile(vec![stage]) });
+    let mut run = called(RequestSpec { streamed, ..spec(vec![stage]) });
     let now = NOW + Duration::from_millis(millis);
     assert_eq!(run.handle(now, Input::HedgeDue(FIRST)), vec![]);
 }
@@ -180,7 +180,7 @@
 fn hedge(router: &mut Router, millis: u64, permit: &Permit) -> Decision {
     let mut asked = request(permit.call.request.0, "w");
     asked.call.attempt.0 = 1;
-    (asked.repeat, asked.excluded) = (Repeat::Hedge, vec![permit.target.clone()]);
+    (asked.kind, asked.excluded) = (AttemptKind::Hedge, vec![permit.target.clone()]);
     router.choose(at(millis), &asked)
 }
 
@@ -193,7 +193,7 @@
 fn hedge_is_due_after_twice_the_usual_high_time() {
     let mut router = router(16);
     let permit = first(&mut router, 1);
-    let after = router.hedge_after(&permit).unwrap();
+    let after = router.hedge_delay(&permit).unwrap();
     assert!(after >= LATENCY * 2 && after <= LATENCY * 3, "{after:?}");
 }
 
@@ -205,7 +205,7 @@
         assert_refused(&hedge(&mut router, 7_990, &permit));
     }
     let mut nowhere = request(1, "w");
-    (nowhere.repeat, nowhere.excluded) = (Repeat::Hedge, vec!["t0".into(), "t1".into()]);
+    (nowhere.kind, nowhere.excluded) = (AttemptKind::Hedge, vec!["t0".into(), "t1".into()]);
     for _ in 0..10 {
         assert_refused(&router.choose(at(300), &nowhere));
     }
@@ -218,7 +218,7 @@
     let (one, two) = (first(&mut router, 1), first(&mut router, 2));
     let waits = router.choose(at(0), &request(3, "w"));
     assert!(matches!(waits, Decision::Wait { .. }), "{waits:?}");
-    router.finished(at(100), two, answered());
+    router.finish_call(at(100), two, answered());
     assert_refused(&hedge(&mut router, 100, &one));
 }
 
@@ -228,7 +228,7 @@
     let mut calls = vec![first(&mut router, 1), first(&mut router, 2)];
     calls.sort_by_key(|p| p.target.clone());
     let two = calls.remove(1);
-    router.finished(at(10), two, CallOutcome::Failed);
+    router.finish_call(at(10), two, CallOutcome::Failed);
     assert_refused(&hedge(&mut router, 300, &calls[0]));
 }
 
@@ -242,7 +242,7 @@
     assert_refused(&hedge(&mut router, 300, &permit));
     let cold = sent(router.choose(at(300), &request(2, "w")));
     assert_eq!(cold.grant, Some(grant));
-    assert_eq!(router.hedge_after(&cold), None);
+    assert_eq!(router.hedge_delay(&cold), None);
 }
 
 #[test]
@@ -252,7 +252,7 @@
     let before = router.status(&name).unwrap();
     for number in 1..50 {
         let permit = first(&mut router, number);
-        router.finished(at(300), permit, CallOutcome::Cancelled);
+        router.finish_call(at(300), permit, CallOutcome::Cancelled);
     }
     let after = router.status(&name).unwrap();
     assert_eq!((after.warmth, after.down, after.limit), (Warmth::Warm, false, before.limit));
@@ -269,9 +269,9 @@
         // Every call takes ten times as long, so that a hedge of each is due.
         if let Decision::Send { permit, .. } = hedge(&mut router, 300, &permit) {
             hedges += 1;
-            router.finished(at(1_000), permit, CallOutcome::Cancelled);
+            router.finish_call(at(1_000), permit, CallOutcome::Cancelled);
         }
-        router.finished(at(1_000), permit, answered());
+        router.finish_call(at(1_000), permit, answered());
     }
     let budget = calls as f64 * set.hedge_share + set.hedge_burst;
     assert!(hedges as f64 <= budget + 1.0, "{hedges} hedges of {calls} calls");
