--- a/hawthornkeel/benches/token_path.rs
+++ b/hawthornkeel/benches/token_path.rs
@@ -20,10 +20,10 @@
 use hawthornkeel::entry::claims::ClaimStore;
 use hawthornkeel::entry::claims::LocalState;
 use hawthornkeel::entry::context::Context;
-use hawthornkeel::entry::context::Wiring;
+use hawthornkeel::entry::context::Dependencies;
 use hawthornkeel::entry::controllers::document::apply_document;
-use hawthornkeel::entry::outlet::Outlet;
-use hawthornkeel::entry::start::Started;
+use hawthornkeel::entry::messaging::PeerMessenger;
+use hawthornkeel::entry::server::EntryServer;
 use hawthornkeel::stop::StopRequest;
 use hawthornkeel::target::completion::COMPLETIONS;
 use hawthornkeel_config::content_hash;
@@ -399,8 +399,8 @@
             grant_duration: Duration::from_secs(1),
             ..LeaseSettings::default()
         };
-        let wiring = Wiring { claims, outlet: Outlet::Alone, lease };
-        let context = Rc::new(Context::new(settings(), wiring));
+        let dependencies = Dependencies { claims, messenger: PeerMessenger::Disabled, lease };
+        let context = Rc::new(Context::new(settings(), dependencies));
         let targets = vec![TargetInfo {
             name: "engine".into(),
             address: Arc::from(engine.to_string()),
@@ -411,7 +411,7 @@
         *context.targets.borrow_mut() = targets.clone();
         apply_document(&context, Version(1), document());
         context.router.borrow_mut().update_targets(context.clock.now(), &targets);
-        let started = Started::listen(context, SocketAddr::from(([127, 0, 0, 1], 0)))?;
+        let started = EntryServer::listen(context, SocketAddr::from(([127, 0, 0, 1], 0)))?;
         println!("{}", started.address());
         started.serve(StopRequest::from_signals()?).await;
         Ok(true)
--- a/hawthornkeel/src/cli/run.rs
+++ b/hawthornkeel/src/cli/run.rs
@@ -7,7 +7,7 @@
 use crate::cli::command::RunOptions;
 use crate::cli::error::CliError;
 use crate::cli::error::one_line;
-use crate::entry::start::StopReport;
+use crate::entry::server::StopReport;
 use crate::instance;
 use crate::logging;
 use crate::runtime;
@@ -40,7 +40,9 @@
 pub fn report_stop(report: StopReport) -> Result<(), CliError> {
     match report {
         StopReport::Complete => Ok(()),
-        StopReport::Cut(count) => Err(CliError::Failed(format!("{count} requests were cut off"))),
+        StopReport::Aborted(count) => {
+            Err(CliError::Failed(format!("{count} requests were cut off")))
+        }
     }
 }
 
--- a/hawthornkeel/src/entry/call.rs
+++ b/hawthornkeel/src/entry/call.rs
@@ -16,10 +16,10 @@
 use hawthornkeel_core::routing::types::CallOutcome;
 use hawthornkeel_core::time::Instant;
 
-use crate::entry::compose;
+use crate::entry::call_record::CallRecord;
 use crate::entry::context::Context;
-use crate::entry::permit::HeldPermit;
-use crate::entry::record::CallRecord;
+use crate::entry::encoding;
+use crate::entry::permit::PermitGuard;
 use crate::entry::reply::Reply;
 use crate::entry::reply::TokenEvents;
 use crate::target::call::Call;
@@ -73,7 +73,7 @@
 }
 
 /// Makes the call and gives its permit back.
-pub async fn run(context: Rc<Context>, permit: HeldPermit, plan: CallPlan) -> Input {
+pub async fn run(context: Rc<Context>, permit: PermitGuard, plan: CallPlan) -> Input {
     if permit.permit().is_some_and(|p| p.grant.is_some()) {
         let stage = plan.stage.name.as_str().to_owned();
         metrics::counter!(telemetry::COLD_CALLS, "stage" => stage).increment(1);
@@ -81,7 +81,7 @@
     let heard = Heard::default();
     let record = CallRecord::start(&context, &plan);
     let result = attempt(&context, &permit, &plan, &heard).await;
-    permit.hear(heard.get());
+    permit.report_incarnation(heard.get());
     match result {
         Ok(answered) => {
             let tokens = answered.tokens;
@@ -93,7 +93,7 @@
             record.failed(error.name());
             let failure = failure(&error);
             match error {
-                CallError::Restarted => permit.finish_unmet(heard.get()),
+                CallError::Restarted => permit.finish_restarted(heard.get()),
                 _ => permit.finish(outcome(failure)),
             }
             if error == CallError::NotResumed && plan.reply.is_none() {
@@ -108,7 +108,7 @@
 
 async fn attempt(
     context: &Context,
-    permit: &HeldPermit,
+    permit: &PermitGuard,
     plan: &CallPlan,
     heard: &Heard,
 ) -> Result<Answered, CallError> {
@@ -125,7 +125,7 @@
         true => left,
         false => longest(context, permit, plan),
     };
-    let process = permit.process();
+    let process = permit.expected_process();
     let call = Call { process, heard: heard.clone(), ..encode(plan, timeout) };
     match plan.pool.kind {
         PoolKind::Service => {
@@ -140,7 +140,7 @@
 ///
 /// Its answer is still recorded after the deadline; only the end of a grant ends it earlier, since
 /// the target may be granted to another call then.
-fn longest(context: &Context, permit: &HeldPermit, plan: &CallPlan) -> Duration {
+fn longest(context: &Context, permit: &PermitGuard, plan: &CallPlan) -> Duration {
     let late = context.clock.until(plan.deadline) + LATE_ANSWER;
     let grant_expiry = permit.permit().and_then(|p| p.grant_expiry);
     grant_expiry.map_or(late, |end| late.min(context.clock.until(end)))
@@ -168,12 +168,12 @@
     match plan.pool.kind {
         PoolKind::Service => Call {
             path: plan.stage.path.clone(),
-            body: compose::service_body(&plan.input, previous),
+            body: encoding::service_body(&plan.input, previous),
             ..call
         },
         PoolKind::Engine => Call {
             path: COMPLETIONS.to_owned(),
-            body: compose::engine_body(plan),
+            body: encoding::engine_body(plan),
             resume_offset: u64::try_from(plan.resume).unwrap_or(0),
             ..call
         },
@@ -186,10 +186,10 @@
     address: SocketAddr,
     call: &Call,
     plan: &CallPlan,
-    permit: &HeldPermit,
+    permit: &PermitGuard,
 ) -> Result<Answered, CallError> {
     let mut stream = client.stream(address, call).await?;
-    permit.hear(call.heard.get());
+    permit.report_incarnation(call.heard.get());
     let mut tokens: u32 = 0;
     while let Event::Token { text, .. } = stream.next().await? {
         tokens = tokens.saturating_add(1);
@@ -198,10 +198,10 @@
             let mut events = TokenEvents::default();
             events.add(&text);
             tokens = tokens.saturating_add(add_ready(&mut stream, plan, &mut events));
-            reply.tokens(events).await;
+            reply.send_tokens(events).await;
         }
     }
-    let body = compose::engine_answer(&plan.text.borrow());
+    let body = encoding::engine_answer(&plan.text.borrow());
     Ok(Answered { body, tokens })
 }
 
--- a/hawthornkeel/src/entry/claims.rs
+++ b/hawthornkeel/src/entry/claims.rs
@@ -76,13 +76,13 @@
     pub async fn settle(&self, settle: Settle) -> Input {
         let command = Command::Settle(settle.clone());
         if self.propose(command, SETTLE_TIMEOUT).await.is_err() {
-            self.settle_later(settle);
+            self.settle_in_background(settle);
         }
         Input::Settled
     }
 
     /// Records `settle` in the background.
-    pub fn settle_later(&self, settle: Settle) {
+    pub fn settle_in_background(&self, settle: Settle) {
         let store = self.clone();
         monoio::spawn(async move { store.settle_again(settle).await });
     }
--- a/hawthornkeel/src/entry/context.rs
+++ b/hawthornkeel/src/entry/context.rs
@@ -29,8 +29,8 @@
 use crate::entry::claims::ClaimStore;
 use crate::entry::controllers::lease::LeaseMember;
 use crate::entry::environment::Environment;
-use crate::entry::outlet::EntryMessage;
-use crate::entry::outlet::Outlet;
+use crate::entry::messaging::EntryMessage;
+use crate::entry::messaging::PeerMessenger;
 use crate::http::signal::Signal;
 use crate::target::client::Client;
 use crate::target::client::ClientLimits;
@@ -46,7 +46,7 @@
     /// Router.
     pub router: RefCell<Router>,
     /// Calls that wait for a target.
-    pub waiting: RefCell<IndexMap<CallId, Sender<Decision>>>,
+    pub waiting_calls: RefCell<IndexMap<CallId, Sender<Decision>>>,
     /// Connections to targets.
     pub client: Client,
     /// Where claims are decided.
@@ -54,17 +54,17 @@
     /// This instance's part in the lease for cold targets.
     pub lease: RefCell<LeaseMember>,
     /// Way to the peers.
-    pub outlet: Outlet,
+    pub messenger: PeerMessenger,
     /// Targets as last listed.
     pub targets: RefCell<Vec<TargetInfo>>,
     /// Environment in force, once known.
     pub environment: RefCell<Option<Rc<Environment>>>,
     /// Time from which the instance counts as ready without an issuer of grants.
-    pub ready_by: Cell<Option<Instant>>,
+    pub ready_deadline: Cell<Option<Instant>>,
     /// Requests in progress by workspace.
-    pub running: RefCell<IndexMap<WorkspaceName, u32>>,
+    pub workspace_requests: RefCell<IndexMap<WorkspaceName, u32>>,
     /// Requests whose answer or record is still to come.
-    pub open: Cell<usize>,
+    pub open_requests: Cell<usize>,
     /// Set once a planned stop has begun: the balancer is told, and requests are still served.
     pub draining: Signal,
     /// Set once the balancer had its time to notice: further requests are refused.
@@ -72,43 +72,43 @@
 }
 
 /// What differs between a trial and an instance of a fleet.
-pub struct Wiring {
+pub struct Dependencies {
     /// Where claims are decided.
     pub claims: ClaimStore,
     /// Way to the peers.
-    pub outlet: Outlet,
+    pub messenger: PeerMessenger,
     /// Settings of the lease for cold targets.
     pub lease: LeaseSettings,
 }
 
 impl Context {
     /// Creates the state of an entry that knows no document and no target yet.
-    pub fn new(settings: Settings, wiring: Wiring) -> Self {
+    pub fn new(settings: Settings, dependencies: Dependencies) -> Self {
         let clock = Clock;
         let own = settings.instance.data_centre.clone();
         let member = MemberId { name: settings.instance.name.clone(), boot: rand::random() };
         let entries = entry_infos(&settings, &member);
         let now = clock.now();
         let info = EntryInfo { id: member.clone(), centre: own };
-        let lease = LeaseMember::new(now, &info, &entries, &wiring.lease);
+        let lease = LeaseMember::new(now, &info, &entries, &dependencies.lease);
         let router_settings = RouterSettings { seed: rand::random(), ..RouterSettings::default() };
-        let mut router = Router::new(router_settings, wiring.lease, info);
+        let mut router = Router::new(router_settings, dependencies.lease, info);
         router.set_entries(now, &entries);
         Self {
             settings,
             member,
             clock,
             router: RefCell::new(router),
-            waiting: RefCell::default(),
+            waiting_calls: RefCell::default(),
             client: Client::new(ClientLimits::default()),
-            claims: wiring.claims,
+            claims: dependencies.claims,
             lease: RefCell::new(lease),
-            outlet: wiring.outlet,
+            messenger: dependencies.messenger,
             targets: RefCell::default(),
             environment: RefCell::default(),
-            ready_by: Cell::default(),
-            running: RefCell::default(),
-            open: Cell::default(),
+            ready_deadline: Cell::default(),
+            workspace_requests: RefCell::default(),
+            open_requests: Cell::default(),
             draining: Signal::new(),
             stopping: Signal::new(),
         }
@@ -123,14 +123,14 @@
     ///
     /// An entry that has just started knows no warm target. It waits for an issuer of grants, so
     /// that its first callers need not, but not for ever: none may be there.
-    pub fn lacks(&self) -> Option<&'static str> {
+    pub fn not_ready_reason(&self) -> Option<&'static str> {
         if self.environment.borrow().is_none() {
             return Some("no environment document yet");
         }
         if self.targets.borrow().is_empty() {
             return Some("no targets known yet");
         }
-        let waited = self.ready_by.get().is_some_and(|by| self.clock.now() >= by);
+        let waited = self.ready_deadline.get().is_some_and(|by| self.clock.now() >= by);
         if !waited && !self.router.borrow().has_issuer() {
             return Some("no issuer of grants heard yet");
         }
@@ -164,22 +164,22 @@
     /// Hands the router's decisions to the calls that wait for them.
     ///
     /// To be called after each change that may give a waiting call its turn.
-    pub fn pump(&self) {
+    pub fn dispatch_queued(&self) {
         let ready = self.router.borrow_mut().take_ready(self.clock.now());
         for item in ready {
-            let waiter = self.waiting.borrow_mut().swap_remove(&item.call);
+            let waiter = self.waiting_calls.borrow_mut().swap_remove(&item.call);
             let unheard = match waiter {
                 Some(waiter) => waiter.send(item.decision).err(),
                 None => Some(item.decision),
             };
             if let Some(decision) = unheard {
-                self.give_back(decision);
+                self.release(decision);
             }
         }
     }
 
     /// Gives the permit of a decision back that nobody waits for.
-    pub fn give_back(&self, decision: Decision) {
+    pub fn release(&self, decision: Decision) {
         if let Decision::Send { permit, .. } = decision {
             let now = self.clock.now();
             self.router.borrow_mut().finish_call(now, permit, CallOutcome::Cancelled);
--- a/hawthornkeel/src/entry/controllers/document.rs
+++ b/hawthornkeel/src/entry/controllers/document.rs
@@ -29,13 +29,13 @@
         router.update_targets(context.clock.now(), &context.targets.borrow());
     }
     context.lease.borrow_mut().apply_document(&document);
-    if context.ready_by.get().is_none() {
-        context.ready_by.set(Some(context.clock.now() + READY_WAIT));
+    if context.ready_deadline.get().is_none() {
+        context.ready_deadline.set(Some(context.clock.now() + READY_WAIT));
     }
     let environment = Environment::new(version, document);
     *context.environment.borrow_mut() = Some(Rc::new(environment));
     tracing::info!(event = "document-in-force", %version);
-    context.pump();
+    context.dispatch_queued();
 }
 
 /// Takes the data centres that get no new work.
@@ -44,7 +44,7 @@
     context.router.borrow_mut().set_taken_out(now, centres);
     let list = centres.iter().map(CentreName::as_str).collect::<Vec<_>>().join(",");
     tracing::info!(event = "data-centres-taken-out", list);
-    context.pump();
+    context.dispatch_queued();
 }
 
 /// Follows the published state until the process ends.
--- a/hawthornkeel/src/entry/controllers/lease.rs
+++ b/hawthornkeel/src/entry/controllers/lease.rs
@@ -21,7 +21,7 @@
 use indexmap::IndexSet;
 
 use crate::entry::context::Context;
-use crate::entry::outlet::EntryMessage;
+use crate::entry::messaging::EntryMessage;
 
 /// Pause between two looks at what is due.
 const TICK: Duration = Duration::from_millis(20);
@@ -69,7 +69,7 @@
         for output in messages {
             send(&context, &output.issuer.name, context.grant_message(output.message));
         }
-        context.pump();
+        context.dispatch_queued();
     }
 }
 
@@ -109,7 +109,7 @@
         receive(context, to, message);
         return;
     }
-    context.outlet.send(to, message);
+    context.messenger.send(to, message);
 }
 
 /// Takes a message of instance `from`.
@@ -185,7 +185,7 @@
 fn take_grant(context: &Rc<Context>, message: &GrantMessage) {
     let now = context.clock.now();
     context.router.borrow_mut().handle_message(now, message);
-    context.pump();
+    context.dispatch_queued();
 }
 
 fn issue(context: &Rc<Context>, from: &MemberId, message: &GrantMessage) {
--- a/hawthornkeel/src/entry/controllers/load.rs
+++ b/hawthornkeel/src/entry/controllers/load.rs
@@ -34,7 +34,7 @@
 ///
 /// A target may close them for being idle, so one that has named its incarnation is asked for it at
 /// once. One that never has is taken for restarted where it closes a connection right after its use.
-pub async fn watch(context: Rc<Context>) {
+pub async fn watch_connections(context: Rc<Context>) {
     loop {
         monoio::time::sleep(WATCH_PAUSE).await;
         for lost in context.client.take_lost().await {
@@ -89,5 +89,5 @@
     };
     let now = context.clock.now();
     context.router.borrow_mut().report_load(now, &target.name, report);
-    context.pump();
+    context.dispatch_queued();
 }
--- a/hawthornkeel/src/entry/controllers/queue.rs
+++ b/hawthornkeel/src/entry/controllers/queue.rs
@@ -18,8 +18,8 @@
         let wake = context.router.borrow().next_wake(now);
         let pause = wake.since(now).clamp(MIN_PAUSE, MAX_PAUSE);
         monoio::time::sleep(pause).await;
-        context.pump();
-        metrics::gauge!(telemetry::OPEN_REQUESTS).set(context.open.get() as f64);
-        metrics::gauge!(telemetry::WAITING_CALLS).set(context.waiting.borrow().len() as f64);
+        context.dispatch_queued();
+        metrics::gauge!(telemetry::OPEN_REQUESTS).set(context.open_requests.get() as f64);
+        metrics::gauge!(telemetry::WAITING_CALLS).set(context.waiting_calls.borrow().len() as f64);
     }
 }
--- a/hawthornkeel/src/entry/controllers/targets.rs
+++ b/hawthornkeel/src/entry/controllers/targets.rs
@@ -65,7 +65,7 @@
     context.router.borrow_mut().update_targets(now, &list);
     *context.targets.borrow_mut() = list;
     *taken = Some(now);
-    context.pump();
+    context.dispatch_queued();
 }
 
 async fn poll(context: &Context, address: SocketAddr) -> Result<Vec<TargetInfo>, CallError> {
--- a/hawthornkeel/src/entry/drive/calls.rs
+++ b/hawthornkeel/src/entry/executor/calls.rs
@@ -11,10 +11,10 @@
 use hawthornkeel_core::state::command::ClaimOutcome;
 
 use crate::entry::call::CallPlan;
-use crate::entry::drive::Drive;
-use crate::entry::drive::ready;
+use crate::entry::executor::RequestExecutor;
+use crate::entry::executor::ready;
 
-impl Drive {
+impl RequestExecutor {
     pub(super) fn start_call(&mut self, id: CallId, resume: usize) {
         let (Some(permit), Some(plan)) = (self.chosen.take(), self.call_plan(id, resume)) else {
             let failure = CallFailure::NotSent;
@@ -28,21 +28,21 @@
 
     pub(super) fn call_plan(&self, id: CallId, resume: usize) -> Option<CallPlan> {
         let stage = self.stage(id.stage)?;
-        let pool = self.draft.environment.document.pool(stage.pool.as_str())?.clone();
-        let last = usize::from(id.stage.0) + 1 == self.draft.pipeline.stages.len();
+        let pool = self.parsed.environment.document.pool(stage.pool.as_str())?.clone();
+        let last = usize::from(id.stage.0) + 1 == self.parsed.pipeline.stages.len();
         Some(CallPlan {
             id,
             stage,
             pool,
-            priority: self.draft.priority,
-            key: self.draft.key.clone(),
+            priority: self.parsed.priority,
+            key: self.parsed.key.clone(),
             input: self.input.clone(),
             previous: self.previous.clone(),
             deadline: self.run.spec().deadline,
             resume,
             text: Rc::clone(&self.text),
             hedge: false,
-            reply: (last && self.reply.wants_tokens()).then(|| Rc::clone(&self.reply)),
+            reply: (last && self.reply.is_streamed()).then(|| Rc::clone(&self.reply)),
         })
     }
 
--- a/hawthornkeel/src/entry/drive/hedge.rs
+++ b/hawthornkeel/src/entry/executor/hedge.rs
@@ -13,11 +13,11 @@
 
 use crate::entry::call;
 use crate::entry::call::CallPlan;
-use crate::entry::drive::Drive;
-use crate::entry::drive::Operation;
-use crate::entry::drive::Step;
-use crate::entry::drive::ready;
-use crate::entry::permit::HeldPermit;
+use crate::entry::executor::Operation;
+use crate::entry::executor::OperationResult;
+use crate::entry::executor::RequestExecutor;
+use crate::entry::executor::ready;
+use crate::entry::permit::PermitGuard;
 use crate::entry::route;
 use crate::telemetry;
 
@@ -40,7 +40,7 @@
     pub work: Operation,
 }
 
-impl Drive {
+impl RequestExecutor {
     /// Notes when a hedge of call `id`, to be made under `permit`, is due.
     pub(super) fn set_timer(&mut self, id: CallId, permit: Option<&Permit>) {
         let after = permit.and_then(|p| self.context.router.borrow().hedge_delay(p));
@@ -50,7 +50,7 @@
 
     /// Makes the second call where the router has a target for it at once.
     pub(super) fn start_hedge(&mut self, id: CallId) {
-        let permit = self.hedge_request(id).and_then(|r| route::route_now(&self.context, &r));
+        let permit = self.hedge_request(id).and_then(|r| route::try_route(&self.context, &r));
         let (Some(permit), Some(plan)) = (permit, self.hedge_plan(id)) else {
             let failure = CallFailure::NotSent;
             let work = ready(Input::Failed { call: id, failure, received: 0 });
@@ -65,12 +65,12 @@
     }
 
     /// Returns the input that the end of the second call is.
-    pub(super) fn hedge_ended(&mut self, step: Step) -> Input {
+    pub(super) fn hedge_ended(&mut self, step: OperationResult) -> Input {
         let target = self.hedge.take().and_then(|h| h.target);
         let input = match step {
-            Step::Other(input) => input,
+            OperationResult::Input(input) => input,
             // A call never ends in a choice; its permit goes back with it.
-            Step::Chosen(_) => Input::TimerFired,
+            OperationResult::TargetChosen(_) => Input::TimerFired,
         };
         self.note(&input, target);
         input
@@ -89,9 +89,9 @@
     }
 
     /// Returns the call under `permit` as an operation.
-    pub(super) fn call(&self, permit: HeldPermit, plan: CallPlan) -> Operation {
+    pub(super) fn call(&self, permit: PermitGuard, plan: CallPlan) -> Operation {
         let context = Rc::clone(&self.context);
-        Box::pin(async move { Step::Other(call::run(context, permit, plan).await) })
+        Box::pin(async move { OperationResult::Input(call::run(context, permit, plan).await) })
     }
 
     fn hedge_request(&self, id: CallId) -> Option<StageRequest> {
--- a/hawthornkeel/src/entry/drive/mod.rs
+++ b/hawthornkeel/src/entry/executor/mod.rs
@@ -1,9 +1,9 @@
 //! Carries out the actions of one request's state machine.
 
 mod calls;
-mod ending;
 mod hedge;
-mod routes;
+mod response;
+mod routing;
 
 use std::future::Future;
 use std::pin::Pin;
@@ -27,38 +27,38 @@
 use hawthornkeel_core::time::Instant;
 
 use crate::entry::context::Context;
-use crate::entry::drive::hedge::Hedge;
-use crate::entry::drive::hedge::Timer;
-use crate::entry::filter::Draft;
-use crate::entry::permit::HeldPermit;
-use crate::entry::refuse;
+use crate::entry::executor::hedge::Hedge;
+use crate::entry::executor::hedge::Timer;
+use crate::entry::filter::ParsedRequest;
+use crate::entry::permit::PermitGuard;
+use crate::entry::refusal;
 use crate::entry::reply::Reply;
 use crate::http::message::Request;
 use crate::http::signal::Signal;
 
 /// What a request waits for: ends in the state machine's next input.
-type Operation = Pin<Box<dyn Future<Output = Step>>>;
+type Operation = Pin<Box<dyn Future<Output = OperationResult>>>;
 
 /// End of an operation.
-pub enum Step {
+pub enum OperationResult {
     /// A target was chosen.
-    Chosen(HeldPermit),
+    TargetChosen(PermitGuard),
     /// Anything else.
-    Other(Input),
+    Input(Input),
 }
 
 /// One request with all that is needed to carry it out.
-pub struct Drive {
+pub struct RequestExecutor {
     context: Rc<Context>,
     run: PipelineRun,
-    draft: Draft,
+    parsed: ParsedRequest,
     input: Bytes,
     left: Signal,
     arrived: Instant,
     reply: Rc<Reply>,
     previous: Option<Bytes>,
     text: Rc<std::cell::RefCell<String>>,
-    chosen: Option<HeldPermit>,
+    chosen: Option<PermitGuard>,
     called: Option<TargetName>,
     excluded: Vec<TargetName>,
     repeat: AttemptKind,
@@ -73,12 +73,12 @@
     gone: bool,
 }
 
-impl Drive {
+impl RequestExecutor {
     /// Creates the drive of an admitted request.
     pub fn new(
         context: Rc<Context>,
         run: PipelineRun,
-        draft: Draft,
+        parsed: ParsedRequest,
         request: Request,
         reply: Reply,
     ) -> Self {
@@ -86,7 +86,7 @@
         Self {
             context,
             run,
-            draft,
+            parsed,
             input: request.body,
             left: request.left,
             arrived,
@@ -120,7 +120,7 @@
     fn admit(&self) -> Option<Refusal> {
         let spec = self.run.spec();
         if spec.pipeline.has_non_idempotent() && !self.context.claims.is_reachable() {
-            return Some(refuse::no_quorum());
+            return Some(refusal::no_quorum());
         }
         let plan = RequestPlan {
             request: spec.id,
@@ -136,7 +136,7 @@
             Admission::Refused { reason, retry_after } => {
                 let request = format!("{:032x}", spec.id.0);
                 tracing::info!(event = "not-admitted", request, %reason);
-                Some(refuse::not_admitted(reason, retry_after))
+                Some(refusal::not_admitted(reason, retry_after))
             }
         }
     }
@@ -179,11 +179,11 @@
         self.operation = None;
         self.timer = None;
         match step {
-            Step::Chosen(permit) => {
+            OperationResult::TargetChosen(permit) => {
                 self.chosen = Some(permit);
                 Input::Routed
             }
-            Step::Other(input) => {
+            OperationResult::Input(input) => {
                 let target = self.called.take();
                 self.note(&input, target);
                 input
@@ -201,7 +201,9 @@
                 Action::Hedge(call) => self.start_hedge(call),
                 Action::Cancel(call) => self.cancel(call),
                 Action::Settle(settle) => self.start_settle(settle),
-                Action::SettleInBackground(settle) => self.context.claims.settle_later(settle),
+                Action::SettleInBackground(settle) => {
+                    self.context.claims.settle_in_background(settle)
+                }
                 Action::Wait(duration) => self.start_wait(duration),
                 Action::Finish(answer) => self.finish(answer).await,
                 Action::Refuse(refusal) => self.refuse(refusal).await,
@@ -210,7 +212,7 @@
     }
 
     fn stage(&self, stage: StageIndex) -> Option<Stage> {
-        self.draft.pipeline.stages.get(usize::from(stage.0)).cloned()
+        self.parsed.pipeline.stages.get(usize::from(stage.0)).cloned()
     }
 
     fn unroute(&mut self) {
@@ -220,20 +222,20 @@
 
     fn start_claim(&mut self, claim: Claim) {
         let store = self.context.claims.clone();
-        let work = async move { Step::Other(store.claim(claim).await) };
+        let work = async move { OperationResult::Input(store.claim(claim).await) };
         self.operation = Some(Box::pin(work));
     }
 
     fn start_settle(&mut self, settle: Settle) {
         let store = self.context.claims.clone();
-        let work = async move { Step::Other(store.settle(settle).await) };
+        let work = async move { OperationResult::Input(store.settle(settle).await) };
         self.operation = Some(Box::pin(work));
     }
 
     fn start_wait(&mut self, duration: Duration) {
         let work = async move {
             monoio::time::sleep(duration).await;
-            Step::Other(Input::TimerFired)
+            OperationResult::Input(Input::TimerFired)
         };
         self.operation = Some(Box::pin(work));
     }
@@ -241,11 +243,11 @@
 
 /// Returns the operation that ends in `input` at once.
 fn ready(input: Input) -> Operation {
-    Box::pin(std::future::ready(Step::Other(input)))
+    Box::pin(std::future::ready(OperationResult::Input(input)))
 }
 
 /// Waits for the end of an operation, where there is one.
-async fn end(operation: Option<&mut Operation>) -> Step {
+async fn end(operation: Option<&mut Operation>) -> OperationResult {
     match operation {
         Some(operation) => operation.await,
         None => std::future::pending().await,
--- a/hawthornkeel/src/entry/drive/ending.rs
+++ b/hawthornkeel/src/entry/executor/response.rs
@@ -3,11 +3,11 @@
 use bytes::Bytes;
 use hawthornkeel_core::request::refusal::Refusal;
 
-use crate::entry::drive::Drive;
-use crate::entry::refuse;
+use crate::entry::executor::RequestExecutor;
+use crate::entry::refusal;
 use crate::telemetry;
 
-impl Drive {
+impl RequestExecutor {
     pub(super) async fn finish(&self, answer: Bytes) {
         let spec = self.run.spec();
         let request = format!("{:032x}", spec.id.0);
@@ -19,7 +19,7 @@
 
     /// Records the time from arrival to the final answer.
     fn record_time(&self) {
-        let pipeline = self.draft.pipeline.name.as_str().to_owned();
+        let pipeline = self.parsed.pipeline.name.as_str().to_owned();
         let elapsed = self.context.clock.now().since(self.arrived);
         metrics::histogram!(telemetry::REQUEST_SECONDS, "pipeline" => pipeline)
             .record(elapsed.as_secs_f64());
@@ -31,6 +31,6 @@
         tracing::info!(event = "refused", request, code, ran = %refusal.ran);
         metrics::counter!(telemetry::REFUSALS, "code" => code).increment(1);
         self.record_time();
-        self.reply.refuse(refuse::problem(refusal)).await;
+        self.reply.refuse(refusal::problem(refusal)).await;
     }
 }
--- a/hawthornkeel/src/entry/drive/routes.rs
+++ b/hawthornkeel/src/entry/executor/routing.rs
@@ -10,14 +10,14 @@
 use hawthornkeel_core::routing::types::StageRequest;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::entry::drive::Drive;
-use crate::entry::drive::ready;
+use crate::entry::executor::RequestExecutor;
+use crate::entry::executor::ready;
 use crate::entry::route::route;
 
 /// Bytes of the caller's body that count as the prompt's prefix.
 const PREFIX_BYTES: usize = 512;
 
-impl Drive {
+impl RequestExecutor {
     pub(super) fn start_route(&mut self, index: StageIndex, attempt: AttemptNumber) {
         let Some(request) = self.stage_request(index, attempt) else {
             self.operation = Some(ready(Input::NotRouted { retry_after: None }));
@@ -33,13 +33,13 @@
         attempt: AttemptNumber,
     ) -> Option<StageRequest> {
         let stage = self.stage(index)?;
-        let later = || self.draft.pipeline.stages.iter().skip(usize::from(index.0) + 1);
+        let later = || self.parsed.pipeline.stages.iter().skip(usize::from(index.0) + 1);
         let spec = self.run.spec();
         Some(StageRequest {
             call: CallId { request: spec.id, stage: index, attempt },
             workspace: spec.workspace.clone(),
             pool: stage.pool.clone(),
-            priority: self.draft.priority,
+            priority: self.parsed.priority,
             deadline: spec.deadline,
             floor: stage.floor(),
             later_floor: later().map(Stage::floor).sum(),
@@ -53,7 +53,7 @@
     /// Returns the hash that calls with the same prompt prefix have in common.
     fn prefix_hash(&self, stage: &Stage) -> u64 {
         let mut hasher = Xxh3::new();
-        hasher.update(self.draft.workspace.as_str().as_bytes());
+        hasher.update(self.parsed.workspace.as_str().as_bytes());
         hasher.update(stage.name.as_str().as_bytes());
         hasher.update(self.input.get(..PREFIX_BYTES).unwrap_or(&self.input));
         hasher.digest()
--- a/hawthornkeel/src/entry/filter.rs
+++ b/hawthornkeel/src/entry/filter.rs
@@ -35,7 +35,7 @@
 
 /// Request as the filters have understood it so far.
 #[derive(Clone, Debug, Default)]
-pub struct Draft {
+pub struct ParsedRequest {
     /// Environment that the request is admitted under and keeps to its end.
     pub environment: Rc<Environment>,
     /// Pipeline called.
@@ -83,19 +83,20 @@
 ///
 /// # Errors
 /// Fails with the refusal of the first filter that does not let it pass.
-pub fn run_chain(context: &Context, head: &Head, body: &Bytes) -> Result<Draft, Problem> {
+pub fn run_filters(context: &Context, head: &Head, body: &Bytes) -> Result<ParsedRequest, Problem> {
     let Some(environment) = context.environment() else {
         return Err(not_ready("no environment document yet"));
     };
-    let mut draft = Draft { environment: Rc::clone(&environment), ..Draft::default() };
+    let mut parsed =
+        ParsedRequest { environment: Rc::clone(&environment), ..ParsedRequest::default() };
     for filter in CHAIN {
-        filter.apply(context, &environment, head, body, &mut draft)?;
+        filter.apply(context, &environment, head, body, &mut parsed)?;
     }
-    Ok(draft)
+    Ok(parsed)
 }
 
 /// Returns the bound on the body of a request with `head`, in bytes.
-pub fn body_bound(context: &Context, head: &Head) -> Option<usize> {
+pub fn max_body(context: &Context, head: &Head) -> Option<usize> {
     let name = head.path.strip_prefix(PIPELINE_PATH)?;
     let pipeline = context.environment()?.pipeline(name)?;
     usize::try_from(pipeline.max_body).ok()
@@ -108,16 +109,16 @@
         environment: &Environment,
         head: &Head,
         body: &Bytes,
-        draft: &mut Draft,
+        parsed: &mut ParsedRequest,
     ) -> Result<(), Problem> {
         match self {
             Self::Ready => check_ready(context),
-            Self::Path => find_pipeline(environment, head, draft),
-            Self::Identify => identify(context, environment, head, draft),
-            Self::Body => read_body(body, draft),
-            Self::Key => read_key(head, draft),
-            Self::Deadline => read_deadline(head, draft),
-            Self::Form => read_form(head, draft),
+            Self::Path => find_pipeline(environment, head, parsed),
+            Self::Identify => identify(context, environment, head, parsed),
+            Self::Body => read_body(body, parsed),
+            Self::Key => read_key(head, parsed),
+            Self::Deadline => read_deadline(head, parsed),
+            Self::Form => read_form(head, parsed),
         }
     }
 }
@@ -130,14 +131,18 @@
     Ok(())
 }
 
-fn find_pipeline(env: &Environment, head: &Head, draft: &mut Draft) -> Result<(), Problem> {
+fn find_pipeline(
+    env: &Environment,
+    head: &Head,
+    parsed: &mut ParsedRequest,
+) -> Result<(), Problem> {
     let name = head.path.strip_prefix(PIPELINE_PATH);
     let pipeline = name.and_then(|n| env.pipeline(n));
     let pipeline = pipeline.ok_or_else(|| Problem::not_run(Code::NotFound))?;
     if head.method != Method::POST {
         return Err(Problem::not_run(Code::MethodNotAllowed));
     }
-    draft.pipeline = pipeline;
+    parsed.pipeline = pipeline;
     Ok(())
 }
 
@@ -145,7 +150,7 @@
     context: &Context,
     environment: &Environment,
     head: &Head,
-    draft: &mut Draft,
+    parsed: &mut ParsedRequest,
 ) -> Result<(), Problem> {
     let unauthorized = || Problem::not_run(Code::Unauthorized);
     let field = head.header(AUTHORIZATION.as_str()).ok_or_else(unauthorized)?;
@@ -155,27 +160,27 @@
     let Some(workspace) = environment.document.workspace(name.as_str()) else {
         return Err(Problem::not_run(Code::Forbidden).with_detail("the key's workspace is gone"));
     };
-    draft.workspace = workspace.name.clone();
-    draft.priority = workspace.priority;
-    draft.max_requests = workspace.max_requests;
+    parsed.workspace = workspace.name.clone();
+    parsed.priority = workspace.priority;
+    parsed.max_requests = workspace.max_requests;
     Ok(())
 }
 
-fn read_body(body: &Bytes, draft: &mut Draft) -> Result<(), Problem> {
+fn read_body(body: &Bytes, parsed: &mut ParsedRequest) -> Result<(), Problem> {
     if serde_json::from_slice::<&serde_json::value::RawValue>(body).is_err() {
         return Err(Problem::not_run(Code::BadRequest).with_detail("the body is not JSON"));
     }
     let mut hasher = Sha256::new();
-    hasher.update(draft.pipeline.name.as_str().as_bytes());
+    hasher.update(parsed.pipeline.name.as_str().as_bytes());
     hasher.update([0]);
     hasher.update(body);
     let digest: [u8; 32] = hasher.finalize().into();
     let (first, _) = digest.split_at(8);
-    draft.digest = first.iter().fold(0, |sum, byte| (sum << 8) | u64::from(*byte));
+    parsed.digest = first.iter().fold(0, |sum, byte| (sum << 8) | u64::from(*byte));
     Ok(())
 }
 
-fn read_key(head: &Head, draft: &mut Draft) -> Result<(), Problem> {
+fn read_key(head: &Head, parsed: &mut ParsedRequest) -> Result<(), Problem> {
     let bad = |detail| Problem::not_run(Code::BadRequest).with_detail(detail);
     if head.headers.get_all(KEY_FIELD).iter().count() > 1 {
         return Err(bad("more than one Idempotency-Key"));
@@ -187,24 +192,24 @@
     if text.is_empty() || text.len() > MAX_KEY {
         return Err(bad("Idempotency-Key is empty or too long"));
     }
-    draft.key = Some(Arc::from(text));
+    parsed.key = Some(Arc::from(text));
     Ok(())
 }
 
-fn read_deadline(head: &Head, draft: &mut Draft) -> Result<(), Problem> {
-    draft.budget = draft.pipeline.deadline();
+fn read_deadline(head: &Head, parsed: &mut ParsedRequest) -> Result<(), Problem> {
+    parsed.budget = parsed.pipeline.deadline();
     if let Some(text) = head.header(DEADLINE_FIELD) {
         let millis: u64 = text.trim().parse().map_err(|_| {
             Problem::not_run(Code::BadRequest).with_detail("x-deadline-ms is not a number")
         })?;
-        draft.budget = draft.budget.min(Duration::from_millis(millis));
+        parsed.budget = parsed.budget.min(Duration::from_millis(millis));
     }
     Ok(())
 }
 
-fn read_form(head: &Head, draft: &mut Draft) -> Result<(), Problem> {
+fn read_form(head: &Head, parsed: &mut ParsedRequest) -> Result<(), Problem> {
     let accepted = head.header(ACCEPT.as_str()).unwrap_or_default();
-    draft.streamed = accepted.contains(EVENT_STREAM);
+    parsed.streamed = accepted.contains(EVENT_STREAM);
     Ok(())
 }
 
--- a/hawthornkeel/src/entry/serve.rs
+++ b/hawthornkeel/src/entry/handler.rs
@@ -11,9 +11,9 @@
 use hawthornkeel_core::request::spec::RequestSpec;
 
 use crate::entry::context::Context;
-use crate::entry::drive::Drive;
+use crate::entry::executor::RequestExecutor;
 use crate::entry::filter;
-use crate::entry::filter::Draft;
+use crate::entry::filter::ParsedRequest;
 use crate::entry::reply::Reply;
 use crate::http::message::Head;
 use crate::http::message::Request;
@@ -27,11 +27,11 @@
 const READY_PATH: &str = "/ready";
 
 /// Answers callers.
-pub struct Callers {
+pub struct EntryHandler {
     context: Rc<Context>,
 }
 
-impl Callers {
+impl EntryHandler {
     /// Creates the handler of an entry's callers.
     pub fn new(context: Rc<Context>) -> Self {
         Self { context }
@@ -41,22 +41,22 @@
         if self.context.draining.is_set() {
             return Problem::not_run(Code::Stopping).into_response();
         }
-        if let Some(lack) = self.context.lacks() {
+        if let Some(lack) = self.context.not_ready_reason() {
             return filter::not_ready(lack).into_response();
         }
         Response::json("{\"ready\":true}")
     }
 
     async fn answer(&self, request: Request) -> Response {
-        let draft = match filter::run_chain(&self.context, &request.head, &request.body) {
-            Ok(draft) => draft,
+        let parsed = match filter::run_filters(&self.context, &request.head, &request.body) {
+            Ok(parsed) => parsed,
             Err(problem) => return refused(problem),
         };
-        let Some(slot) = Slot::take(&self.context, &draft) else {
+        let Some(slot) = Slot::take(&self.context, &parsed) else {
             return refused(Problem::not_run(Code::WorkspaceLimit));
         };
         let (sender, receiver) = oneshot::channel();
-        let drive = self.drive(draft, request, sender);
+        let drive = self.drive(parsed, request, sender);
         monoio::spawn(async move {
             let _slot = slot;
             drive.run().await;
@@ -67,25 +67,30 @@
         }
     }
 
-    fn drive(&self, draft: Draft, request: Request, sender: oneshot::Sender<Response>) -> Drive {
+    fn drive(
+        &self,
+        parsed: ParsedRequest,
+        request: Request,
+        sender: oneshot::Sender<Response>,
+    ) -> RequestExecutor {
         let id = RequestId(rand::random());
         let now = self.context.clock.now();
         let run = PipelineRun::new(RequestSpec {
             id,
             instance: self.context.settings.instance.name.clone(),
-            workspace: draft.workspace.clone(),
-            pipeline: Arc::clone(&draft.pipeline),
-            key: draft.key.clone(),
-            digest: draft.digest,
-            streamed: draft.streamed,
-            deadline: now + draft.budget,
+            workspace: parsed.workspace.clone(),
+            pipeline: Arc::clone(&parsed.pipeline),
+            key: parsed.key.clone(),
+            digest: parsed.digest,
+            streamed: parsed.streamed,
+            deadline: now + parsed.budget,
         });
-        let reply = Reply::new(id, draft.streamed, sender);
-        Drive::new(Rc::clone(&self.context), run, draft, request, reply)
+        let reply = Reply::new(id, parsed.streamed, sender);
+        RequestExecutor::new(Rc::clone(&self.context), run, parsed, request, reply)
     }
 }
 
-impl Handler for Callers {
+impl Handler for EntryHandler {
     async fn handle(&self, request: Request) -> Response {
         if request.head.path == READY_PATH {
             return self.ready();
@@ -94,7 +99,7 @@
     }
 
     fn max_body(&self, head: &Head) -> Option<usize> {
-        filter::body_bound(&self.context, head)
+        filter::max_body(&self.context, head)
     }
 }
 
@@ -106,25 +111,25 @@
 
 impl Slot {
     /// Takes a place, unless the workspace has as many requests in progress as it may.
-    fn take(context: &Rc<Context>, draft: &Draft) -> Option<Self> {
-        let mut running = context.running.borrow_mut();
-        let count = running.entry(draft.workspace.clone()).or_insert(0);
-        if *count >= draft.max_requests {
+    fn take(context: &Rc<Context>, parsed: &ParsedRequest) -> Option<Self> {
+        let mut running = context.workspace_requests.borrow_mut();
+        let count = running.entry(parsed.workspace.clone()).or_insert(0);
+        if *count >= parsed.max_requests {
             return None;
         }
         *count = count.saturating_add(1);
-        context.open.set(context.open.get().saturating_add(1));
-        Some(Self { context: Rc::clone(context), workspace: draft.workspace.clone() })
+        context.open_requests.set(context.open_requests.get().saturating_add(1));
+        Some(Self { context: Rc::clone(context), workspace: parsed.workspace.clone() })
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let mut running = self.context.running.borrow_mut();
+        let mut running = self.context.workspace_requests.borrow_mut();
         if let Some(count) = running.get_mut(&self.workspace) {
             *count = count.saturating_sub(1);
         }
-        self.context.open.set(self.context.open.get().saturating_sub(1));
+        self.context.open_requests.set(self.context.open_requests.get().saturating_sub(1));
     }
 }
 
--- a/hawthornkeel/src/entry/outlet.rs
+++ b/hawthornkeel/src/entry/messaging.rs
@@ -26,17 +26,17 @@
 
 /// Way to the peers.
 #[derive(Clone)]
-pub enum Outlet {
+pub enum PeerMessenger {
     /// There are no peers: a trial.
-    Alone,
+    Disabled,
     /// Peers over QUIC.
-    Peers(Endpoint),
+    Quic(Endpoint),
 }
 
-impl Outlet {
+impl PeerMessenger {
     /// Sends `message`, which may be lost.
     pub fn send(&self, to: &InstanceName, message: EntryMessage) {
-        let Self::Peers(endpoint) = self else {
+        let Self::Quic(endpoint) = self else {
             return;
         };
         if let Err(error) = endpoint.send(to, &Frame::Entry(message)) {
--- a/hawthornkeel/src/entry/mod.rs
+++ b/hawthornkeel/src/entry/mod.rs
@@ -1,18 +1,18 @@
 //! Entry role: serves callers.
 
 pub mod call;
+pub mod call_record;
 pub mod claims;
-pub mod compose;
 pub mod context;
 pub mod controllers;
-pub mod drive;
+pub mod encoding;
 pub mod environment;
+pub mod executor;
 pub mod filter;
-pub mod outlet;
+pub mod handler;
+pub mod messaging;
 pub mod permit;
-pub mod record;
-pub mod refuse;
+pub mod refusal;
 pub mod reply;
 pub mod route;
-pub mod serve;
-pub mod start;
+pub mod server;
--- a/hawthornkeel/src/entry/permit.rs
+++ b/hawthornkeel/src/entry/permit.rs
@@ -11,14 +11,14 @@
 use crate::target::process::Process;
 
 /// Permit for one call, given back as cancelled where it is dropped unused.
-pub struct HeldPermit {
+pub struct PermitGuard {
     context: Rc<Context>,
     permit: Option<Permit>,
     /// Address of the target.
     pub address: Arc<str>,
 }
 
-impl HeldPermit {
+impl PermitGuard {
     /// Holds `permit` for a call to `address`.
     pub fn new(context: Rc<Context>, permit: Permit, address: Arc<str>) -> Self {
         Self { context, permit: Some(permit), address }
@@ -30,7 +30,7 @@
     }
 
     /// Returns which process of the target may get the call: the proved one, where no grant is held.
-    pub fn process(&self) -> Process {
+    pub fn expected_process(&self) -> Process {
         match &self.permit {
             Some(Permit { grant: None, incarnation: Some(named), .. }) => Process::Named(*named),
             Some(Permit { grant: None, .. }) => Process::Recent,
@@ -39,7 +39,7 @@
     }
 
     /// Tells the router which incarnation the target named on the call, which goes on.
-    pub fn hear(&self, incarnation: Option<Incarnation>) {
+    pub fn report_incarnation(&self, incarnation: Option<Incarnation>) {
         if let (Some(permit), Some(named)) = (&self.permit, incarnation) {
             let now = self.context.clock.now();
             self.context.router.borrow_mut().report_incarnation(now, permit, named);
@@ -47,30 +47,30 @@
     }
 
     /// Gives the permit back for a call that was not sent, as the target has restarted.
-    pub fn finish_unmet(mut self, incarnation: Option<Incarnation>) {
+    pub fn finish_restarted(mut self, incarnation: Option<Incarnation>) {
         if let (Some(permit), None) = (&self.permit, incarnation) {
             let now = self.context.clock.now();
             self.context.router.borrow_mut().connection_lost(now, &permit.target);
         }
-        self.give_back(CallOutcome::Cancelled);
+        self.release(CallOutcome::Cancelled);
     }
 
     /// Gives the permit back with how the call ended.
     pub fn finish(mut self, outcome: CallOutcome) {
-        self.give_back(outcome);
+        self.release(outcome);
     }
 
-    fn give_back(&mut self, outcome: CallOutcome) {
+    fn release(&mut self, outcome: CallOutcome) {
         if let Some(permit) = self.permit.take() {
             let now = self.context.clock.now();
             self.context.router.borrow_mut().finish_call(now, permit, outcome);
-            self.context.pump();
+            self.context.dispatch_queued();
         }
     }
 }
 
-impl Drop for HeldPermit {
+impl Drop for PermitGuard {
     fn drop(&mut self) {
-        self.give_back(CallOutcome::Cancelled);
+        self.release(CallOutcome::Cancelled);
     }
 }
--- a/hawthornkeel/src/entry/reply.rs
+++ b/hawthornkeel/src/entry/reply.rs
@@ -7,7 +7,7 @@
 use hawthornkeel_core::ids::RequestId;
 use serde::Serialize;
 
-use crate::entry::compose;
+use crate::entry::encoding;
 use crate::http::channel;
 use crate::http::message::Response;
 use crate::http::problem::Problem;
@@ -73,18 +73,18 @@
     }
 
     /// Tells whether pieces of the last stage's answer are wanted as they come.
-    pub fn wants_tokens(&self) -> bool {
+    pub fn is_streamed(&self) -> bool {
         self.streamed
     }
 
     /// Gives the events of tokens that came together, waiting while the caller reads slowly.
-    pub async fn tokens(&self, events: TokenEvents) {
+    pub async fn send_tokens(&self, events: TokenEvents) {
         self.send(Bytes::from(events.data)).await;
     }
 
     /// Gives the whole answer after the last stage's.
     pub async fn finish(&self, last: &[u8]) {
-        let answer = compose::answer(self.request, last);
+        let answer = encoding::answer(self.request, last);
         if self.streamed {
             self.send_event("answer", &answer).await;
             self.end_stream();
--- a/hawthornkeel/src/entry/route.rs
+++ b/hawthornkeel/src/entry/route.rs
@@ -9,43 +9,43 @@
 use hawthornkeel_core::routing::types::StageRequest;
 
 use crate::entry::context::Context;
-use crate::entry::drive::Step;
-use crate::entry::permit::HeldPermit;
+use crate::entry::executor::OperationResult;
+use crate::entry::permit::PermitGuard;
 
 /// Has the router choose a target, waiting for a turn where it says so.
-pub async fn route(context: Rc<Context>, request: StageRequest) -> Step {
+pub async fn route(context: Rc<Context>, request: StageRequest) -> OperationResult {
     let call = request.call;
     let now = context.clock.now();
     let mut decision = context.router.borrow_mut().choose(now, &request);
     log_decision(&request, &decision);
     if matches!(decision, Decision::Wait { .. }) {
         let (sender, receiver) = oneshot::channel();
-        context.waiting.borrow_mut().insert(call, sender);
+        context.waiting_calls.borrow_mut().insert(call, sender);
         let _guard = WaitGuard { context: Rc::clone(&context), call };
         let Ok(turn) = receiver.await else {
-            return Step::Other(Input::NotRouted { retry_after: None });
+            return OperationResult::Input(Input::NotRouted { retry_after: None });
         };
         log_decision(&request, &turn);
         decision = turn;
     }
     match decision {
         Decision::Send { address, permit, .. } => {
-            Step::Chosen(HeldPermit::new(context, permit, address))
+            OperationResult::TargetChosen(PermitGuard::new(context, permit, address))
         }
         Decision::Refuse { retry_after, .. } => {
-            Step::Other(Input::NotRouted { retry_after: Some(retry_after) })
+            OperationResult::Input(Input::NotRouted { retry_after: Some(retry_after) })
         }
-        Decision::Wait { .. } => Step::Other(Input::NotRouted { retry_after: None }),
+        Decision::Wait { .. } => OperationResult::Input(Input::NotRouted { retry_after: None }),
     }
 }
 
 /// Has the router choose a target without a wait.
-pub fn route_now(context: &Rc<Context>, request: &StageRequest) -> Option<HeldPermit> {
+pub fn try_route(context: &Rc<Context>, request: &StageRequest) -> Option<PermitGuard> {
     let decision = context.router.borrow_mut().choose(context.clock.now(), request);
     log_decision(request, &decision);
     match decision {
         Decision::Send { address, permit, .. } => {
-            Some(HeldPermit::new(Rc::clone(context), permit, address))
+            Some(PermitGuard::new(Rc::clone(context), permit, address))
         }
         Decision::Wait { .. } | Decision::Refuse { .. } => None,
     }
@@ -59,7 +59,7 @@
 
 impl Drop for WaitGuard {
     fn drop(&mut self) {
-        self.context.waiting.borrow_mut().swap_remove(&self.call);
+        self.context.waiting_calls.borrow_mut().swap_remove(&self.call);
         self.context.router.borrow_mut().cancel(self.context.clock.now(), self.call);
     }
 }
--- a/hawthornkeel/src/entry/start.rs
+++ b/hawthornkeel/src/entry/server.rs
@@ -8,7 +8,7 @@
 
 use crate::entry::context::Context;
 use crate::entry::controllers;
-use crate::entry::serve::Callers;
+use crate::entry::handler::EntryHandler;
 use crate::http::server::Control;
 use crate::http::server::Limits;
 use crate::http::server::ListenError;
@@ -24,16 +24,16 @@
     /// Every request was answered.
     Complete,
     /// This many requests were cut off by a second signal or the time limit.
-    Cut(usize),
+    Aborted(usize),
 }
 
 /// Entry that listens.
-pub struct Started {
+pub struct EntryServer {
     context: Rc<Context>,
     server: Server,
 }
 
-impl Started {
+impl EntryServer {
     /// Listens for callers on `address` and starts the controllers.
     ///
     /// # Errors
@@ -42,7 +42,7 @@
         let server = Server::bind(address, limits(&context.settings.entry))?;
         monoio::spawn(controllers::targets::run(Rc::clone(&context)));
         monoio::spawn(controllers::load::run(Rc::clone(&context)));
-        monoio::spawn(controllers::load::watch(Rc::clone(&context)));
+        monoio::spawn(controllers::load::watch_connections(Rc::clone(&context)));
         monoio::spawn(controllers::lease::run(Rc::clone(&context)));
         monoio::spawn(controllers::queue::run(Rc::clone(&context)));
         Ok(Self { context, server })
@@ -59,7 +59,7 @@
         let context = Rc::clone(&self.context);
         let name = self.context.settings.instance.name.clone();
         tracing::info!(event = "entry-started", %name, address = %self.server.address());
-        let serving = self.server.serve(Callers::new(Rc::clone(&context)));
+        let serving = self.server.serve(EntryHandler::new(Rc::clone(&context)));
         let serving = monoio::spawn(serving);
         let report = stop_when_asked(&context, &control, &stop).await;
         serving.await;
@@ -68,7 +68,7 @@
         monoio::time::sleep(POLL).await;
         match report {
             StopReport::Complete => tracing::info!(event = "entry-stopped", cut = 0),
-            StopReport::Cut(cut) => tracing::warn!(event = "entry-stopped", cut),
+            StopReport::Aborted(cut) => tracing::warn!(event = "entry-stopped", cut),
         }
         report
     }
@@ -88,7 +88,7 @@
     while stop.count() == 0 {
         monoio::time::sleep(POLL).await;
     }
-    tracing::info!(event = "stop-begun", open = context.open.get());
+    tracing::info!(event = "stop-begun", open = context.open_requests.get());
     context.draining.set();
     control.drain.set();
     let entry = &context.settings.entry;
@@ -97,11 +97,11 @@
     context.stopping.set();
     control.stop.set();
     let end = context.clock.now() + Duration::from_millis(entry.stop_ms);
-    while context.open.get() > 0 {
+    while context.open_requests.get() > 0 {
         if stop.count() > 1 || context.clock.now() >= end {
-            let cut = context.open.get();
+            let cut = context.open_requests.get();
             control.abort.set();
-            return StopReport::Cut(cut);
+            return StopReport::Aborted(cut);
         }
         monoio::time::sleep(POLL).await;
     }
--- a/hawthornkeel/src/forward/server.rs
+++ b/hawthornkeel/src/forward/server.rs
@@ -9,7 +9,7 @@
 use http::StatusCode;
 
 use crate::control::directory::Directory;
-use crate::entry::start::StopReport;
+use crate::entry::server::StopReport;
 use crate::forward::context::Context;
 use crate::forward::desks::Desks;
 use crate::forward::discovery_client;
@@ -118,7 +118,7 @@
     tracing::info!(event = "entry-stopped", cut);
     if cut > 0 {
         control.abort.set();
-        return StopReport::Cut(cut);
+        return StopReport::Aborted(cut);
     }
     StopReport::Complete
 }
--- a/hawthornkeel/src/instance.rs
+++ b/hawthornkeel/src/instance.rs
@@ -22,12 +22,12 @@
 use crate::control::start::Parts;
 use crate::entry::claims::ClaimStore;
 use crate::entry::context::Context;
-use crate::entry::context::Wiring;
+use crate::entry::context::Dependencies;
 use crate::entry::controllers::document;
 use crate::entry::controllers::lease;
-use crate::entry::outlet::Outlet;
-use crate::entry::start::Started;
-use crate::entry::start::StopReport;
+use crate::entry::messaging::PeerMessenger;
+use crate::entry::server::EntryServer;
+use crate::entry::server::StopReport;
 use crate::forward::discovery_server::ControlHandles;
 use crate::forward::discovery_server::DiscoveryServer;
 use crate::forward::operators::OperatorHandler;
@@ -151,7 +151,7 @@
         return Ok(wait_for_stop(stop).await);
     };
     let listen = settings.entry.listen.ok_or(RunError::NoAddress)?;
-    Ok(Started::listen(context, listen)?.serve(stop).await)
+    Ok(EntryServer::listen(context, listen)?.serve(stop).await)
 }
 
 /// Waits until the control role has failed; for ever where there is none.
@@ -214,12 +214,12 @@
 
 /// Creates the state of the entry role, which begins to follow the published state.
 fn open_entry(settings: &Settings, endpoint: &Endpoint, parts: &Parts) -> Rc<Context> {
-    let wiring = Wiring {
+    let dependencies = Dependencies {
         claims: ClaimStore::Control(parts.client.clone()),
-        outlet: Outlet::Peers(endpoint.clone()),
+        messenger: PeerMessenger::Quic(endpoint.clone()),
         lease: lease_settings(settings),
     };
-    let context = Rc::new(Context::new(settings.clone(), wiring));
+    let context = Rc::new(Context::new(settings.clone(), dependencies));
     receive_entry_frames(&context, endpoint);
     monoio::spawn(document::follow(Rc::clone(&context), parts.watch.clone()));
     context
--- a/hawthornkeel/src/peer/frame.rs
+++ b/hawthornkeel/src/peer/frame.rs
@@ -26,7 +26,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::entry::outlet::EntryMessage;
+use crate::entry::messaging::EntryMessage;
 
 /// Message between instances.
 ///
--- a/hawthornkeel/src/trial.rs
+++ b/hawthornkeel/src/trial.rs
@@ -20,11 +20,11 @@
 use crate::entry::claims::ClaimStore;
 use crate::entry::claims::LocalState;
 use crate::entry::context::Context;
-use crate::entry::context::Wiring;
+use crate::entry::context::Dependencies;
 use crate::entry::controllers::document::apply_document;
-use crate::entry::outlet::Outlet;
-use crate::entry::start::Started;
-use crate::entry::start::StopReport;
+use crate::entry::messaging::PeerMessenger;
+use crate::entry::server::EntryServer;
+use crate::entry::server::StopReport;
 use crate::http::server::Limits;
 use crate::http::server::ListenError;
 use crate::http::server::Server;
@@ -53,18 +53,18 @@
 ) -> Result<StopReport, ListenError> {
     let targets = start_targets(&document)?;
     let guide = guide(&document);
-    let context = Rc::new(Context::new(settings(&document, listen), wiring()));
+    let context = Rc::new(Context::new(settings(&document, listen), dependencies()));
     *context.targets.borrow_mut() = targets.clone();
     let now = context.clock.now();
     apply_document(&context, Version(1), document);
     context.router.borrow_mut().update_targets(now, &targets);
-    let started = Started::listen(context, listen)?;
+    let started = EntryServer::listen(context, listen)?;
     tracing::info!(event = "trial-started", address = %started.address());
     println!("{}", guide.replace("{address}", &started.address().to_string()));
     Ok(started.serve(stop).await)
 }
 
-fn wiring() -> Wiring {
+fn dependencies() -> Dependencies {
     let lease = LeaseSettings {
         lease_duration: LEASE_PERIOD,
         renew_interval: LEASE_RENEW,
@@ -72,7 +72,7 @@
         ..LeaseSettings::default()
     };
     let claims = ClaimStore::Local(Rc::new(LocalState::default()));
-    Wiring { claims, outlet: Outlet::Alone, lease }
+    Dependencies { claims, messenger: PeerMessenger::Disabled, lease }
 }
 
 fn settings(document: &Document, listen: SocketAddr) -> Settings {
--- a/hawthornkeel/tests/token_events.rs
+++ b/hawthornkeel/tests/token_events.rs
@@ -24,7 +24,7 @@
         let mut events = TokenEvents::default();
         events.add("a \"b\"");
         events.add("c\n");
-        reply.tokens(events).await;
+        reply.send_tokens(events).await;
         reply.finish(b"{\"text\":\"ac\"}").await;
         let Body::Stream(mut receiver) = response.await.unwrap().body else { panic!("no stream") };
         let expected = "event: token\ndata: {\"text\":\"a \\\"b\\\"\"}\n\n\
