--- a/hawthornkeel/src/forward/server.rs
+++ b/hawthornkeel/src/forward/server.rs
@@ -9,7 +9,7 @@
 use http::StatusCode;
 
 use crate::control::directory::Directory;
-use crate::entry::start::StopReport;
+use crate::entry::server::StopReport;
 use crate::forward::context::Context;
 use crate::forward::discovery_client;
 use crate::forward::handler::ForwardHandler;
@@ -120,7 +120,7 @@
     tracing::info!(event = "entry-stopped", cut = aborted);
     if aborted > 0 {
         control.abort.set();
-        return StopReport::Cut(aborted);
+        return StopReport::Aborted(aborted);
     }
     StopReport::Complete
 }
