--- a/hawthornkeel/benches/control.rs
+++ b/hawthornkeel/benches/control.rs
@@ -20,8 +20,8 @@
 use std::time::Instant;
 
 use hawthornkeel::control::open::Tuning;
-use hawthornkeel::control::pending::BatchLimits;
-use hawthornkeel::control::start::Parts;
+use hawthornkeel::control::proposal_queue::BatchLimits;
+use hawthornkeel::control::start::ControlPlane;
 use hawthornkeel::disk::DiskSettings;
 use hawthornkeel_core::ids::AttemptNumber;
 use hawthornkeel_core::ids::RequestId;
@@ -138,7 +138,7 @@
 }
 
 /// Returns the last log entry and the processor time of a leader, in microseconds.
-async fn reading(cluster: &Cluster, parts: &Parts, leader: &str) -> (f64, f64) {
+async fn reading(cluster: &Cluster, parts: &ControlPlane, leader: &str) -> (f64, f64) {
     let status = status(parts, leader).await.unwrap();
     // The processor time is read by the instance itself, once in a while.
     monoio::time::sleep(Duration::from_millis(50)).await;
@@ -167,7 +167,7 @@
     }
 }
 
-async fn measure(parts: &Parts, claimers: u32) -> Claims {
+async fn measure(parts: &ControlPlane, claimers: u32) -> Claims {
     let latency = Rc::new(RefCell::new(Histogram::new(3).unwrap()));
     let all = Rc::new(Cell::new(0));
     let (refused, unknown) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
@@ -284,7 +284,7 @@
 }
 
 /// Submits changes of a document with as many workspaces as are expected.
-async fn change(parts: &Parts) {
+async fn change(parts: &ControlPlane) {
     let text = large(WORKSPACES);
     for number in 2..2 + CHANGES * RUN.as_secs() {
         assert_eq!(submit(parts, request(number, number - 1, &text)).await, accepted(number));
--- a/hawthornkeel/benches/disk_costs.rs
+++ b/hawthornkeel/benches/disk_costs.rs
@@ -11,7 +11,7 @@
 use hawthornkeel::disk::Disk;
 use hawthornkeel::disk::DiskSettings;
 use hawthornkeel::disk::DiskWriter;
-use hawthornkeel::disk::Report;
+use hawthornkeel::disk::WriterEvent;
 use hawthornkeel_core::ids::LogIndex;
 use hawthornkeel_core::ids::Term;
 use hawthornkeel_core::replica::Entry;
@@ -59,7 +59,7 @@
             times.push(Instant::now());
             writer.save(SaveSeq(sent), save(sent));
         }
-        let Report::Synced(seq) = reports.recv().unwrap() else { panic!("a write failed") };
+        let WriterEvent::Synced(seq) = reports.recv().unwrap() else { panic!("a write failed") };
         syncs += 1;
         let now = Instant::now();
         latencies.extend((synced..seq.0).map(|i| now - times[i as usize]));
@@ -88,7 +88,7 @@
     let start = Instant::now();
     let (_, found) = Disk::open(folder.path(), DiskSettings::default()).unwrap();
     let time = start.elapsed();
-    assert_eq!(found.stored.entries.len() as u64, count);
+    assert_eq!(found.state.entries.len() as u64, count);
     println!("{count:>9} {:>9.1}", time.as_secs_f64() * 1e3);
 }
 
@@ -112,7 +112,7 @@
     let start = Instant::now();
     let (_, found) = Disk::open(folder.path(), DiskSettings::default()).unwrap();
     let read: Duration = start.elapsed();
-    assert!(found.stored.snapshot.is_some());
+    assert!(found.state.snapshot.is_some());
     println!("{megabytes:>5} {:>9.1} {:>9.1}", write.as_secs_f64() * 1e3, read.as_secs_f64() * 1e3);
 }
 
--- a/hawthornkeel/src/admin.rs
+++ b/hawthornkeel/src/admin.rs
@@ -8,10 +8,10 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::control::admin::Admin;
+use crate::control::admin::AdminService;
 use crate::control::admin::SubmitRequest;
 use crate::control::orders::OrderRequest;
-use crate::control::orders::Orders;
+use crate::control::orders::OrderSender;
 use crate::entry::context::Context;
 use crate::http::message::Request;
 use crate::http::message::Response;
@@ -26,7 +26,7 @@
 
 /// Answers operators and scrapes of metrics.
 pub struct AdminHandler {
-    admin: Admin,
+    admin: AdminService,
     metrics: PrometheusHandle,
     orders: Option<TargetOrders>,
 }
@@ -36,14 +36,18 @@
     /// Entry whose targets and document are used.
     pub context: Rc<Context>,
     /// Sends orders while this instance leads.
-    pub orders: Orders,
+    pub orders: OrderSender,
 }
 
 impl AdminHandler {
     /// Creates the handler.
     ///
     /// Only an instance with the entry and the control role takes orders to targets.
-    pub fn new(admin: Admin, metrics: PrometheusHandle, orders: Option<TargetOrders>) -> Self {
+    pub fn new(
+        admin: AdminService,
+        metrics: PrometheusHandle,
+        orders: Option<TargetOrders>,
+    ) -> Self {
         Self { admin, metrics, orders }
     }
 
--- a/hawthornkeel/src/control/carry.rs
+++ b/hawthornkeel/src/control/actions.rs
@@ -17,14 +17,14 @@
 use hawthornkeel_core::replica::Snapshot;
 use hawthornkeel_core::replica::Status;
 
-use crate::control::batch;
+use crate::control::codec;
 use crate::control::error::CodecError;
 use crate::control::error::ControlFailure;
-use crate::control::node::Control;
+use crate::control::node::ControlNode;
 use crate::peer::Frame;
 use crate::peer::frame::Proposed;
 
-impl Control {
+impl ControlNode {
     /// Carries out one action; inputs that follow from it are added to `inputs`.
     pub(super) fn carry_out(
         &self,
@@ -64,7 +64,7 @@
             self.inner.applied.set(entry.index);
             let Payload::Command(data) = &entry.payload else { continue };
             let failure = |e| ControlFailure::Entry(entry.index, e);
-            let commands = batch::decode(data).map_err(failure)?;
+            let commands = codec::decode(data).map_err(failure)?;
             let mut state = self.inner.state.borrow_mut();
             let outcomes = commands.iter().map(|c| state.apply(entry.index, c)).collect();
             drop(state);
@@ -81,7 +81,7 @@
 
     fn restore(&self, snapshot: &Snapshot) -> Result<(), ControlFailure> {
         let failure = |e| ControlFailure::Snapshot(snapshot.index, e);
-        let state = batch::decode_state(&snapshot.data).map_err(failure)?;
+        let state = codec::decode_state(&snapshot.data).map_err(failure)?;
         *self.inner.state.borrow_mut() = state;
         self.inner.applied.set(snapshot.index);
         tracing::info!(event = "snapshot-restored", index = %snapshot.index);
@@ -92,7 +92,7 @@
     fn take_snapshot(&self) -> Result<Input, ControlFailure> {
         let index = self.inner.applied.get();
         let failure = |e: CodecError| ControlFailure::Snapshot(index, e);
-        let data = batch::encode_state(&self.inner.state.borrow()).map_err(failure)?;
+        let data = codec::encode_state(&self.inner.state.borrow()).map_err(failure)?;
         tracing::info!(event = "snapshot-taken", %index, bytes = data.len());
         Ok(Input::Snapshot { index, data })
     }
--- a/hawthornkeel/src/control/admin.rs
+++ b/hawthornkeel/src/control/admin.rs
@@ -23,9 +23,9 @@
 use serde::Serialize;
 
 use crate::control::client::ControlClient;
-use crate::control::client::ControlError;
-use crate::control::follow::Follower;
-use crate::control::gather::ask_all;
+use crate::control::client::ProposeError;
+use crate::control::fan_out::call_all;
+use crate::control::follow::StateFollower;
 use crate::control::gossip::Gossip;
 use crate::peer::Endpoint;
 use crate::peer::Frame;
@@ -106,18 +106,18 @@
 
 /// Handlers of operators' requests; clones share them.
 #[derive(Clone)]
-pub struct Admin {
+pub struct AdminService {
     /// Endpoint of this instance.
     pub endpoint: Endpoint,
     /// State in force at this instance.
-    pub follower: Follower,
+    pub follower: StateFollower,
     /// Way to the control instances.
     pub client: ControlClient,
     /// Spreads orders to take data centres out.
     pub gossip: Gossip,
 }
 
-impl Admin {
+impl AdminService {
     /// Submits an environment document, which the caller has checked.
     pub async fn submit(&self, request: SubmitRequest) -> SubmitResponse {
         let SubmitRequest { operator, operation, expected, text } = request;
@@ -131,8 +131,8 @@
             Ok(Outcome::Submit(SubmitOutcome::Conflict(winner))) => {
                 SubmitResponse::Conflict(winner)
             }
-            Err(ControlError::NoQuorum) => SubmitResponse::NotAccepted,
-            Ok(_) | Err(ControlError::Unknown) => SubmitResponse::Unknown,
+            Err(ProposeError::NoQuorum) => SubmitResponse::NotAccepted,
+            Ok(_) | Err(ProposeError::Unknown) => SubmitResponse::Unknown,
         }
     }
 
@@ -160,8 +160,8 @@
         let command = Command::Centre(order);
         match self.client.propose(command, ORDER_TIMEOUT).await {
             Ok(Outcome::Centre(outcome)) => response(outcome),
-            Err(ControlError::NoQuorum) => CentreResponse::NotAccepted,
-            Ok(_) | Err(ControlError::Unknown) => CentreResponse::Unknown,
+            Err(ProposeError::NoQuorum) => CentreResponse::NotAccepted,
+            Ok(_) | Err(ProposeError::Unknown) => CentreResponse::Unknown,
         }
     }
 
@@ -169,7 +169,7 @@
     pub async fn status(&self) -> StatusResponse {
         let peers: Vec<_> = self.endpoint.peers().map(|p| p.name.clone()).collect();
         let never = |_: &Frame| false;
-        let answers = ask_all(&self.endpoint, &peers, &Frame::Status, STATUS_TIMEOUT, never).await;
+        let answers = call_all(&self.endpoint, &peers, &Frame::Status, STATUS_TIMEOUT, never).await;
         let mut instances = vec![self.follower.status()];
         instances.extend(answers.into_iter().filter_map(|(_, frame)| match frame {
             Frame::StatusReply(status) => Some(status),
--- a/hawthornkeel/src/control/client.rs
+++ b/hawthornkeel/src/control/client.rs
@@ -11,9 +11,9 @@
 use hawthornkeel_core::state::command::Command;
 use hawthornkeel_core::state::command::Outcome;
 
-use crate::control::directory::Directory;
-use crate::control::gather::ask_all;
-use crate::control::node::Control;
+use crate::control::directory::ControlDirectory;
+use crate::control::fan_out::call_all;
+use crate::control::node::ControlNode;
 use crate::peer::Endpoint;
 use crate::peer::Frame;
 use crate::peer::frame::Lead;
@@ -30,14 +30,14 @@
 
 /// Why a proposal has no outcome.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ControlError {
+pub enum ProposeError {
     /// No control instance took the command: it is not in the log and never will be.
     NoQuorum,
     /// A control instance may have taken the command; its outcome is not known.
     Unknown,
 }
 
-impl ControlError {
+impl ProposeError {
     /// Tells whether the command is certainly not in the log.
     pub fn not_proposed(&self) -> bool {
         match self {
@@ -47,7 +47,7 @@
     }
 }
 
-impl fmt::Display for ControlError {
+impl fmt::Display for ProposeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoQuorum => f.write_str("no quorum of control instances can be reached"),
@@ -56,7 +56,7 @@
     }
 }
 
-impl std::error::Error for ControlError {}
+impl std::error::Error for ProposeError {}
 
 /// Client of the control instances; clones share it.
 #[derive(Clone)]
@@ -66,8 +66,8 @@
 
 struct Inner {
     endpoint: Endpoint,
-    control: Option<Control>,
-    directory: Directory,
+    control: Option<ControlNode>,
+    directory: ControlDirectory,
     leader: RefCell<Option<InstanceName>>,
     /// Since when no control instance was known to lead.
     leaderless: Cell<Option<Instant>>,
@@ -77,7 +77,11 @@
 
 impl ControlClient {
     /// Creates a client; `control` is this instance's own role, if any.
-    pub fn new(endpoint: &Endpoint, control: Option<Control>, directory: Directory) -> Self {
+    pub fn new(
+        endpoint: &Endpoint,
+        control: Option<ControlNode>,
+        directory: ControlDirectory,
+    ) -> Self {
         Self {
             inner: Rc::new(Inner {
                 endpoint: endpoint.clone(),
@@ -102,20 +106,20 @@
     /// # Errors
     ///
     /// Fails where no outcome is known within `timeout`;
-    /// [`ControlError::not_proposed`] tells whether it may come about all the same.
+    /// [`ProposeError::not_proposed`] tells whether it may come about all the same.
     pub async fn propose(
         &self,
         command: Command,
         timeout: Duration,
-    ) -> Result<Outcome, ControlError> {
+    ) -> Result<Outcome, ProposeError> {
         if self.inner.refusing.get() {
-            return Err(ControlError::NoQuorum);
+            return Err(ProposeError::NoQuorum);
         }
         let deadline = Instant::now() + timeout;
         let frame = Frame::Propose(command);
         let mut search = Search::default();
         while let Some(remaining) = remaining(deadline) {
-            if search.at >= self.inner.directory.controls().len() {
+            if search.at >= self.inner.directory.instances().len() {
                 if self.is_leaderless() {
                     break;
                 }
@@ -133,14 +137,14 @@
             self.refuse_until_led();
         }
         match search.sent {
-            true => Err(ControlError::Unknown),
-            false => Err(ControlError::NoQuorum),
+            true => Err(ProposeError::Unknown),
+            false => Err(ProposeError::NoQuorum),
         }
     }
 
     /// Returns the instance to try next: the leader once, then the others in turn.
     fn choose(&self, search: &mut Search) -> Option<InstanceName> {
-        let instances = self.inner.directory.controls();
+        let instances = self.inner.directory.instances();
         let leader = self.inner.leader.borrow().clone();
         if let Some(leader) = leader
             && instances.contains(&leader)
@@ -238,9 +242,9 @@
         if self.inner.control.as_ref().is_some_and(|c| c.lead().own) {
             return Some(own.clone());
         }
-        let peers = self.inner.directory.others();
+        let peers = self.inner.directory.peers();
         let leads = |f: &Frame| matches!(f, Frame::LeadReply(Lead { own: true, .. }));
-        let answers = ask_all(&self.inner.endpoint, &peers, &Frame::Lead, ATTEMPT, leads).await;
+        let answers = call_all(&self.inner.endpoint, &peers, &Frame::Lead, ATTEMPT, leads).await;
         answers.into_iter().find(|(_, f)| leads(f)).map(|(name, _)| name)
     }
 }
--- a/hawthornkeel/src/control/directory.rs
+++ b/hawthornkeel/src/control/directory.rs
@@ -14,7 +14,7 @@
 /// Where trust is by certificates the settings name them all. Otherwise the settings name some to
 /// begin with, and the others are learned from whichever answers.
 #[derive(Clone)]
-pub struct Directory {
+pub struct ControlDirectory {
     inner: Rc<Inner>,
 }
 
@@ -24,7 +24,7 @@
     learned: RefCell<Vec<InstanceName>>,
 }
 
-impl Directory {
+impl ControlDirectory {
     /// Creates the directory of the instance with these `settings`.
     pub fn new(settings: &Settings) -> Self {
         let first = match settings.peers.trust {
@@ -38,7 +38,7 @@
     }
 
     /// Takes in the members of the group, as one of them knows them.
-    pub fn learn(&self, members: Vec<InstanceName>) {
+    pub fn update(&self, members: Vec<InstanceName>) {
         if members.is_empty() || *self.inner.learned.borrow() == members {
             return;
         }
@@ -50,7 +50,7 @@
     /// Returns the control instances, with this one first if it has the role.
     ///
     /// Those that were learned come before those of the settings, which may be gone.
-    pub fn controls(&self) -> Vec<InstanceName> {
+    pub fn instances(&self) -> Vec<InstanceName> {
         let mut names: Vec<InstanceName> = self.inner.own.iter().cloned().collect();
         let learned = self.inner.learned.borrow();
         for name in learned.iter().chain(&self.inner.first) {
@@ -62,8 +62,8 @@
     }
 
     /// Returns the other control instances.
-    pub fn others(&self) -> Vec<InstanceName> {
+    pub fn peers(&self) -> Vec<InstanceName> {
         let own = self.inner.own.as_ref();
-        self.controls().into_iter().filter(|n| Some(n) != own).collect()
+        self.instances().into_iter().filter(|n| Some(n) != own).collect()
     }
 }
--- a/hawthornkeel/src/control/error.rs
+++ b/hawthornkeel/src/control/error.rs
@@ -5,7 +5,7 @@
 use hawthornkeel_core::ids::LogIndex;
 use hawthornkeel_core::replica::RecoverError;
 
-use crate::control::batch;
+use crate::control::codec;
 
 /// Entry or snapshot that can't be encoded or decoded.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -22,7 +22,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Version(found) => {
-                write!(f, "unknown version {found}, this build reads {}", batch::VERSION)
+                write!(f, "unknown version {found}, this build reads {}", codec::VERSION)
             }
             Self::Empty => f.write_str("no data"),
             Self::Malformed(e) => write!(f, "malformed: {e}"),
--- a/hawthornkeel/src/control/gather.rs
+++ b/hawthornkeel/src/control/fan_out.rs
@@ -21,7 +21,7 @@
 /// Calls all of `peers` with `frame` and returns the answers that came within `timeout`.
 ///
 /// Returns early once `enough` is satisfied by an answer.
-pub async fn ask_all(
+pub async fn call_all(
     endpoint: &Endpoint,
     peers: &[InstanceName],
     frame: &Frame,
--- a/hawthornkeel/src/control/follow.rs
+++ b/hawthornkeel/src/control/follow.rs
@@ -12,8 +12,8 @@
 use hawthornkeel_core::names::InstanceName;
 use hawthornkeel_core::state::published::PublishedState;
 
-use crate::control::gather::ask_all;
-use crate::control::node::Control;
+use crate::control::fan_out::call_all;
+use crate::control::node::ControlNode;
 use crate::control::sources::Source;
 use crate::control::sources::control_peers;
 use crate::control::sources::sources;
@@ -42,17 +42,17 @@
 
 /// Follows the published state on behalf of one instance.
 #[derive(Clone)]
-pub struct Follower {
+pub struct StateFollower {
     endpoint: Endpoint,
-    control: Option<Control>,
+    control: Option<ControlNode>,
     watch: Watch,
     sources: Vec<Source>,
     controls: Vec<InstanceName>,
 }
 
-impl Follower {
+impl StateFollower {
     /// Starts to follow, and to serve followers; `control` is this instance's own role, if any.
-    pub fn start(settings: &Settings, endpoint: &Endpoint, control: Option<Control>) -> Self {
+    pub fn start(settings: &Settings, endpoint: &Endpoint, control: Option<ControlNode>) -> Self {
         let follower = Self {
             endpoint: endpoint.clone(),
             control,
@@ -94,20 +94,20 @@
 
     /// Returns what is in force at this instance.
     pub fn status(&self) -> InstanceStatus {
-        let control = self.control.as_ref().map(Control::status);
+        let control = self.control.as_ref().map(ControlNode::status);
         InstanceStatus { control, ..self.watch.status(self.endpoint.name()) }
     }
 
     /// Returns the state that holds everything acknowledged so far, if this instance leads.
-    pub async fn confirmed(&self) -> Option<PublishedState> {
+    pub async fn linearizable_state(&self) -> Option<PublishedState> {
         let control = self.control.as_ref()?;
-        control.confirm().await.then(|| control.published())
+        control.read_barrier().await.then(|| control.published())
     }
 
     /// Answers with the state that holds everything acknowledged so far, if this instance leads.
     async fn latest(&self) -> Followed {
-        let Some(published) = self.confirmed().await else { return Followed::default() };
-        let holds = self.watch.followed(None).holds;
+        let Some(published) = self.linearizable_state().await else { return Followed::default() };
+        let holds = self.watch.reply_after(None).holds;
         Followed { published: Some(published), holds, age_ms: Some(0) }
     }
 
@@ -116,12 +116,12 @@
         let deadline = monoio::time::Instant::now() + wait;
         loop {
             let seen = self.watch.changes().count();
-            let followed = self.watch.followed(after);
+            let followed = self.watch.reply_after(after);
             let changed = self.watch.changes().after(seen);
             if followed.published.is_some()
                 || monoio::time::timeout_at(deadline, changed).await.is_err()
             {
-                return self.watch.followed(after);
+                return self.watch.reply_after(after);
             }
         }
     }
@@ -159,13 +159,13 @@
             let latest = Frame::Follow(Follow::Latest);
             self.absorb_all(&self.controls, &latest).await;
             if self.control.is_some() {
-                self.watch.absorb(self.latest().await);
+                self.watch.merge(self.latest().await);
             }
             if self.watch.index().is_none() && start.elapsed() > LEADER_WAIT {
                 let newest = Frame::Follow(Follow::Newer { after: None, wait_ms: 0 });
                 self.absorb_all(&peers, &newest).await;
                 if let Some(control) = &self.control {
-                    self.watch.offer(control.published());
+                    self.watch.update(control.published());
                 }
             }
             if self.watch.index().is_none() {
@@ -177,7 +177,7 @@
     async fn absorb_all(&self, peers: &[InstanceName], frame: &Frame) {
         let latest = matches!(frame, Frame::Follow(Follow::Latest));
         let enough = |f: &Frame| latest && matches!(f, Frame::Followed(f) if f.published.is_some());
-        let answers = ask_all(&self.endpoint, peers, frame, ANSWER_TIMEOUT, enough).await;
+        let answers = call_all(&self.endpoint, peers, frame, ANSWER_TIMEOUT, enough).await;
         let mut answers: Vec<_> = answers
             .into_iter()
             .filter_map(|(_, frame)| match frame {
@@ -188,7 +188,7 @@
         // The newest goes first, so that none of the older ones comes into force in between.
         answers.sort_by_key(|f| std::cmp::Reverse(f.published.as_ref().map(|p| p.index)));
         for followed in answers {
-            self.watch.absorb(followed);
+            self.watch.merge(followed);
         }
     }
 
@@ -200,7 +200,7 @@
         };
         let Some(followed) = followed else { return Freshness::CutOff };
         let age = followed.age_ms.map(Duration::from_millis);
-        self.watch.absorb(followed);
+        self.watch.merge(followed);
         match age {
             Some(age) if age <= MAX_AGE => Freshness::Fresh,
             _ => Freshness::CutOff,
--- a/hawthornkeel/src/control/gossip.rs
+++ b/hawthornkeel/src/control/gossip.rs
@@ -15,7 +15,7 @@
 use rand::seq::IndexedRandom;
 
 use crate::control::client::ControlClient;
-use crate::control::client::ControlError;
+use crate::control::client::ProposeError;
 use crate::control::watch::Watch;
 use crate::peer::Endpoint;
 use crate::peer::Frame;
@@ -66,7 +66,7 @@
     /// Takes an order in from an operator, and passes it on.
     pub fn take_out(&self, order: &CentreOrder) -> MergeOutcome {
         let hold = TakeOut { order: order.clone(), log_index: None };
-        let heard = self.inner.watch.hear(&hold);
+        let heard = self.inner.watch.merge_take_out(&hold);
         if heard == MergeOutcome::New {
             self.spread(&[hold], None);
             self.repeat();
@@ -79,19 +79,19 @@
     /// # Errors
     ///
     /// Fails like [`ControlClient::propose`].
-    pub async fn log(&self, order: &CentreOrder) -> Result<CentreOutcome, ControlError> {
+    pub async fn log(&self, order: &CentreOrder) -> Result<CentreOutcome, ProposeError> {
         let command = Command::Centre(order.clone());
         let outcome = match self.inner.client.propose(command, LOG_TIMEOUT).await? {
             Outcome::Centre(outcome) => outcome,
-            _ => return Err(ControlError::Unknown),
+            _ => return Err(ProposeError::Unknown),
         };
         let floor = match &outcome {
             CentreOutcome::Recorded(record) => record.index,
             // The number was used before. What was taken out stays out until a later order.
             CentreOutcome::Conflict(_) => self.next_index(),
         };
-        self.inner.watch.logged(order, floor);
-        if let Some(hold) = self.inner.watch.hold(order) {
+        self.inner.watch.mark_logged(order, floor);
+        if let Some(hold) = self.inner.watch.take_out(order) {
             self.spread(&[hold], None);
         }
         Ok(outcome)
@@ -104,7 +104,7 @@
 
     fn hear(&self, from: &InstanceName, holds: &[TakeOut]) {
         for hold in holds {
-            match self.inner.watch.hear(hold) {
+            match self.inner.watch.merge_take_out(hold) {
                 MergeOutcome::New => {
                     self.spread(std::slice::from_ref(hold), Some(from));
                     self.repeat();
@@ -118,7 +118,7 @@
 
     /// Tells a peer what is known of an order.
     fn answer(&self, to: &InstanceName, order: &CentreOrder) {
-        if let Some(hold) = self.inner.watch.hold(order) {
+        if let Some(hold) = self.inner.watch.take_out(order) {
             self.send(to, &[hold]);
         }
     }
--- a/hawthornkeel/src/control/node.rs
+++ b/hawthornkeel/src/control/node.rs
@@ -30,11 +30,11 @@
 
 use crate::clock::boot_now;
 use crate::clock::wall_now;
-use crate::control::batch;
+use crate::control::codec;
 use crate::control::error::ControlFailure;
-use crate::control::pending::BatchLimits;
-use crate::control::pending::Pending;
-use crate::control::saver::Saver;
+use crate::control::proposal_queue::BatchLimits;
+use crate::control::proposal_queue::ProposalQueue;
+use crate::control::storage::LogStorage;
 use crate::peer::Endpoint;
 use crate::peer::Frame;
 use crate::peer::frame::ControlStatus;
@@ -60,7 +60,7 @@
 
 /// Control instance; clones share it.
 #[derive(Clone)]
-pub struct Control {
+pub struct ControlNode {
     pub(super) inner: Rc<Inner>,
 }
 
@@ -68,12 +68,12 @@
 pub(super) struct Inner {
     pub(super) endpoint: Endpoint,
     /// Disk, until the role ends.
-    pub(super) saver: RefCell<Option<Box<dyn Saver>>>,
+    pub(super) saver: RefCell<Option<Box<dyn LogStorage>>>,
     pub(super) replica: RefCell<Replica>,
     pub(super) state: RefCell<State>,
     /// Last entry that the state includes.
     pub(super) applied: Cell<LogIndex>,
-    pub(super) pending: RefCell<Pending>,
+    pub(super) pending: RefCell<ProposalQueue>,
     /// Reads that wait for the lease, with where the answer goes.
     pub(super) reads: RefCell<IndexMap<ReadId, oneshot::Sender<bool>>>,
     pub(super) next: Cell<u64>,
@@ -87,7 +87,7 @@
     pub(super) failed: Signal,
 }
 
-impl Control {
+impl ControlNode {
     /// Starts the replica and serves its frames on `endpoint`.
     ///
     /// # Errors
@@ -96,7 +96,7 @@
     pub fn start(
         options: ControlOptions,
         endpoint: Endpoint,
-        saver: Box<dyn Saver>,
+        saver: Box<dyn LogStorage>,
     ) -> Result<Self, ControlFailure> {
         let ControlOptions { node, settings, batch, rng, stored } = options;
         let replica = Replica::recover(node, settings, rng, boot_now(), stored)?;
@@ -107,7 +107,7 @@
                 replica: RefCell::new(replica),
                 state: RefCell::default(),
                 applied: Cell::default(),
-                pending: RefCell::new(Pending::new(batch)),
+                pending: RefCell::new(ProposalQueue::new(batch)),
                 reads: RefCell::default(),
                 next: Cell::new(0),
                 flushing: Cell::new(false),
@@ -175,7 +175,7 @@
     /// Waits until this instance's state is known to hold everything acknowledged so far.
     ///
     /// Returns whether that could be confirmed; only a leader with its lease can.
-    pub async fn confirm(&self) -> bool {
+    pub async fn read_barrier(&self) -> bool {
         let id = ReadId(self.next_number());
         let (sender, ready) = oneshot::channel();
         self.inner.reads.borrow_mut().insert(id, sender);
@@ -235,7 +235,7 @@
     }
 
     /// Hands the lead over to another voter, as before a planned stop; nothing happens elsewhere.
-    pub fn hand_over(&self) {
+    pub fn transfer_leadership(&self) {
         self.input(Input::TransferLeadership);
     }
 
@@ -303,7 +303,7 @@
             let id = ProposalId(self.next_number());
             let batch = self.inner.pending.borrow_mut().take(id, wall_now());
             let Some(batch) = batch else { return };
-            match batch::encode(&batch) {
+            match codec::encode(&batch) {
                 Ok(data) => self.input(Input::Propose(vec![Proposal { id, data }])),
                 Err(error) => {
                     tracing::error!(event = "batch-refused", %error);
--- a/hawthornkeel/src/control/open.rs
+++ b/hawthornkeel/src/control/open.rs
@@ -13,16 +13,16 @@
 use rand_chacha::rand_core::SeedableRng;
 
 use crate::control::error::ControlFailure;
-use crate::control::node::Control;
+use crate::control::node::ControlNode;
 use crate::control::node::ControlOptions;
-use crate::control::pending::BatchLimits;
-use crate::control::saver::Saver;
+use crate::control::proposal_queue::BatchLimits;
 use crate::control::start;
+use crate::control::storage::LogStorage;
 use crate::disk::Disk;
 use crate::disk::DiskError;
 use crate::disk::DiskSettings;
 use crate::disk::DiskWriter;
-use crate::disk::Report;
+use crate::disk::WriterEvent;
 use crate::peer::Endpoint;
 
 /// Why the control role can't start.
@@ -80,7 +80,7 @@
     writer: DiskWriter,
 }
 
-impl Saver for FolderSaver {
+impl LogStorage for FolderSaver {
     fn save(&self, seq: SaveSeq, save: Save) {
         self.writer.save(seq, save);
     }
@@ -90,7 +90,7 @@
 ///
 /// # Errors
 /// Fails where the data folder is in use, damaged, or can't be read or written.
-pub fn open_control(settings: &Settings, endpoint: &Endpoint) -> Result<Control, OpenError> {
+pub fn open_control(settings: &Settings, endpoint: &Endpoint) -> Result<ControlNode, OpenError> {
     open_with(settings, endpoint, Tuning::default())
 }
 
@@ -102,10 +102,10 @@
     settings: &Settings,
     endpoint: &Endpoint,
     tuning: Tuning,
-) -> Result<Control, OpenError> {
+) -> Result<ControlNode, OpenError> {
     let (disk, recovered) = Disk::open(&settings.control.data, tuning.disk)?;
     let replica = recovered.id;
-    tracing::info!(event = "data-folder-opened", %replica, cut_bytes = recovered.cut);
+    tracing::info!(event = "data-folder-opened", %replica, cut_bytes = recovered.truncated_bytes);
     let (sender, receiver) = mpsc::unbounded();
     let writer = DiskWriter::start(disk, move |report| {
         // The receiver is gone only once the process ends.
@@ -113,22 +113,22 @@
     })?;
     let options = ControlOptions {
         node: Node { id: replica, name: endpoint.name().clone() },
-        settings: start::log_settings(settings),
+        settings: start::replica_settings(settings),
         batch: tuning.batch,
         rng: ChaCha8Rng::seed_from_u64(rand::random()),
-        stored: recovered.stored,
+        stored: recovered.state,
     };
-    let control = Control::start(options, endpoint.clone(), Box::new(FolderSaver { writer }))?;
+    let control = ControlNode::start(options, endpoint.clone(), Box::new(FolderSaver { writer }))?;
     monoio::spawn(take_reports(control.clone(), receiver));
     Ok(control)
 }
 
 /// Hands the disk's reports to the control role.
-async fn take_reports(control: Control, mut receiver: mpsc::UnboundedReceiver<Report>) {
+async fn take_reports(control: ControlNode, mut receiver: mpsc::UnboundedReceiver<WriterEvent>) {
     while let Ok(report) = receiver.recv().await {
         match report {
-            Report::Synced(seq) => control.synced(seq),
-            Report::Failed(error) => control.fail(ControlFailure::Disk(error.to_string())),
+            WriterEvent::Synced(seq) => control.synced(seq),
+            WriterEvent::Failed(error) => control.fail(ControlFailure::Disk(error.to_string())),
         }
     }
 }
--- a/hawthornkeel/src/control/orders.rs
+++ b/hawthornkeel/src/control/orders.rs
@@ -21,7 +21,7 @@
 use serde::Serialize;
 
 use crate::clock::boot_now;
-use crate::control::node::Control;
+use crate::control::node::ControlNode;
 use crate::peer::frame::Proposed;
 use crate::target::call::Call;
 use crate::target::client::Client;
@@ -80,16 +80,16 @@
 
 /// Sends orders while this instance leads; clones share it.
 #[derive(Clone)]
-pub struct Orders {
-    control: Control,
+pub struct OrderSender {
+    control: ControlNode,
     client: Client,
     settings: OrderSettings,
     gate: Rc<RefCell<OrderGate>>,
 }
 
-impl Orders {
+impl OrderSender {
     /// Starts to watch whether `control` leads.
-    pub fn start(control: Control, client: Client, settings: OrderSettings) -> Self {
+    pub fn start(control: ControlNode, client: Client, settings: OrderSettings) -> Self {
         let gate = Rc::new(RefCell::new(OrderGate::new(settings)));
         let orders = Self { control, client, settings, gate };
         monoio::spawn(orders.clone().watch());
--- a/hawthornkeel/src/control/pending.rs
+++ b/hawthornkeel/src/control/proposal_queue.rs
@@ -47,13 +47,13 @@
 
 /// Commands on their way into the log.
 #[derive(Default)]
-pub struct Pending {
+pub struct ProposalQueue {
     limits: BatchLimits,
     waiting: VecDeque<(Command, Waiter)>,
     proposed: IndexMap<ProposalId, Vec<Waiter>>,
 }
 
-impl Pending {
+impl ProposalQueue {
     /// Creates an empty set under `limits`.
     pub fn new(limits: BatchLimits) -> Self {
         Self { limits, ..Self::default() }
--- a/hawthornkeel/src/control/start.rs
+++ b/hawthornkeel/src/control/start.rs
@@ -7,12 +7,12 @@
 use hawthornkeel_core::replica::ReplicaSettings;
 use hawthornkeel_core::replica::VoterPolicy;
 
-use crate::control::admin::Admin;
+use crate::control::admin::AdminService;
 use crate::control::client::ControlClient;
-use crate::control::directory::Directory;
-use crate::control::follow::Follower;
+use crate::control::directory::ControlDirectory;
+use crate::control::follow::StateFollower;
 use crate::control::gossip::Gossip;
-use crate::control::node::Control;
+use crate::control::node::ControlNode;
 use crate::control::watch::Watch;
 use crate::peer::Endpoint;
 
@@ -29,28 +29,33 @@
 
 /// What an instance has of the control plane.
 #[derive(Clone)]
-pub struct Parts {
+pub struct ControlPlane {
     /// Control role, if the instance has it.
-    pub control: Option<Control>,
+    pub control: Option<ControlNode>,
     /// Published state in force.
     pub watch: Watch,
     /// Way to the control instances.
     pub client: ControlClient,
     /// Control instances that are known.
-    pub directory: Directory,
+    pub directory: ControlDirectory,
     /// Handlers of operators' requests.
-    pub admin: Admin,
+    pub admin: AdminService,
 }
 
 /// Starts what every instance has; `control` is its own control role, if any.
-pub fn start(settings: &Settings, endpoint: &Endpoint, control: Option<Control>) -> Parts {
-    let follower = Follower::start(settings, endpoint, control.clone());
+pub fn start(
+    settings: &Settings,
+    endpoint: &Endpoint,
+    control: Option<ControlNode>,
+) -> ControlPlane {
+    let follower = StateFollower::start(settings, endpoint, control.clone());
     let watch = follower.watch().clone();
-    let directory = Directory::new(settings);
+    let directory = ControlDirectory::new(settings);
     let client = ControlClient::new(endpoint, control.clone(), directory.clone());
     let gossip = Gossip::start(endpoint, &watch, &client);
-    let admin = Admin { endpoint: endpoint.clone(), follower, client: client.clone(), gossip };
-    Parts { control, watch, client, directory, admin }
+    let admin =
+        AdminService { endpoint: endpoint.clone(), follower, client: client.clone(), gossip };
+    ControlPlane { control, watch, client, directory, admin }
 }
 
 /// Returns which learners become voters by themselves.
@@ -66,7 +71,7 @@
 }
 
 /// Returns the settings of the replicated log that `settings` call for.
-pub fn log_settings(settings: &Settings) -> ReplicaSettings {
+pub fn replica_settings(settings: &Settings) -> ReplicaSettings {
     let control = &settings.control;
     let election_timeout = Duration::from_millis(control.election_ms);
     ReplicaSettings {
--- a/hawthornkeel/src/control/watch.rs
+++ b/hawthornkeel/src/control/watch.rs
@@ -41,7 +41,7 @@
     /// Puts `published` in force unless one with the same or a higher index is.
     ///
     /// Returns whether it is in force now.
-    pub fn offer(&self, published: PublishedState) -> bool {
+    pub fn update(&self, published: PublishedState) -> bool {
         let current = self.index();
         if current.is_some_and(|index| published.index <= index) {
             return false;
@@ -75,7 +75,7 @@
     }
 
     /// Takes in an order to take a data centre out.
-    pub fn hear(&self, hold: &TakeOut) -> MergeOutcome {
+    pub fn merge_take_out(&self, hold: &TakeOut) -> MergeOutcome {
         let heard = self.inner.holds.borrow_mut().merge(hold);
         if heard == MergeOutcome::New {
             let CentreOrder { operator, operation, centre, .. } = &hold.order;
@@ -86,13 +86,13 @@
     }
 
     /// Notes that the log decides on `order` from `index` on.
-    pub fn logged(&self, order: &CentreOrder, index: LogIndex) {
+    pub fn mark_logged(&self, order: &CentreOrder, index: LogIndex) {
         self.inner.holds.borrow_mut().mark_logged(order, index);
         self.inner.changed.notify();
     }
 
     /// Returns what is known of an order.
-    pub fn hold(&self, order: &CentreOrder) -> Option<TakeOut> {
+    pub fn take_out(&self, order: &CentreOrder) -> Option<TakeOut> {
         self.inner.holds.borrow().get(order).cloned()
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Notes that the state was that of a group with a leader `age` ago.
-    pub fn confirm(&self, age: Duration) {
+    pub fn record_confirmation(&self, age: Duration) {
         let age = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
         let at = boot_now().as_micros().checked_sub(age).map(Instant::from_micros);
         self.inner.confirmed.set(self.inner.confirmed.get().max(at));
@@ -114,7 +114,7 @@
     }
 
     /// Answers a follower that has the state at `after`.
-    pub fn followed(&self, after: Option<LogIndex>) -> Followed {
+    pub fn reply_after(&self, after: Option<LogIndex>) -> Followed {
         let published = self.current().filter(|p| after.is_none_or(|a| p.index > a));
         Followed {
             published: published.map(|p| PublishedState::clone(&p)),
@@ -124,15 +124,15 @@
     }
 
     /// Takes in what another instance answered.
-    pub fn absorb(&self, followed: Followed) {
+    pub fn merge(&self, followed: Followed) {
         for hold in &followed.holds {
-            self.hear(hold);
+            self.merge_take_out(hold);
         }
         if let Some(published) = followed.published {
-            self.offer(published);
+            self.update(published);
         }
         if let Some(age) = followed.age_ms {
-            self.confirm(Duration::from_millis(age));
+            self.record_confirmation(Duration::from_millis(age));
         }
     }
 
--- a/hawthornkeel/src/disk/files.rs
+++ b/hawthornkeel/src/disk/file_io.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 
 /// Writes and syncs of open files.
-pub trait Files: Clone + Debug + Send + 'static {
+pub trait FileIo: Clone + Debug + Send + 'static {
     /// Writes all of `data` at the file's position.
     ///
     /// # Errors
@@ -24,9 +24,9 @@
 
 /// Writes and syncs of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Kernel;
+pub struct SystemIo;
 
-impl Files for Kernel {
+impl FileIo for SystemIo {
     fn write(&mut self, file: &mut File, data: &[u8]) -> io::Result<()> {
         file.write_all(data)
     }
--- a/hawthornkeel/src/disk/folder.rs
+++ b/hawthornkeel/src/disk/folder.rs
@@ -12,7 +12,7 @@
 use rustix::io::Errno;
 
 use crate::disk::error::DiskError;
-use crate::disk::files::Files;
+use crate::disk::file_io::FileIo;
 use crate::disk::frame;
 use crate::disk::frame::Kind;
 use crate::disk::frame::Record;
@@ -51,7 +51,7 @@
 }
 
 /// Writes a file aside, syncs it and renames it to `path`, so that it appears whole or not at all.
-pub(super) fn write_whole<F: Files>(
+pub(super) fn write_whole<F: FileIo>(
     path: &Path,
     data: &[u8],
     files: &mut F,
@@ -62,7 +62,7 @@
 }
 
 /// Writes the content of `path` to a file beside it, and syncs that.
-pub(super) fn write_aside<F: Files>(
+pub(super) fn write_aside<F: FileIo>(
     path: &Path,
     data: &[u8],
     files: &mut F,
@@ -126,7 +126,7 @@
 /// Draws the identity of an empty folder.
 ///
 /// The first segment goes before it, so that a folder with an identity always has a log.
-pub(super) fn draw_identity<F: Files>(path: &Path, files: &mut F) -> Result<ReplicaId, DiskError> {
+pub(super) fn draw_identity<F: FileIo>(path: &Path, files: &mut F) -> Result<ReplicaId, DiskError> {
     let first = segment::path(path, FIRST_SEGMENT);
     let empty = Record { hard: None, truncate: None, entries: &[] };
     for file in list(path)? {
--- a/hawthornkeel/src/disk/mod.rs
+++ b/hawthornkeel/src/disk/mod.rs
@@ -13,7 +13,7 @@
 //!   back and written again.
 
 mod error;
-mod files;
+mod file_io;
 mod folder;
 mod frame;
 mod recover;
@@ -36,13 +36,13 @@
 use hawthornkeel_core::replica::Snapshot;
 
 pub use crate::disk::error::DiskError;
-pub use crate::disk::files::Files;
-pub use crate::disk::files::Kernel;
+pub use crate::disk::file_io::FileIo;
+pub use crate::disk::file_io::SystemIo;
 use crate::disk::folder::Lock;
 use crate::disk::frame::Record;
 use crate::disk::segment::Segment;
 pub use crate::disk::writer::DiskWriter;
-pub use crate::disk::writer::Report;
+pub use crate::disk::writer::WriterEvent;
 
 /// Settings of a data folder.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -65,14 +65,14 @@
     /// Identity of the folder.
     pub id: ReplicaId,
     /// State of the replica.
-    pub stored: PersistedState,
+    pub state: PersistedState,
     /// Size of the torn end of the log that was cut off, in bytes.
-    pub cut: u64,
+    pub truncated_bytes: u64,
 }
 
 /// Open data folder. Its calls block.
 #[derive(Debug)]
-pub struct Disk<F: Files = Kernel> {
+pub struct Disk<F: FileIo = SystemIo> {
     path: PathBuf,
     settings: DiskSettings,
     files: F,
@@ -94,11 +94,11 @@
     /// Returns an error where the folder is in use, damaged, of an unknown format version, or can't
     /// be read or written.
     pub fn open(path: &Path, settings: DiskSettings) -> Result<(Self, Recovered), DiskError> {
-        Self::open_with(path, settings, Kernel)
+        Self::open_with(path, settings, SystemIo)
     }
 }
 
-impl<F: Files> Disk<F> {
+impl<F: FileIo> Disk<F> {
     /// Opens the data folder at `path` with other means of writing and syncing.
     ///
     /// # Errors
@@ -116,15 +116,15 @@
             None => folder::draw_identity(path, &mut files)?,
         };
         let found = recover::recover(path)?;
-        let recovered = Recovered { id, stored: found.stored, cut: found.cut };
-        let last = recovered.stored.entries.last().map_or(LogIndex(0), |e| e.index);
+        let recovered = Recovered { id, state: found.stored, truncated_bytes: found.cut };
+        let last = recovered.state.entries.last().map_or(LogIndex(0), |e| e.index);
         let disk = Self {
             path: path.to_owned(),
             settings,
             files,
             segments: found.segments,
             file: found.file,
-            hard: recovered.stored.hard,
+            hard: recovered.state.hard,
             last,
             poisoned: false,
             _lock: lock,
@@ -168,7 +168,7 @@
     /// # Errors
     ///
     /// Returns an error where the end of the frame can't be cut off; the folder stays as it was.
-    pub fn take_back(&mut self) -> Result<(), DiskError> {
+    pub fn rollback(&mut self) -> Result<(), DiskError> {
         let Some(segment) = self.segments.last() else { return Err(DiskError::Poisoned) };
         let path = segment::path(&self.path, segment.number);
         self.file.set_len(segment.bytes).map_err(|e| DiskError::write(&path, e))?;
--- a/hawthornkeel/src/disk/segment.rs
+++ b/hawthornkeel/src/disk/segment.rs
@@ -8,7 +8,7 @@
 use hawthornkeel_core::ids::LogIndex;
 
 use crate::disk::error::DiskError;
-use crate::disk::files::Files;
+use crate::disk::file_io::FileIo;
 use crate::disk::folder;
 use crate::disk::frame;
 use crate::disk::frame::Kind;
@@ -44,7 +44,7 @@
 }
 
 /// Creates a segment that begins with `records`, and returns it with its size in bytes.
-pub(super) fn create<F: Files>(
+pub(super) fn create<F: FileIo>(
     folder: &Path,
     number: u64,
     records: &[Record<'_>],
--- a/hawthornkeel/src/disk/snapshot.rs
+++ b/hawthornkeel/src/disk/snapshot.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use crate::disk::error::DiskError;
-use crate::disk::files::Files;
+use crate::disk::file_io::FileIo;
 use crate::disk::folder;
 use crate::disk::frame;
 use crate::disk::frame::Kind;
@@ -40,7 +40,7 @@
 }
 
 /// Writes a snapshot aside, with the first segment of the log that counts.
-pub(super) fn write_aside<F: Files>(
+pub(super) fn write_aside<F: FileIo>(
     folder: &Path,
     snapshot: &Snapshot,
     first: u64,
--- a/hawthornkeel/src/disk/writer.rs
+++ b/hawthornkeel/src/disk/writer.rs
@@ -20,7 +20,7 @@
 
 use crate::disk::Disk;
 use crate::disk::error::DiskError;
-use crate::disk::files::Files;
+use crate::disk::file_io::FileIo;
 use crate::disk::folder;
 use crate::disk::snapshot;
 
@@ -31,7 +31,7 @@
 
 /// What the writer reports.
 #[derive(Debug)]
-pub enum Report {
+pub enum WriterEvent {
     /// The save with this sequence number and all before it are on disk.
     ///
     /// Snapshots of the replica's own state ([`LogRetention::From`]) may still be on their way.
@@ -73,9 +73,9 @@
     /// # Errors
     ///
     /// Returns the error of the operating system where it has no thread left.
-    pub fn start<F: Files>(
+    pub fn start<F: FileIo>(
         disk: Disk<F>,
-        mut report: impl FnMut(Report) + Send + 'static,
+        mut report: impl FnMut(WriterEvent) + Send + 'static,
     ) -> io::Result<Self> {
         let (sender, receiver) = mpsc::channel();
         let thread = thread::Builder::new().name("disk".to_owned());
@@ -84,7 +84,7 @@
         let thread = thread.spawn(move || {
             let mut worker = Worker { disk, job: None, ending: seen };
             if let Err(error) = worker.run(&receiver, &mut report) {
-                report(Report::Failed(error));
+                report(WriterEvent::Failed(error));
             }
         })?;
         Ok(Self { sender: Some(sender), thread: Some(thread), ending })
@@ -117,19 +117,19 @@
 }
 
 /// State of the thread.
-struct Worker<F: Files> {
+struct Worker<F: FileIo> {
     disk: Disk<F>,
     job: Option<Job>,
     /// Whether the writer is being dropped.
     ending: Arc<AtomicBool>,
 }
 
-impl<F: Files> Worker<F> {
+impl<F: FileIo> Worker<F> {
     /// Writes until there is nothing to come; saves that wait share one sync.
     fn run(
         &mut self,
         receiver: &Receiver<Order>,
-        report: &mut impl FnMut(Report),
+        report: &mut impl FnMut(WriterEvent),
     ) -> Result<(), DiskError> {
         let mut saves = Vec::new();
         while let Ok(order) = receiver.recv() {
@@ -141,7 +141,7 @@
             self.write(&saves)?;
             saves.clear();
             if let Some(seq) = seq {
-                report(Report::Synced(seq));
+                report(WriterEvent::Synced(seq));
             }
         }
         Ok(())
@@ -166,7 +166,7 @@
                 tracing::warn!(event = "disk-full", %error);
             }
             let since = *since.get_or_insert_with(Instant::now);
-            while let Err(full) = self.disk.take_back() {
+            while let Err(full) = self.disk.rollback() {
                 if self.ends(since) || !matches!(full, DiskError::Full(_)) {
                     return Err(full);
                 }
--- a/hawthornkeel/src/entry/claims.rs
+++ b/hawthornkeel/src/entry/claims.rs
@@ -17,7 +17,7 @@
 
 use crate::clock::wall_now;
 use crate::control::client::ControlClient;
-use crate::control::client::ControlError;
+use crate::control::client::ProposeError;
 
 /// Time for a claim to be decided.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
@@ -99,7 +99,7 @@
         tracing::warn!(event = "settle-given-up", request, stage = settle.key.stage.0);
     }
 
-    async fn propose(&self, command: Command, timeout: Duration) -> Result<Outcome, ControlError> {
+    async fn propose(&self, command: Command, timeout: Duration) -> Result<Outcome, ProposeError> {
         match self {
             Self::Local(state) => Ok(state.apply(command)),
             Self::Control(client) => client.propose(command, timeout).await,
--- a/hawthornkeel/src/forward/context.rs
+++ b/hawthornkeel/src/forward/context.rs
@@ -19,7 +19,7 @@
 use indexmap::IndexMap;
 
 use crate::clock::boot_now;
-use crate::control::directory::Directory;
+use crate::control::directory::ControlDirectory;
 use crate::control::watch::Watch;
 use crate::forward::exchange::Exchanges;
 use crate::peer::Endpoint;
@@ -40,7 +40,7 @@
     /// Published state in force, with its age.
     pub watch: Watch,
     /// Control instances that are known.
-    pub directory: Directory,
+    pub directory: ControlDirectory,
     /// Connections to targets.
     pub exchanges: Exchanges,
     /// Targets.
@@ -98,7 +98,7 @@
 
 impl Context {
     /// Creates the context of an entry that knows nothing yet.
-    pub fn new(settings: Settings, endpoint: Endpoint, directory: Directory) -> Self {
+    pub fn new(settings: Settings, endpoint: Endpoint, directory: ControlDirectory) -> Self {
         Self {
             settings,
             endpoint,
--- a/hawthornkeel/src/forward/discovery_client.rs
+++ b/hawthornkeel/src/forward/discovery_client.rs
@@ -36,7 +36,7 @@
     let mut at = start(&context);
     let mut mark = None;
     loop {
-        let controls = context.directory.controls();
+        let controls = context.directory.instances();
         let Some(control) = controls.get(at.checked_rem(controls.len()).unwrap_or_default()) else {
             monoio::time::sleep(PAUSE).await;
             continue;
@@ -86,13 +86,13 @@
 fn absorb(context: &Context, desks: &Desks, surveyed: Surveyed, asked: Instant) -> Option<u64> {
     let Surveyed { followed, listing, controls, entries, .. } = surveyed;
     let now = boot_now();
-    context.directory.learn(controls);
+    context.directory.update(controls);
     let before = context.watch.index();
     let waited = u64::try_from(asked.elapsed().as_millis()).unwrap_or(u64::MAX);
     let mut followed = followed;
     // The answer may have been on its way for that long.
     followed.age_ms = followed.age_ms.map(|a| a.saturating_add(waited));
-    context.watch.absorb(followed);
+    context.watch.merge(followed);
     let changed = context.watch.index() != before;
     if changed {
         take_document(context, desks);
@@ -155,7 +155,7 @@
 /// Tells the control instances whether this entry is about to stop.
 pub fn send_presence(context: &Context, leaving: bool) {
     let presence = Presence { centre: context.centre().clone(), leaving };
-    for control in context.directory.others() {
+    for control in context.directory.peers() {
         let frame = Frame::Present(presence.clone());
         if let Err(error) = context.endpoint.send(&control, &frame) {
             tracing::info!(event = "presence-unsent", %control, %error);
--- a/hawthornkeel/src/forward/discovery_server.rs
+++ b/hawthornkeel/src/forward/discovery_server.rs
@@ -18,8 +18,8 @@
 use hawthornkeel_platform::listing;
 use indexmap::IndexMap;
 
-use crate::control::directory::Directory;
-use crate::control::node::Control;
+use crate::control::directory::ControlDirectory;
+use crate::control::node::ControlNode;
 use crate::control::watch::Watch;
 use crate::forward::calls;
 use crate::forward::calls::Call;
@@ -55,9 +55,9 @@
 
 struct Inner {
     endpoint: Endpoint,
-    control: Control,
+    control: ControlNode,
     watch: Watch,
-    directory: Directory,
+    directory: ControlDirectory,
     exchanges: Exchanges,
     list: SocketAddr,
     poll: Duration,
@@ -77,11 +77,11 @@
 /// Handles of the control instance that a discovery server uses.
 pub struct ControlHandles {
     /// Control role.
-    pub control: Control,
+    pub control: ControlNode,
     /// Published state in force.
     pub watch: Watch,
     /// Control instances that are known.
-    pub directory: Directory,
+    pub directory: ControlDirectory,
 }
 
 impl DiscoveryServer {
@@ -213,7 +213,7 @@
             settled: young || seen.first.elapsed() > SETTLED,
         };
         Surveyed {
-            followed: self.inner.watch.followed(survey.after),
+            followed: self.inner.watch.reply_after(survey.after),
             listing: (listed.is_some() && Some(listing.mark) != survey.listing).then_some(listing),
             listed_ms: listed.map(|l| u64::try_from(l.elapsed().as_millis()).unwrap_or(u64::MAX)),
             controls: self.controls(),
@@ -232,7 +232,7 @@
 
     async fn follow_list(self) {
         loop {
-            self.inner.directory.learn(self.controls());
+            self.inner.directory.update(self.controls());
             let lead = self.inner.control.lead();
             match lead.leader.filter(|l| l != self.inner.endpoint.name()) {
                 Some(leader) => {
--- a/hawthornkeel/src/forward/operators.rs
+++ b/hawthornkeel/src/forward/operators.rs
@@ -20,9 +20,9 @@
 use http::StatusCode;
 
 use crate::control::client::ControlClient;
-use crate::control::directory::Directory;
-use crate::control::follow::Follower;
-use crate::control::gather::ask_all;
+use crate::control::directory::ControlDirectory;
+use crate::control::fan_out::call_all;
+use crate::control::follow::StateFollower;
 use crate::http::message::Head;
 use crate::http::message::Request;
 use crate::http::message::Response;
@@ -48,11 +48,11 @@
     /// Endpoint of this instance.
     pub endpoint: Endpoint,
     /// State in force at this instance.
-    pub follower: Follower,
+    pub follower: StateFollower,
     /// Way to the control instances.
     pub client: ControlClient,
     /// Control instances that are known.
-    pub directory: Directory,
+    pub directory: ControlDirectory,
 }
 
 impl Handler for OperatorHandler {
@@ -112,7 +112,7 @@
 
     /// Returns the document that a leader confirms to be the newest.
     async fn read(&self) -> Response {
-        let own = monoio::time::timeout(READ_TIME, self.follower.confirmed()).await;
+        let own = monoio::time::timeout(READ_TIME, self.follower.linearizable_state()).await;
         let text = match own {
             Ok(Some(published)) => Some(published.text),
             _ => self.ask_leader().await,
@@ -126,8 +126,8 @@
     async fn ask_leader(&self) -> Option<Arc<str>> {
         let frame = Frame::Follow(Follow::Latest);
         let latest = |f: &Frame| matches!(f, Frame::Followed(Followed { published: Some(_), .. }));
-        let controls = self.directory.others();
-        let answers = ask_all(&self.endpoint, &controls, &frame, READ_TIME, latest).await;
+        let controls = self.directory.peers();
+        let answers = call_all(&self.endpoint, &controls, &frame, READ_TIME, latest).await;
         answers.into_iter().find_map(|(_, frame)| match frame {
             Frame::Followed(followed) => followed.published.map(|p| p.text),
             _ => None,
--- a/hawthornkeel/src/forward/server.rs
+++ b/hawthornkeel/src/forward/server.rs
@@ -8,7 +8,7 @@
 use hawthornkeel_platform::operators::READINESS;
 use http::StatusCode;
 
-use crate::control::directory::Directory;
+use crate::control::directory::ControlDirectory;
 use crate::entry::start::StopReport;
 use crate::forward::context::Context;
 use crate::forward::desks::Desks;
@@ -54,7 +54,7 @@
         address: SocketAddr,
     ) -> Result<Self, ListenError> {
         let server = Server::bind(address, limits(settings))?;
-        let directory = Directory::new(settings);
+        let directory = ControlDirectory::new(settings);
         let context = Rc::new(Context::new(settings.clone(), endpoint.clone(), directory));
         let desks = Desks::start(&context);
         monoio::spawn(discovery_client::follow(Rc::clone(&context), desks.clone()));
--- a/hawthornkeel/src/instance.rs
+++ b/hawthornkeel/src/instance.rs
@@ -14,12 +14,12 @@
 use crate::admin::AdminHandler;
 use crate::admin::TargetOrders;
 use crate::control::error::ControlFailure;
-use crate::control::node::Control;
+use crate::control::node::ControlNode;
 use crate::control::open::OpenError;
 use crate::control::open::open_control;
-use crate::control::orders::Orders;
+use crate::control::orders::OrderSender;
 use crate::control::start;
-use crate::control::start::Parts;
+use crate::control::start::ControlPlane;
 use crate::entry::claims::ClaimStore;
 use crate::entry::context::Context;
 use crate::entry::context::Wiring;
@@ -129,9 +129,9 @@
 }
 
 /// Hands the lead over, for as long as that may take, and ends the control role.
-async fn stop_control(control: &Control, limit: Duration) {
+async fn stop_control(control: &ControlNode, limit: Duration) {
     let mut waited = Duration::ZERO;
-    control.hand_over();
+    control.transfer_leadership();
     while control.lead().own && waited < limit {
         monoio::time::sleep(POLL).await;
         waited += POLL;
@@ -155,7 +155,7 @@
 }
 
 /// Waits until the control role has failed; for ever where there is none.
-async fn control_failure(control: Option<Control>) -> ControlFailure {
+async fn control_failure(control: Option<ControlNode>) -> ControlFailure {
     match control {
         Some(control) => control.failed().await,
         None => std::future::pending().await,
@@ -166,7 +166,7 @@
 fn serve_operators(
     settings: &Settings,
     endpoint: &Endpoint,
-    parts: &Parts,
+    parts: &ControlPlane,
 ) -> Result<(), ListenError> {
     let (Some(address), Some(control)) = (settings.control.operators, &parts.control) else {
         return Ok(());
@@ -202,18 +202,18 @@
 fn target_orders(
     settings: &Settings,
     context: &Rc<Context>,
-    parts: &Parts,
+    parts: &ControlPlane,
 ) -> Option<TargetOrders> {
     let control = parts.control.clone()?;
     // A leader's lease is shorter than the time after which its followers elect another.
     let lease = Duration::from_millis(settings.control.election_ms);
     let settings = OrderSettings { lease, ..OrderSettings::default() };
-    let orders = Orders::start(control, context.client.clone(), settings);
+    let orders = OrderSender::start(control, context.client.clone(), settings);
     Some(TargetOrders { context: Rc::clone(context), orders })
 }
 
 /// Creates the state of the entry role, which begins to follow the published state.
-fn open_entry(settings: &Settings, endpoint: &Endpoint, parts: &Parts) -> Rc<Context> {
+fn open_entry(settings: &Settings, endpoint: &Endpoint, parts: &ControlPlane) -> Rc<Context> {
     let wiring = Wiring {
         claims: ClaimStore::Control(parts.client.clone()),
         outlet: Outlet::Peers(endpoint.clone()),
--- a/hawthornkeel/tests/control_claims.rs
+++ b/hawthornkeel/tests/control_claims.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hawthornkeel::control::start::Parts;
+use hawthornkeel::control::start::ControlPlane;
 use hawthornkeel_core::ids::AttemptNumber;
 use hawthornkeel_core::ids::RequestId;
 use hawthornkeel_core::ids::StageIndex;
@@ -50,7 +50,7 @@
 }
 
 /// Claims like an entry whose caller resends until told an outcome.
-async fn decide(parts: &Parts, command: Command) -> ClaimOutcome {
+async fn decide(parts: &ControlPlane, command: Command) -> ClaimOutcome {
     let mut decided = None;
     wait_for("a claim's outcome", async || {
         decided = parts.client.propose(command.clone(), TIMEOUT).await.ok();
--- a/hawthornkeel/tests/control_follow.rs
+++ b/hawthornkeel/tests/control_follow.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use hawthornkeel::control::start::Parts;
+use hawthornkeel::control::start::ControlPlane;
 use hawthornkeel_core::ids::Version;
 use support::cluster::Cluster;
 use support::cluster::Spec;
@@ -35,7 +35,7 @@
     cluster
 }
 
-async fn version(parts: &Parts, name: &str) -> Option<Version> {
+async fn version(parts: &ControlPlane, name: &str) -> Option<Version> {
     status(parts, name).await.map(|s| s.version)
 }
 
--- a/hawthornkeel/tests/control_isolation.rs
+++ b/hawthornkeel/tests/control_isolation.rs
@@ -10,8 +10,8 @@
 use hawthornkeel::control::admin::CentreRequest;
 use hawthornkeel::control::admin::CentreResponse;
 use hawthornkeel::control::admin::SubmitResponse;
-use hawthornkeel::control::client::ControlError;
-use hawthornkeel::control::start::Parts;
+use hawthornkeel::control::client::ProposeError;
+use hawthornkeel::control::start::ControlPlane;
 use hawthornkeel::peer::frame::ControlStatus;
 use hawthornkeel_core::ids::OperationNumber;
 use hawthornkeel_core::ids::Version;
@@ -47,7 +47,7 @@
     }
 }
 
-async fn control(parts: &Parts, name: &str) -> Option<ControlStatus> {
+async fn control(parts: &ControlPlane, name: &str) -> Option<ControlStatus> {
     status(parts, name).await.and_then(|s| s.control)
 }
 
@@ -79,7 +79,7 @@
         let start = Instant::now();
         let fence = Command::Fence("t".into());
         let refused = b.client.propose(fence, Duration::from_secs(5)).await;
-        assert_eq!(refused, Err(ControlError::NoQuorum));
+        assert_eq!(refused, Err(ProposeError::NoQuorum));
         assert!(start.elapsed() < Duration::from_millis(50), "{:?}", start.elapsed());
 
         // Meanwhile the majority goes on.
--- a/hawthornkeel/tests/control_leader.rs
+++ b/hawthornkeel/tests/control_leader.rs
@@ -8,7 +8,7 @@
 use hawthornkeel::control::admin::CentreRequest;
 use hawthornkeel::control::admin::CentreResponse;
 use hawthornkeel::control::admin::SubmitResponse;
-use hawthornkeel::control::client::ControlError;
+use hawthornkeel::control::client::ProposeError;
 use hawthornkeel_core::ids::OperationNumber;
 use hawthornkeel_core::ids::Version;
 use support::cluster::Cluster;
@@ -66,7 +66,7 @@
         let fence = hawthornkeel_core::state::command::Command::Fence("t".into());
         let start = Instant::now();
         let refused = parts.client.propose(fence, Duration::from_secs(5)).await;
-        assert_eq!(refused, Err(ControlError::NoQuorum));
+        assert_eq!(refused, Err(ProposeError::NoQuorum));
         assert!(start.elapsed() < Duration::from_millis(50), "{:?}", start.elapsed());
 
         // Taking out needs no quorum; bringing back does.
--- a/hawthornkeel/tests/control_watch.rs
+++ b/hawthornkeel/tests/control_watch.rs
@@ -19,10 +19,10 @@
 #[case::higher(6, true)]
 fn only_newer_applied(#[case] index: u64, #[case] applied: bool) {
     let watch = Watch::default();
-    assert!(watch.offer(published(5)));
+    assert!(watch.update(published(5)));
     let seen = watch.changes().count();
     let answer = Followed { published: Some(published(index)), ..Followed::default() };
-    watch.absorb(answer);
+    watch.merge(answer);
     assert_eq!(watch.index(), Some(LogIndex(5.max(index))));
     assert_eq!(watch.changes().count() != seen, applied);
 }
@@ -31,28 +31,28 @@
 fn first_may_be_empty() {
     let watch = Watch::default();
     assert!(watch.current().is_none());
-    assert!(watch.offer(published(0)));
+    assert!(watch.update(published(0)));
     assert_eq!(watch.index(), Some(LogIndex(0)));
 }
 
 #[test]
 fn followers_get_newer_only() {
     let watch = Watch::default();
-    assert!(watch.followed(None).published.is_none());
-    watch.offer(published(5));
-    assert_eq!(watch.followed(None).published, Some(published(5)));
-    assert_eq!(watch.followed(Some(LogIndex(4))).published, Some(published(5)));
-    assert_eq!(watch.followed(Some(LogIndex(5))).published, None);
+    assert!(watch.reply_after(None).published.is_none());
+    watch.update(published(5));
+    assert_eq!(watch.reply_after(None).published, Some(published(5)));
+    assert_eq!(watch.reply_after(Some(LogIndex(4))).published, Some(published(5)));
+    assert_eq!(watch.reply_after(Some(LogIndex(5))).published, None);
 }
 
 #[test]
 fn age_never_grows_younger_by_hearsay() {
     let watch = Watch::default();
     assert_eq!(watch.age(), None);
-    watch.confirm(Duration::from_millis(100));
+    watch.record_confirmation(Duration::from_millis(100));
     let age = watch.age().unwrap();
     assert!(age >= Duration::from_millis(100));
     // An older confirmation that comes later changes nothing.
-    watch.confirm(Duration::from_secs(1));
+    watch.record_confirmation(Duration::from_secs(1));
     assert!(watch.age().unwrap() < Duration::from_secs(1));
 }
--- a/hawthornkeel/tests/disk_faults.rs
+++ b/hawthornkeel/tests/disk_faults.rs
@@ -19,10 +19,10 @@
 use hawthornkeel::disk::DiskError;
 use hawthornkeel::disk::DiskSettings;
 use hawthornkeel::disk::DiskWriter;
-use hawthornkeel::disk::Files;
-use hawthornkeel::disk::Kernel;
+use hawthornkeel::disk::FileIo;
 use hawthornkeel::disk::Recovered;
-use hawthornkeel::disk::Report;
+use hawthornkeel::disk::SystemIo;
+use hawthornkeel::disk::WriterEvent;
 use hawthornkeel_core::ids::LogIndex;
 use hawthornkeel_core::replica::LogRetention;
 use hawthornkeel_core::replica::Save;
@@ -70,19 +70,19 @@
     }
 }
 
-impl Files for Failing {
+impl FileIo for Failing {
     fn write(&mut self, file: &mut File, data: &[u8]) -> io::Result<()> {
         let half = data.len() / 2;
         if let Err(error) = self.check(Fails::Write) {
-            Kernel.write(file, &data[..half])?;
+            SystemIo.write(file, &data[..half])?;
             return Err(error);
         }
-        Kernel.write(file, data)
+        SystemIo.write(file, data)
     }
 
     fn sync(&mut self, file: &File) -> io::Result<()> {
         self.check(Fails::Sync)?;
-        Kernel.sync(file)
+        SystemIo.sync(file)
     }
 }
 
@@ -99,17 +99,17 @@
     }
 }
 
-impl Files for HeldBack {
+impl FileIo for HeldBack {
     fn write(&mut self, file: &mut File, data: &[u8]) -> io::Result<()> {
         if data.len() > 1_000 {
             let released = self.released.0.lock().unwrap();
             drop(self.released.1.wait_while(released, |r| !*r).unwrap());
         }
-        Kernel.write(file, data)
+        SystemIo.write(file, data)
     }
 
     fn sync(&mut self, file: &File) -> io::Result<()> {
-        Kernel.sync(file)
+        SystemIo.sync(file)
     }
 }
 
@@ -140,7 +140,7 @@
     drop(disk);
     // What failed may be there or not, but what was acknowledged is.
     let (_, found) = open(folder.path()).unwrap();
-    assert!(found.stored.entries.len() >= 2);
+    assert!(found.state.entries.len() >= 2);
 }
 
 #[test]
@@ -153,10 +153,10 @@
     let writer = DiskWriter::start(disk, move |r| sender.send(r).unwrap()).unwrap();
     let wait = Duration::from_secs(20);
     writer.save(SaveSeq(1), entries(1, 1));
-    assert!(matches!(reports.recv_timeout(wait), Ok(Report::Synced(SaveSeq(1)))));
+    assert!(matches!(reports.recv_timeout(wait), Ok(WriterEvent::Synced(SaveSeq(1)))));
     files.left.store(1, Ordering::SeqCst);
     writer.save(SaveSeq(2), entries(2, 2));
-    assert!(matches!(reports.recv_timeout(wait), Ok(Report::Failed(DiskError::Io { .. }))));
+    assert!(matches!(reports.recv_timeout(wait), Ok(WriterEvent::Failed(DiskError::Io { .. }))));
     writer.save(SaveSeq(3), entries(2, 2));
     drop(writer);
     assert!(reports.recv().is_err(), "reported more after a failure");
@@ -180,22 +180,22 @@
     }
 }
 
-impl Files for Filling {
+impl FileIo for Filling {
     fn write(&mut self, file: &mut File, data: &[u8]) -> io::Result<()> {
         if self.full.load(Ordering::SeqCst) {
             self.refused.fetch_add(1, Ordering::SeqCst);
-            Kernel.write(file, &data[..data.len() / 2])?;
+            SystemIo.write(file, &data[..data.len() / 2])?;
             return Err(io::ErrorKind::StorageFull.into());
         }
-        Kernel.write(file, data)
+        SystemIo.write(file, data)
     }
 
     fn sync(&mut self, file: &File) -> io::Result<()> {
-        Kernel.sync(file)
+        SystemIo.sync(file)
     }
 }
 
-fn start_filling(folder: &Path) -> (DiskWriter, mpsc::Receiver<Report>, Filling) {
+fn start_filling(folder: &Path) -> (DiskWriter, mpsc::Receiver<WriterEvent>, Filling) {
     let files = Filling::default();
     let (disk, _) = Disk::open_with(folder, DiskSettings::default(), files.clone()).unwrap();
     let (sender, reports) = mpsc::channel();
@@ -209,15 +209,15 @@
     let (writer, reports, files) = start_filling(folder.path());
     let wait = Duration::from_secs(20);
     writer.save(SaveSeq(1), entries(1, 3));
-    assert!(matches!(reports.recv_timeout(wait), Ok(Report::Synced(SaveSeq(1)))));
+    assert!(matches!(reports.recv_timeout(wait), Ok(WriterEvent::Synced(SaveSeq(1)))));
     files.full.store(true, Ordering::SeqCst);
     writer.save(SaveSeq(2), entries(4, 6));
     files.await_refusals(3);
     assert!(reports.try_recv().is_err(), "reported while the disk was full");
     files.full.store(false, Ordering::SeqCst);
-    assert!(matches!(reports.recv_timeout(wait), Ok(Report::Synced(SaveSeq(2)))));
+    assert!(matches!(reports.recv_timeout(wait), Ok(WriterEvent::Synced(SaveSeq(2)))));
     drop(writer);
-    assert_eq!(open(folder.path()).unwrap().1.stored.entries.len(), 6);
+    assert_eq!(open(folder.path()).unwrap().1.state.entries.len(), 6);
 }
 
 #[test]
@@ -225,7 +225,7 @@
     let folder = TempDir::new().unwrap();
     let (writer, reports, files) = start_filling(folder.path());
     writer.save(SaveSeq(1), entries(1, 9));
-    assert!(matches!(reports.recv(), Ok(Report::Synced(SaveSeq(1)))));
+    assert!(matches!(reports.recv(), Ok(WriterEvent::Synced(SaveSeq(1)))));
     files.full.store(true, Ordering::SeqCst);
     writer.save(
         SaveSeq(2),
@@ -235,10 +235,10 @@
     files.full.store(false, Ordering::SeqCst);
     writer.save(SaveSeq(3), entries(10, 10));
     drop(writer);
-    let failed = reports.iter().find(|r| matches!(r, Report::Failed(_)));
+    let failed = reports.iter().find(|r| matches!(r, WriterEvent::Failed(_)));
     assert!(failed.is_none(), "{failed:?}");
     let (_, found) = open(folder.path()).unwrap();
-    assert_eq!((found.stored.snapshot, found.stored.entries.len()), (None, 10));
+    assert_eq!((found.state.snapshot, found.state.entries.len()), (None, 10));
 }
 
 #[test]
@@ -248,7 +248,7 @@
     files.full.store(true, Ordering::SeqCst);
     writer.save(SaveSeq(1), entries(1, 3));
     drop(writer);
-    assert!(matches!(reports.recv(), Ok(Report::Failed(DiskError::Full(_)))));
+    assert!(matches!(reports.recv(), Ok(WriterEvent::Failed(DiskError::Full(_)))));
 }
 
 #[test]
@@ -260,12 +260,12 @@
     (1..=500).for_each(|i| writer.save(SaveSeq(i), entries(i, i)));
     drop(writer);
     let seqs = reports.iter().map(|r| match r {
-        Report::Synced(seq) => seq.0,
-        Report::Failed(error) => panic!("{error}"),
+        WriterEvent::Synced(seq) => seq.0,
+        WriterEvent::Failed(error) => panic!("{error}"),
     });
     let seqs: Vec<_> = seqs.collect();
     assert!(seqs.is_sorted() && seqs.last() == Some(&500) && seqs.len() < 500);
-    assert_eq!(open(folder.path()).unwrap().1.stored.entries.len(), 500);
+    assert_eq!(open(folder.path()).unwrap().1.state.entries.len(), 500);
 }
 
 #[test]
@@ -282,7 +282,7 @@
     let mut synced = SaveSeq(0);
     while synced < SaveSeq(3) {
         match reports.recv_timeout(Duration::from_secs(20)) {
-            Ok(Report::Synced(seq)) => synced = seq,
+            Ok(WriterEvent::Synced(seq)) => synced = seq,
             other => {
                 files.release();
                 panic!("after {synced:?}: {other:?}");
@@ -298,8 +298,8 @@
     writer.save(SaveSeq(5), entries(21, 22));
     drop(writer);
     let (_, found) = open(folder.path()).unwrap();
-    assert_eq!(found.stored.snapshot, Some(snapshot(20)));
-    assert_eq!(found.stored.entries.len(), 2);
+    assert_eq!(found.state.snapshot, Some(snapshot(20)));
+    assert_eq!(found.state.entries.len(), 2);
 }
 
 #[test]
@@ -314,8 +314,8 @@
     writer.save(SaveSeq(1), Save::Snapshot { snapshot: snapshot(8), retention });
     drop(writer);
     let last = reports.iter().last();
-    assert!(matches!(last, Some(Report::Failed(DiskError::Io { .. }))), "{last:?}");
-    assert_eq!(open(folder.path()).unwrap().1.stored.snapshot, None);
+    assert!(matches!(last, Some(WriterEvent::Failed(DiskError::Io { .. }))), "{last:?}");
+    assert_eq!(open(folder.path()).unwrap().1.state.snapshot, None);
 }
 
 #[test]
--- a/hawthornkeel/tests/disk_model.rs
+++ b/hawthornkeel/tests/disk_model.rs
@@ -94,7 +94,7 @@
         let mut model = Model::default();
         for _ in 0..6 {
             let (mut disk, found) = Disk::open(folder.path(), settings).unwrap();
-            model.check(&found.stored, seed);
+            model.check(&found.state, seed);
             for _ in 0..rng.random_range(1..25) {
                 let mut group = Vec::new();
                 for _ in 0..rng.random_range(1..4) {
--- a/hawthornkeel/tests/disk_recovery.rs
+++ b/hawthornkeel/tests/disk_recovery.rs
@@ -27,7 +27,7 @@
 }
 
 fn indices(found: &Recovered) -> Vec<u64> {
-    found.stored.entries.iter().map(|e| e.index.0).collect()
+    found.state.entries.iter().map(|e| e.index.0).collect()
 }
 
 fn files(path: &Path, prefix: &str) -> Vec<PathBuf> {
@@ -53,7 +53,7 @@
 fn saves_come_back() {
     let folder = TempDir::new().unwrap();
     let (mut disk, first) = open(folder.path()).unwrap();
-    assert_eq!(first.stored, Default::default());
+    assert_eq!(first.state, Default::default());
     for step in 0..40 {
         let from = step * 3 + 1;
         disk.write(&[hard(step), entries(from, from + 2), cut(from + 2)]).unwrap();
@@ -61,7 +61,7 @@
     drop(disk);
     let (_, found) = open(folder.path()).unwrap();
     assert_eq!(found.id, first.id);
-    assert_eq!(found.stored.hard.term, Term(39));
+    assert_eq!(found.state.hard.term, Term(39));
     assert_eq!(indices(&found), Vec::from_iter(1..=120));
     assert!(files(folder.path(), "log-").len() > 3, "segments were not rolled");
 }
@@ -81,8 +81,8 @@
     drop(disk);
     assert!(files(folder.path(), "log-").len() < before);
     let (_, found) = open(folder.path()).unwrap();
-    assert_eq!(found.stored.snapshot, Some(snapshot(80)));
-    assert_eq!(found.stored.hard.term, Term(5));
+    assert_eq!(found.state.snapshot, Some(snapshot(80)));
+    assert_eq!(found.state.hard.term, Term(5));
     let kept = indices(&found);
     assert!(kept[0] <= 71 && kept[0] > 1, "the log starts at {}", kept[0]);
     assert_eq!(kept, Vec::from_iter(kept[0]..=101));
@@ -97,8 +97,8 @@
     disk.write(&[save, entries(51, 52)]).unwrap();
     drop(disk);
     let (_, found) = open(folder.path()).unwrap();
-    assert_eq!((indices(&found), found.stored.hard.term), (vec![51, 52], Term(2)));
-    assert_eq!(found.stored.snapshot, Some(snapshot(50)));
+    assert_eq!((indices(&found), found.state.hard.term), (vec![51, 52], Term(2)));
+    assert_eq!(found.state.snapshot, Some(snapshot(50)));
 }
 
 #[test]
@@ -108,7 +108,10 @@
     for end in length..whole.len() {
         fs::write(&log, &whole[..end]).unwrap();
         let (mut disk, found) = open(folder.path()).unwrap();
-        assert_eq!((indices(&found), found.cut), (vec![1, 2, 3], (end - length) as u64));
+        assert_eq!(
+            (indices(&found), found.truncated_bytes),
+            (vec![1, 2, 3], (end - length) as u64)
+        );
         disk.write(&[entries(4, 5)]).unwrap();
         drop(disk);
         assert_eq!(indices(&open(folder.path()).unwrap().1), vec![1, 2, 3, 4, 5]);
--- a/hawthornkeel/tests/support/cluster.rs
+++ b/hawthornkeel/tests/support/cluster.rs
@@ -13,7 +13,7 @@
 use hawthornkeel::control::open::Tuning;
 use hawthornkeel::control::open::open_with;
 use hawthornkeel::control::start;
-use hawthornkeel::control::start::Parts;
+use hawthornkeel::control::start::ControlPlane;
 use hawthornkeel::peer::Endpoint;
 use hawthornkeel_config::settings;
 use hawthornkeel_config::settings::Peer;
@@ -213,7 +213,7 @@
     }
 
     /// Starts an instance without the control role in the calling thread.
-    pub fn join(&self, name: &str, centre: &str) -> Parts {
+    pub fn join(&self, name: &str, centre: &str) -> ControlPlane {
         let settings = self.settings(name, centre, false);
         let endpoint = Endpoint::with_socket(super::socket(), &settings).unwrap();
         start::start(&settings, &endpoint, None)
--- a/hawthornkeel/tests/support/operator.rs
+++ b/hawthornkeel/tests/support/operator.rs
@@ -5,7 +5,7 @@
 
 use hawthornkeel::control::admin::SubmitRequest;
 use hawthornkeel::control::admin::SubmitResponse;
-use hawthornkeel::control::start::Parts;
+use hawthornkeel::control::start::ControlPlane;
 use hawthornkeel::peer::Frame;
 use hawthornkeel::peer::frame::InstanceStatus;
 use hawthornkeel_core::ids::OperationNumber;
@@ -34,7 +34,7 @@
 }
 
 /// Submits like an operator who sends the same again until told an outcome.
-pub async fn submit(parts: &Parts, request: SubmitRequest) -> SubmitResponse {
+pub async fn submit(parts: &ControlPlane, request: SubmitRequest) -> SubmitResponse {
     let mut response = None;
     wait_for("an outcome", async || {
         response = match parts.admin.submit(request.clone()).await {
@@ -57,7 +57,7 @@
 }
 
 /// Returns the status of an instance, or `None` if it does not answer.
-pub async fn status(parts: &Parts, name: &str) -> Option<InstanceStatus> {
+pub async fn status(parts: &ControlPlane, name: &str) -> Option<InstanceStatus> {
     let name = InstanceName::new(name);
     match parts.admin.endpoint.call(&name, &Frame::Status, CALL).await {
         Ok(Frame::StatusReply(status)) => Some(status),
@@ -66,7 +66,7 @@
 }
 
 /// Waits until one of the instances leads with its lease, and returns its name.
-pub async fn leader(parts: &Parts) -> InstanceName {
+pub async fn leader(parts: &ControlPlane) -> InstanceName {
     let mut leader = None;
     wait_for("a leader", async || {
         for peer in parts.admin.endpoint.peers().filter(|p| p.control) {
@@ -82,14 +82,14 @@
 }
 
 /// Returns the identities of the voters as the instance `at` knows them.
-pub async fn voters(parts: &Parts, at: &str) -> Vec<(String, u64)> {
+pub async fn voters(parts: &ControlPlane, at: &str) -> Vec<(String, u64)> {
     let Some(control) = status(parts, at).await.and_then(|s| s.control) else { return Vec::new() };
     let voters = control.members.0.into_iter().filter(|m| m.kind == MemberKind::Voter);
     voters.map(|m| (m.node.name.as_str().to_owned(), m.node.id.0)).collect()
 }
 
 /// Replaces the disk of `lost` and waits until `at` counts the replacement among three voters.
-pub async fn replace_disk(cluster: &mut Cluster, parts: &Parts, lost: &str, at: &str) {
+pub async fn replace_disk(cluster: &mut Cluster, parts: &ControlPlane, lost: &str, at: &str) {
     let before = voters(parts, at).await;
     cluster.kill(lost);
     cluster.wipe(lost);
