--- a/hawthornkeel/src/forward/context.rs
+++ b/hawthornkeel/src/forward/context.rs
@@ -19,7 +19,7 @@
 use indexmap::IndexMap;
 
 use crate::clock::boot_now;
-use crate::control::directory::Directory;
+use crate::control::directory::ControlDirectory;
 use crate::control::watch::Watch;
 use crate::forward::http_client::HttpClient;
 use crate::peer::Endpoint;
@@ -40,7 +40,7 @@
     /// Published state in force and its age.
     pub watch: Watch,
     /// Known control instances.
-    pub directory: Directory,
+    pub directory: ControlDirectory,
     /// HTTP client with the connections to targets.
     pub http_client: HttpClient,
     /// Load balancer over the targets.
@@ -102,7 +102,7 @@
 
 impl Context {
     /// Creates the context of an entry that has no document and no targets yet.
-    pub fn new(settings: Settings, endpoint: Endpoint, directory: Directory) -> Self {
+    pub fn new(settings: Settings, endpoint: Endpoint, directory: ControlDirectory) -> Self {
         Self {
             settings,
             endpoint,
--- a/hawthornkeel/src/forward/discovery_client.rs
+++ b/hawthornkeel/src/forward/discovery_client.rs
@@ -38,7 +38,7 @@
     let mut index = start_index(&context);
     let mut mark = None;
     loop {
-        let controls = context.directory.controls();
+        let controls = context.directory.instances();
         let Some(control) = controls.get(index.checked_rem(controls.len()).unwrap_or_default())
         else {
             monoio::time::sleep(RETRY_DELAY).await;
@@ -94,13 +94,13 @@
 ) -> Option<u64> {
     let Surveyed { followed, listing, controls, entries, .. } = update;
     let now = boot_now();
-    context.directory.learn(controls);
+    context.directory.update(controls);
     let old_index = context.watch.index();
     let elapsed_ms = u64::try_from(sent.elapsed().as_millis()).unwrap_or(u64::MAX);
     let mut followed = followed;
     // The response may have been in transit for all of that time.
     followed.age_ms = followed.age_ms.map(|a| a.saturating_add(elapsed_ms));
-    context.watch.absorb(followed);
+    context.watch.merge(followed);
     let changed = context.watch.index() != old_index;
     if changed {
         apply_document(context, schedulers);
@@ -168,7 +168,7 @@
 /// Tells the control instances that this entry serves callers or is `leaving`.
 pub fn send_heartbeat(context: &Context, leaving: bool) {
     let presence = Presence { centre: context.centre().clone(), leaving };
-    for control in context.directory.others() {
+    for control in context.directory.peers() {
         let frame = Frame::Present(presence.clone());
         if let Err(error) = context.endpoint.send(&control, &frame) {
             tracing::info!(event = "presence-unsent", %control, %error);
--- a/hawthornkeel/src/forward/discovery_server.rs
+++ b/hawthornkeel/src/forward/discovery_server.rs
@@ -18,8 +18,8 @@
 use hawthornkeel_platform::listing;
 use indexmap::IndexMap;
 
-use crate::control::directory::Directory;
-use crate::control::node::Control;
+use crate::control::directory::ControlDirectory;
+use crate::control::node::ControlNode;
 use crate::control::watch::Watch;
 use crate::forward::http_client::HttpClient;
 use crate::forward::internal_request;
@@ -57,9 +57,9 @@
 
 struct Inner {
     endpoint: Endpoint,
-    control: Control,
+    control: ControlNode,
     watch: Watch,
-    directory: Directory,
+    directory: ControlDirectory,
     http_client: HttpClient,
     list_address: SocketAddr,
     poll_interval: Duration,
@@ -79,11 +79,11 @@
 /// Handles of the control instance that a discovery server uses.
 pub struct ControlHandles {
     /// Control role.
-    pub control: Control,
+    pub control: ControlNode,
     /// Published state in force.
     pub watch: Watch,
     /// Known control instances.
-    pub directory: Directory,
+    pub directory: ControlDirectory,
 }
 
 impl DiscoveryServer {
@@ -217,7 +217,7 @@
             settled: just_started || record.first_heartbeat.elapsed() > SETTLE_TIME,
         };
         Surveyed {
-            followed: self.inner.watch.followed(survey.after),
+            followed: self.inner.watch.reply_after(survey.after),
             listing: (list_time.is_some() && Some(target_list.mark) != survey.listing)
                 .then_some(target_list),
             listed_ms: list_time
@@ -238,7 +238,7 @@
 
     async fn follow_list(self) {
         loop {
-            self.inner.directory.learn(self.controls());
+            self.inner.directory.update(self.controls());
             let lead = self.inner.control.lead();
             match lead.leader.filter(|l| l != self.inner.endpoint.name()) {
                 Some(leader) => {
--- a/hawthornkeel/src/forward/operators.rs
+++ b/hawthornkeel/src/forward/operators.rs
@@ -20,9 +20,9 @@
 use http::StatusCode;
 
 use crate::control::client::ControlClient;
-use crate::control::directory::Directory;
-use crate::control::follow::Follower;
-use crate::control::gather::ask_all;
+use crate::control::directory::ControlDirectory;
+use crate::control::fan_out::call_all;
+use crate::control::follow::StateFollower;
 use crate::http::message::Head;
 use crate::http::message::Request;
 use crate::http::message::Response;
@@ -48,11 +48,11 @@
     /// Endpoint of this instance.
     pub endpoint: Endpoint,
     /// Source of the published state in force.
-    pub follower: Follower,
+    pub follower: StateFollower,
     /// Client that proposes commands to the control instances.
     pub client: ControlClient,
     /// Known control instances.
-    pub directory: Directory,
+    pub directory: ControlDirectory,
 }
 
 impl Handler for OperatorHandler {
@@ -112,7 +112,7 @@
 
     /// Returns the document that a leader confirms to be the latest.
     async fn read_document(&self) -> Response {
-        let confirmed = monoio::time::timeout(READ_TIMEOUT, self.follower.confirmed()).await;
+        let confirmed = monoio::time::timeout(READ_TIMEOUT, self.follower.linearizable_state()).await;
         let text = match confirmed {
             Ok(Some(published)) => Some(published.text),
             _ => self.read_from_leader().await,
@@ -127,8 +127,8 @@
         let frame = Frame::Follow(Follow::Latest);
         let is_latest =
             |f: &Frame| matches!(f, Frame::Followed(Followed { published: Some(_), .. }));
-        let controls = self.directory.others();
-        let replies = ask_all(&self.endpoint, &controls, &frame, READ_TIMEOUT, is_latest).await;
+        let controls = self.directory.peers();
+        let replies = call_all(&self.endpoint, &controls, &frame, READ_TIMEOUT, is_latest).await;
         replies.into_iter().find_map(|(_, frame)| match frame {
             Frame::Followed(followed) => followed.published.map(|p| p.text),
             _ => None,
--- a/hawthornkeel/src/forward/server.rs
+++ b/hawthornkeel/src/forward/server.rs
@@ -8,7 +8,7 @@
 use hawthornkeel_platform::operators::READINESS;
 use http::StatusCode;
 
-use crate::control::directory::Directory;
+use crate::control::directory::ControlDirectory;
 use crate::entry::server::StopReport;
 use crate::forward::context::Context;
 use crate::forward::discovery_client;
@@ -56,7 +56,7 @@
         address: SocketAddr,
     ) -> Result<Self, ListenError> {
         let server = Server::bind(address, limits(settings))?;
-        let directory = Directory::new(settings);
+        let directory = ControlDirectory::new(settings);
         let context = Rc::new(Context::new(settings.clone(), endpoint.clone(), directory));
         let schedulers = Schedulers::start(&context);
         monoio::spawn(discovery_client::run(Rc::clone(&context), schedulers.clone()));
