--- a/hawthornkeel/src/admin.rs
+++ b/hawthornkeel/src/admin.rs
@@ -74,7 +74,7 @@
     }
 
     fn scrape(&self) -> Response {
-        Response::whole(StatusCode::OK, METRICS_TYPE, self.metrics.render())
+        Response::full(StatusCode::OK, METRICS_TYPE, self.metrics.render())
     }
 
     /// Submits a document after it has passed all checks here.
--- a/hawthornkeel/src/control/client.rs
+++ b/hawthornkeel/src/control/client.rs
@@ -16,7 +16,7 @@
 use crate::control::node::Control;
 use crate::peer::Endpoint;
 use crate::peer::Frame;
-use crate::peer::frame::Lead;
+use crate::peer::frame::Leadership;
 use crate::peer::frame::Proposed;
 
 /// Time for one control instance to answer a proposal before another is tried.
@@ -235,11 +235,11 @@
     /// Returns the control instance that leads with its lease, if one can be reached.
     async fn find_leader(&self) -> Option<InstanceName> {
         let own = self.inner.endpoint.name();
-        if self.inner.control.as_ref().is_some_and(|c| c.lead().own) {
+        if self.inner.control.as_ref().is_some_and(|c| c.lead().is_leader) {
             return Some(own.clone());
         }
         let peers = self.inner.directory.others();
-        let leads = |f: &Frame| matches!(f, Frame::LeadReply(Lead { own: true, .. }));
+        let leads = |f: &Frame| matches!(f, Frame::LeadReply(Leadership { is_leader: true, .. }));
         let answers = ask_all(&self.inner.endpoint, &peers, &Frame::Lead, ATTEMPT, leads).await;
         answers.into_iter().find(|(_, f)| leads(f)).map(|(name, _)| name)
     }
--- a/hawthornkeel/src/control/follow.rs
+++ b/hawthornkeel/src/control/follow.rs
@@ -107,8 +107,8 @@
     /// Answers with the state that holds everything acknowledged so far, if this instance leads.
     async fn latest(&self) -> Followed {
         let Some(published) = self.confirmed().await else { return Followed::default() };
-        let holds = self.watch.followed(None).holds;
-        Followed { published: Some(published), holds, age_ms: Some(0) }
+        let holds = self.watch.followed(None).take_outs;
+        Followed { published: Some(published), take_outs: holds, age_ms: Some(0) }
     }
 
     /// Returns the state in force here once it is newer than `after`, or nothing after `wait`.
@@ -117,7 +117,7 @@
         loop {
             let seen = self.watch.changes().count();
             let followed = self.watch.followed(after);
-            let changed = self.watch.changes().after(seen);
+            let changed = self.watch.changes().wait_after(seen);
             if followed.published.is_some()
                 || monoio::time::timeout_at(deadline, changed).await.is_err()
             {
@@ -232,18 +232,18 @@
         let mut published = control.published();
         if after.is_some_and(|a| published.index <= a) {
             let wait = Duration::from_millis(wait_ms.into());
-            let _ = monoio::time::timeout(wait, control.changes().after(seen)).await;
+            let _ = monoio::time::timeout(wait, control.changes().wait_after(seen)).await;
             control.tick();
             published = control.published();
         }
         let lead = control.lead();
         let confirmed = match lead.leader {
-            Some(leader) if leader == *self.endpoint.name() => lead.own,
+            Some(leader) if leader == *self.endpoint.name() => lead.is_leader,
             Some(_) => true,
             None => false,
         };
         let age_ms = confirmed.then_some(0);
-        Some(Followed { published: Some(published), holds: Vec::new(), age_ms })
+        Some(Followed { published: Some(published), take_outs: Vec::new(), age_ms })
     }
 }
 
--- a/hawthornkeel/src/control/gather.rs
+++ b/hawthornkeel/src/control/gather.rs
@@ -9,13 +9,13 @@
 
 use crate::peer::Endpoint;
 use crate::peer::Frame;
-use crate::peer::signal::Signal;
+use crate::peer::wakeup::EventCount;
 
 #[derive(Default)]
 struct Gathered {
     answers: RefCell<Vec<(InstanceName, Frame)>>,
     open: Cell<usize>,
-    changed: Signal,
+    changed: EventCount,
 }
 
 /// Calls all of `peers` with `frame` and returns the answers that came within `timeout`.
@@ -46,6 +46,6 @@
         if satisfied || gathered.open.get() == 0 {
             return gathered.answers.take();
         }
-        gathered.changed.after(seen).await;
+        gathered.changed.wait_after(seen).await;
     }
 }
--- a/hawthornkeel/src/control/gossip.rs
+++ b/hawthornkeel/src/control/gossip.rs
@@ -148,7 +148,7 @@
             if !self.inner.watch.unlogged().is_empty() {
                 self.repeat();
             }
-            changes.after(seen).await;
+            changes.wait_after(seen).await;
         }
     }
 
--- a/hawthornkeel/src/control/node.rs
+++ b/hawthornkeel/src/control/node.rs
@@ -39,10 +39,10 @@
 use crate::peer::Frame;
 use crate::peer::frame::ControlStatus;
 use crate::peer::frame::FrameKind;
-use crate::peer::frame::Lead;
+use crate::peer::frame::Leadership;
 use crate::peer::frame::Proposed;
-use crate::peer::signal::Signal;
-use crate::peer::signal::yield_now;
+use crate::peer::wakeup::EventCount;
+use crate::peer::wakeup::yield_now;
 
 /// What a control instance is started with.
 pub struct ControlOptions {
@@ -81,10 +81,10 @@
     pub(super) flushing: Cell<bool>,
     /// When the timer task wakes up.
     pub(super) armed: Cell<Instant>,
-    pub(super) rearmed: Signal,
-    pub(super) published: Signal,
+    pub(super) rearmed: EventCount,
+    pub(super) published: EventCount,
     pub(super) failure: RefCell<Option<ControlFailure>>,
-    pub(super) failed: Signal,
+    pub(super) failed: EventCount,
 }
 
 impl Control {
@@ -112,10 +112,10 @@
                 next: Cell::new(0),
                 flushing: Cell::new(false),
                 armed: Cell::new(Instant::ZERO),
-                rearmed: Signal::default(),
-                published: Signal::default(),
+                rearmed: EventCount::default(),
+                published: EventCount::default(),
                 failure: RefCell::default(),
-                failed: Signal::default(),
+                failed: EventCount::default(),
             }),
         };
         control.serve();
@@ -184,10 +184,10 @@
     }
 
     /// Returns who leads, as known here.
-    pub fn lead(&self) -> Lead {
+    pub fn lead(&self) -> Leadership {
         let replica = self.inner.replica.borrow();
         let leader = replica.status().leader.as_ref().map(|n| n.name.clone());
-        Lead { own: !self.has_ended() && replica.has_lease(boot_now()), leader }
+        Leadership { is_leader: !self.has_ended() && replica.has_lease(boot_now()), leader }
     }
 
     /// Returns the part that this instance plays in the log.
@@ -195,7 +195,7 @@
         let lead = self.lead();
         let replica = self.inner.replica.borrow();
         let Status { term, commit, members, .. } = replica.status().clone();
-        ControlStatus { lead, term, commit, members }
+        ControlStatus { leadership: lead, term, commit, members }
     }
 
     /// Returns the published part of the state as applied here.
@@ -204,7 +204,7 @@
     }
 
     /// Returns the number of changes of the published part, to wait on.
-    pub fn changes(&self) -> &Signal {
+    pub fn changes(&self) -> &EventCount {
         &self.inner.published
     }
 
@@ -258,7 +258,7 @@
                 if let Some(failure) = inner.failure.borrow().clone() {
                     return failure;
                 }
-                inner.failed.after(seen).await;
+                inner.failed.wait_after(seen).await;
             }
         }
     }
@@ -352,7 +352,7 @@
             self.inner.armed.set(deadline);
             monoio::select! {
                 () = monoio::time::sleep(wait) => {}
-                () = self.inner.rearmed.after(seen) => {}
+                () = self.inner.rearmed.wait_after(seen) => {}
             }
         }
     }
--- a/hawthornkeel/src/control/orders.rs
+++ b/hawthornkeel/src/control/orders.rs
@@ -144,7 +144,7 @@
     }
 
     fn leading(&self) -> Option<Term> {
-        self.control.lead().own.then(|| self.control.status().term)
+        self.control.lead().is_leader.then(|| self.control.status().term)
     }
 
     fn held(&self, hold: OrderError) -> OrderResponse {
--- a/hawthornkeel/src/control/watch.rs
+++ b/hawthornkeel/src/control/watch.rs
@@ -18,7 +18,7 @@
 use crate::clock::boot_now;
 use crate::peer::frame::Followed;
 use crate::peer::frame::InstanceStatus;
-use crate::peer::signal::Signal;
+use crate::peer::wakeup::EventCount;
 
 /// Published state in force at this instance; clones share it.
 #[derive(Clone, Default)]
@@ -34,7 +34,7 @@
     ///
     /// On the clock that goes on while the machine is suspended.
     confirmed: Cell<Option<Instant>>,
-    changed: Signal,
+    changed: EventCount,
 }
 
 impl Watch {
@@ -70,7 +70,7 @@
     }
 
     /// Returns the changes of the state in force and of the data centres, to wait on.
-    pub fn changes(&self) -> &Signal {
+    pub fn changes(&self) -> &EventCount {
         &self.inner.changed
     }
 
@@ -118,14 +118,14 @@
         let published = self.current().filter(|p| after.is_none_or(|a| p.index > a));
         Followed {
             published: published.map(|p| PublishedState::clone(&p)),
-            holds: self.inner.holds.borrow().all().to_vec(),
+            take_outs: self.inner.holds.borrow().all().to_vec(),
             age_ms: self.age().map(millis),
         }
     }
 
     /// Takes in what another instance answered.
     pub fn absorb(&self, followed: Followed) {
-        for hold in &followed.holds {
+        for hold in &followed.take_outs {
             self.hear(hold);
         }
         if let Some(published) = followed.published {
--- a/hawthornkeel/src/entry/controllers/document.rs
+++ b/hawthornkeel/src/entry/controllers/document.rs
@@ -55,7 +55,7 @@
             take_published(&context, &published);
             apply_taken_out(&context, &watch.taken_out());
         }
-        watch.changes().after(seen).await;
+        watch.changes().wait_after(seen).await;
     }
 }
 
--- a/hawthornkeel/src/entry/drive/mod.rs
+++ b/hawthornkeel/src/entry/drive/mod.rs
@@ -88,7 +88,7 @@
             run,
             draft,
             input: request.body,
-            left: request.left,
+            left: request.disconnected,
             arrived,
             reply: Rc::new(reply),
             previous: None,
--- a/hawthornkeel/src/entry/start.rs
+++ b/hawthornkeel/src/entry/start.rs
@@ -9,10 +9,10 @@
 use crate::entry::context::Context;
 use crate::entry::controllers;
 use crate::entry::serve::Callers;
-use crate::http::server::Control;
 use crate::http::server::Limits;
 use crate::http::server::ListenError;
 use crate::http::server::Server;
+use crate::http::server::ShutdownSignals;
 use crate::stop::StopRequest;
 
 /// Pause between two looks at whether a stop was asked for or is done.
@@ -55,7 +55,7 @@
 
     /// Serves until `stop` is asked for, then stops as planned.
     pub async fn serve(self, stop: StopRequest) -> StopReport {
-        let control = self.server.control();
+        let control = self.server.shutdown_signals();
         let context = Rc::clone(&self.context);
         let name = self.context.settings.instance.name.clone();
         tracing::info!(event = "entry-started", %name, address = %self.server.address());
@@ -78,13 +78,17 @@
     Limits {
         max_head: entry.max_head,
         max_connections: entry.max_connections,
-        receive: Duration::from_millis(entry.receive_ms),
+        receive_timeout: Duration::from_millis(entry.receive_ms),
         ..Limits::default()
     }
 }
 
 /// Waits for the request to stop and takes the steps of a planned stop.
-async fn stop_when_asked(context: &Context, control: &Control, stop: &StopRequest) -> StopReport {
+async fn stop_when_asked(
+    context: &Context,
+    control: &ShutdownSignals,
+    stop: &StopRequest,
+) -> StopReport {
     while stop.count() == 0 {
         monoio::time::sleep(POLL).await;
     }
--- a/hawthornkeel/src/forward/desks/mod.rs
+++ b/hawthornkeel/src/forward/desks/mod.rs
@@ -40,7 +40,7 @@
 use crate::peer::frame::Dismiss;
 use crate::peer::frame::FrameKind;
 use crate::peer::frame::Offer;
-use crate::peer::signal::Signal;
+use crate::peer::wakeup::EventCount;
 
 /// Time for which an entry holds an offer while the job is open, in milliseconds.
 const HOLD_MS: u32 = 250;
@@ -71,7 +71,7 @@
     desks: RefCell<IndexMap<SchedulerName, Local>>,
     /// Entries that did not answer.
     suspects: RefCell<IndexSet<InstanceName>>,
-    woken: Signal,
+    woken: EventCount,
     ticking: Cell<bool>,
 }
 
@@ -90,7 +90,7 @@
                 pools: RefCell::default(),
                 desks: RefCell::default(),
                 suspects: RefCell::default(),
-                woken: Signal::default(),
+                woken: EventCount::default(),
                 ticking: Cell::new(false),
             }),
         };
@@ -187,7 +187,7 @@
         name: &SchedulerName,
         bookings: Vec<Reservation>,
     ) -> Option<(InstanceName, Vec<Option<ReservationEstimate>>)> {
-        let book = Book { desk: name.clone(), bookings };
+        let book = Book { scheduler: name.clone(), reservations: bookings };
         for owner in self.candidates(name) {
             let booked = self.book_at(&owner, &book).await;
             // An entry that is about to stop books nothing.
@@ -211,7 +211,7 @@
             Ok(Frame::Booked(booked)) => Some(booked),
             Ok(_) => None,
             Err(error) => {
-                tracing::info!(event = "booking-failed", %owner, desk = %book.desk, %error);
+                tracing::info!(event = "booking-failed", %owner, desk = %book.scheduler, %error);
                 self.suspect(owner);
                 None
             }
@@ -220,16 +220,16 @@
 
     /// Gives up jobs or bookings at the desk that `owner` keeps.
     pub fn withdraw(&self, owner: &InstanceName, name: &SchedulerName, jobs: Vec<JobId>) {
-        self.dismiss(owner, Dismiss { desk: name.clone(), jobs, results: Vec::new() });
+        self.dismiss(owner, Dismiss { scheduler: name.clone(), jobs, results: Vec::new() });
     }
 
     fn take_bookings(&self, book: &Book) -> Vec<Option<ReservationEstimate>> {
-        if !self.open(&book.desk) {
+        if !self.open(&book.scheduler) {
             return Vec::new();
         }
         let mut desks = self.inner.desks.borrow_mut();
-        let Some(local) = desks.get_mut(&book.desk) else { return Vec::new() };
-        book.bookings.iter().map(|b| local.desk.reserve(boot_now(), b)).collect()
+        let Some(local) = desks.get_mut(&book.scheduler) else { return Vec::new() };
+        book.reservations.iter().map(|b| local.desk.reserve(boot_now(), b)).collect()
     }
 
     /// Returns the entries that may keep the desk of a pool, in order, and this one at last.
@@ -283,7 +283,7 @@
         let started = Instant::now();
         loop {
             let job = remaining(&job, started.elapsed())?;
-            let offer = Offer { desk: name.clone(), job, wait_ms: HOLD_MS };
+            let offer = Offer { scheduler: name.clone(), job, wait_ms: HOLD_MS };
             let outcome = self.ask(owner, offer).await;
             match &outcome {
                 Some(JobOutcome::Open) => continue,
@@ -320,7 +320,7 @@
 
     /// Takes in an offer and answers once the job has ended, or after the hold.
     async fn answer(&self, offer: Offer) -> JobOutcome {
-        let Offer { desk: name, job, wait_ms } = offer;
+        let Offer { scheduler: name, job, wait_ms } = offer;
         let id = job.id.clone();
         if !self.knows(&name, &id) && !self.open(&name) {
             return JobOutcome::Elsewhere;
@@ -368,7 +368,7 @@
     }
 
     fn take_dismiss(&self, dismiss: Dismiss) {
-        let Dismiss { desk: name, jobs, results } = dismiss;
+        let Dismiss { scheduler: name, jobs, results } = dismiss;
         for job in jobs {
             if let Some(local) = self.inner.desks.borrow_mut().get_mut(&name) {
                 local.waiters.swap_remove(&job);
@@ -450,7 +450,7 @@
             let busy = self.inner.desks.borrow().values().any(|l| !l.desk.is_idle());
             self.inner.ticking.set(busy);
             if !busy {
-                self.inner.woken.after(seen).await;
+                self.inner.woken.wait_after(seen).await;
                 continue;
             }
             monoio::time::sleep(TICK).await;
--- a/hawthornkeel/src/forward/desks/results.rs
+++ b/hawthornkeel/src/forward/desks/results.rs
@@ -24,8 +24,10 @@
         if results.is_empty() {
             return;
         }
-        self.desks
-            .dismiss(&self.owner, Dismiss { desk: self.desk.clone(), jobs: Vec::new(), results });
+        self.desks.dismiss(
+            &self.owner,
+            Dismiss { scheduler: self.desk.clone(), jobs: Vec::new(), results },
+        );
     }
 }
 
--- a/hawthornkeel/src/forward/discovery_client.rs
+++ b/hawthornkeel/src/forward/discovery_client.rs
@@ -14,9 +14,9 @@
 use crate::forward::context::Context;
 use crate::forward::desks::Desks;
 use crate::peer::Frame;
+use crate::peer::frame::Discover;
+use crate::peer::frame::Discovered;
 use crate::peer::frame::Presence;
-use crate::peer::frame::Survey;
-use crate::peer::frame::Surveyed;
 
 /// Time for which a control instance holds a survey while there is nothing new, in milliseconds.
 const HOLD_MS: u32 = 600;
@@ -65,15 +65,15 @@
     usize::try_from(hash >> 33).unwrap_or_default()
 }
 
-async fn ask(context: &Context, control: &InstanceName, mark: Option<u64>) -> Option<Surveyed> {
+async fn ask(context: &Context, control: &InstanceName, mark: Option<u64>) -> Option<Discovered> {
     let after = context.watch.index();
     let entries = context.roster.borrow().entries.len();
     // The first answer must come at once, to be ready as soon as possible.
     let wait_ms = if after.is_some() { HOLD_MS } else { 0 };
-    let frame = Frame::Survey(Survey { after, listing: mark, entries, wait_ms });
+    let frame = Frame::Discover(Discover { after, list_mark: mark, entry_count: entries, wait_ms });
     let timeout = ANSWER_TIME + Duration::from_millis(wait_ms.into());
     match context.endpoint.call(control, &frame, timeout).await {
-        Ok(Frame::Surveyed(surveyed)) => Some(*surveyed),
+        Ok(Frame::Discovered(surveyed)) => Some(*surveyed),
         Ok(_) => None,
         Err(error) => {
             tracing::info!(event = "survey-failed", %control, %error);
@@ -83,8 +83,9 @@
 }
 
 /// Takes in an answer; returns the mark of the list that came with it.
-fn absorb(context: &Context, desks: &Desks, surveyed: Surveyed, asked: Instant) -> Option<u64> {
-    let Surveyed { followed, listing, controls, entries, .. } = surveyed;
+fn absorb(context: &Context, desks: &Desks, surveyed: Discovered, asked: Instant) -> Option<u64> {
+    let Discovered { followed, target_list: listing, control_instances: controls, entries, .. } =
+        surveyed;
     let now = boot_now();
     context.directory.learn(controls);
     let before = context.watch.index();
@@ -154,7 +155,7 @@
 
 /// Tells the control instances whether this entry is about to stop.
 pub fn send_presence(context: &Context, leaving: bool) {
-    let presence = Presence { centre: context.centre().clone(), leaving };
+    let presence = Presence { centre: context.centre().clone(), draining: leaving };
     for control in context.directory.others() {
         let frame = Frame::Present(presence.clone());
         if let Err(error) = context.endpoint.send(&control, &frame) {
--- a/hawthornkeel/src/forward/discovery_server.rs
+++ b/hawthornkeel/src/forward/discovery_server.rs
@@ -26,11 +26,11 @@
 use crate::forward::exchange::Exchanges;
 use crate::peer::Endpoint;
 use crate::peer::Frame;
+use crate::peer::frame::Discover;
+use crate::peer::frame::Discovered;
 use crate::peer::frame::FrameKind;
 use crate::peer::frame::Presence;
-use crate::peer::frame::Survey;
-use crate::peer::frame::Surveyed;
-use crate::peer::signal::Signal;
+use crate::peer::wakeup::EventCount;
 
 /// Time without a word from an entry after which it counts as gone.
 const PRESENT: Duration = Duration::from_millis(3_500);
@@ -64,7 +64,7 @@
     listing: RefCell<TargetList>,
     listed: Cell<Option<Instant>>,
     entries: RefCell<IndexMap<InstanceName, Seen>>,
-    changed: Signal,
+    changed: EventCount,
     started: Instant,
 }
 
@@ -104,7 +104,7 @@
                 listing: RefCell::default(),
                 listed: Cell::default(),
                 entries: RefCell::default(),
-                changed: Signal::default(),
+                changed: EventCount::default(),
                 started: Instant::now(),
             }),
         };
@@ -121,8 +121,8 @@
             let server = server.clone();
             async move {
                 match frame {
-                    Frame::Survey(survey) => {
-                        Frame::Surveyed(Box::new(server.answer(&survey).await))
+                    Frame::Discover(survey) => {
+                        Frame::Discovered(Box::new(server.answer(&survey).await))
                     }
                     other => other,
                 }
@@ -138,7 +138,7 @@
 
     fn hear(&self, from: &InstanceName, presence: Presence) {
         let mut entries = self.inner.entries.borrow_mut();
-        let changed = if presence.leaving {
+        let changed = if presence.draining {
             entries.shift_remove(from).is_some()
         } else {
             let now = Instant::now();
@@ -148,7 +148,7 @@
         };
         drop(entries);
         if changed {
-            tracing::info!(event = "entry-heard", entry = %from, leaving = presence.leaving);
+            tracing::info!(event = "entry-heard", entry = %from, leaving = presence.draining);
             self.inner.changed.notify();
         }
     }
@@ -174,7 +174,7 @@
     }
 
     /// Answers a survey once there is something new, or after its hold.
-    async fn answer(&self, survey: &Survey) -> Surveyed {
+    async fn answer(&self, survey: &Discover) -> Discovered {
         let hold = Duration::from_millis(survey.wait_ms.into()).min(MAX_HOLD);
         let deadline = monoio::time::Instant::now() + hold;
         loop {
@@ -184,8 +184,8 @@
             }
             let changed = async {
                 monoio::select! {
-                    () = self.inner.watch.changes().after(watched) => {}
-                    () = self.inner.changed.after(own) => {}
+                    () = self.inner.watch.changes().wait_after(watched) => {}
+                    () = self.inner.changed.wait_after(own) => {}
                 }
             };
             if monoio::time::timeout_at(deadline, changed).await.is_err() {
@@ -195,13 +195,13 @@
         self.surveyed(survey)
     }
 
-    fn is_new(&self, survey: &Survey) -> bool {
+    fn is_new(&self, survey: &Discover) -> bool {
         self.inner.watch.index() > survey.after
-            || Some(self.inner.listing.borrow().mark) != survey.listing
-            || self.inner.entries.borrow().len() != survey.entries
+            || Some(self.inner.listing.borrow().mark) != survey.list_mark
+            || self.inner.entries.borrow().len() != survey.entry_count
     }
 
-    fn surveyed(&self, survey: &Survey) -> Surveyed {
+    fn surveyed(&self, survey: &Discover) -> Discovered {
         let listing = self.inner.listing.borrow().clone();
         let listed = self.inner.listed.get();
         let entries = self.inner.entries.borrow();
@@ -212,11 +212,12 @@
             centre: seen.centre.clone(),
             settled: young || seen.first.elapsed() > SETTLED,
         };
-        Surveyed {
+        Discovered {
             followed: self.inner.watch.followed(survey.after),
-            listing: (listed.is_some() && Some(listing.mark) != survey.listing).then_some(listing),
-            listed_ms: listed.map(|l| u64::try_from(l.elapsed().as_millis()).unwrap_or(u64::MAX)),
-            controls: self.controls(),
+            target_list: (listed.is_some() && Some(listing.mark) != survey.list_mark)
+                .then_some(listing),
+            list_age_ms: listed.map(|l| u64::try_from(l.elapsed().as_millis()).unwrap_or(u64::MAX)),
+            control_instances: self.controls(),
             entries: sorted(entries.iter().map(present).collect()),
         }
     }
@@ -254,16 +255,21 @@
         let wait_ms = u32::try_from(self.inner.poll.as_millis()).unwrap_or(u32::MAX);
         let mark = self.inner.listed.get().map(|_| self.inner.listing.borrow().mark);
         let entries = self.inner.entries.borrow().len();
-        let survey = Survey { after: self.inner.watch.index(), listing: mark, entries, wait_ms };
+        let survey = Discover {
+            after: self.inner.watch.index(),
+            list_mark: mark,
+            entry_count: entries,
+            wait_ms,
+        };
         let asked = Instant::now();
         let timeout = ANSWER_TIME + self.inner.poll;
-        let answer = self.inner.endpoint.call(leader, &Frame::Survey(survey), timeout).await;
-        let Ok(Frame::Surveyed(surveyed)) = answer else { return false };
-        let Some(age) = surveyed.listed_ms.map(Duration::from_millis) else { return false };
+        let answer = self.inner.endpoint.call(leader, &Frame::Discover(survey), timeout).await;
+        let Ok(Frame::Discovered(surveyed)) = answer else { return false };
+        let Some(age) = surveyed.list_age_ms.map(Duration::from_millis) else { return false };
         if age > MAX_AGE {
             return false;
         }
-        if let Some(listing) = surveyed.listing {
+        if let Some(listing) = surveyed.target_list {
             self.set_listing(listing);
         }
         self.inner.listed.set(asked.checked_sub(age));
--- a/hawthornkeel/src/forward/exchange.rs
+++ b/hawthornkeel/src/forward/exchange.rs
@@ -23,7 +23,7 @@
 use monoio::time::timeout;
 use monoio_http::common::response::ResponseHead;
 
-use crate::http::connection::has_token;
+use crate::http::connection::has_connection_option;
 use crate::http::framing;
 use crate::http::framing::BodyLength;
 use crate::http::framing::BodyReader;
@@ -239,7 +239,8 @@
                 Body::Framed(body.map_err(|_| Failure::Lost("answer is too large"))?)
             }
         };
-        let lasting = head.version == Version::HTTP_11 && !has_token(&head.headers, "close");
+        let lasting =
+            head.version == Version::HTTP_11 && !has_connection_option(&head.headers, "close");
         let named = echoed || request.id.is_none();
         Ok(Answer {
             status: head.status,
--- a/hawthornkeel/src/forward/handler.rs
+++ b/hawthornkeel/src/forward/handler.rs
@@ -163,7 +163,7 @@
 
 impl Handler for Callers {
     async fn handle(&self, request: Request) -> Response {
-        let left = request.left.clone();
+        let left = request.disconnected.clone();
         let ticket = match gate::admit(&self.context, request) {
             Ok(ticket) => Rc::new(ticket),
             Err(problem) => return refusal(problem),
@@ -391,7 +391,7 @@
                     let headers = passed_headers(&answer.headers);
                     answer.finish();
                     course.log(ticket, "answered", status.as_u16());
-                    return Response { status, headers, body: Body::Whole(body) };
+                    return Response { status, headers, body: Body::Full(body) };
                 }
                 Err(failure) => {
                     tracing::info!(event = "answer-broken", request = %ticket.id, target = %target.name, %failure);
--- a/hawthornkeel/src/forward/operators.rs
+++ b/hawthornkeel/src/forward/operators.rs
@@ -136,7 +136,7 @@
 }
 
 fn accepted() -> Response {
-    Response::whole(StatusCode::OK, "application/json", "{}")
+    Response::full(StatusCode::OK, "application/json", "{}")
 }
 
 /// Answers that the order may or may not be taken: it may be sent again, to any instance.
--- a/hawthornkeel/src/forward/request.rs
+++ b/hawthornkeel/src/forward/request.rs
@@ -182,7 +182,7 @@
             name.as_str(),
             "keep-alive" | "proxy-connection" | "proxy-authenticate" | "proxy-authorization"
         );
-    known || crate::http::connection::has_token(headers, name.as_str()) && name != HOST
+    known || crate::http::connection::has_connection_option(headers, name.as_str()) && name != HOST
 }
 
 fn takes_body(method: &Method) -> bool {
--- a/hawthornkeel/src/forward/server.rs
+++ b/hawthornkeel/src/forward/server.rs
@@ -18,10 +18,10 @@
 use crate::http::message::Response;
 use crate::http::problem::Code;
 use crate::http::problem::Problem;
-use crate::http::server::Control;
 use crate::http::server::Limits;
 use crate::http::server::ListenError;
 use crate::http::server::Server;
+use crate::http::server::ShutdownSignals;
 use crate::peer::Endpoint;
 use crate::stop::StopRequest;
 
@@ -73,7 +73,7 @@
     /// Serves until `stop` is asked for, then stops as planned.
     pub async fn serve(self, stop: StopRequest) -> StopReport {
         let Self { context, desks, server } = self;
-        let control = server.control();
+        let control = server.shutdown_signals();
         let (name, address) = (context.endpoint.name().clone(), server.address());
         tracing::info!(event = "entry-started", %name, %address);
         let callers = Callers { context: Rc::clone(&context), desks };
@@ -98,11 +98,11 @@
     }
     let ready = !context.stopping.get() && context.table.borrow().is_some();
     let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-    Response::whole(status, "text/plain", "")
+    Response::full(status, "text/plain", "")
 }
 
 /// Takes the steps of a planned stop.
-async fn stop_planned(context: &Context, control: &Control) -> StopReport {
+async fn stop_planned(context: &Context, control: &ShutdownSignals) -> StopReport {
     let grace = Duration::from_secs_f64(context.settings.forward.grace_s.max(0.1));
     tracing::info!(event = "stop-begun", open = context.open.get());
     context.stopping.set(true);
@@ -127,9 +127,9 @@
     let memory = settings.forward.memory_mb.saturating_mul(1 << 20) / HELD_PART;
     Limits {
         max_body: 4 << 20,
-        max_held: usize::try_from(memory).unwrap_or(usize::MAX),
+        max_buffered: usize::try_from(memory).unwrap_or(usize::MAX),
         max_connections: settings.forward.max_connections,
-        idle: IDLE,
+        idle_timeout: IDLE,
         ..Limits::default()
     }
 }
--- a/hawthornkeel/src/forward/verdict.rs
+++ b/hawthornkeel/src/forward/verdict.rs
@@ -110,5 +110,5 @@
     {
         headers.insert(RETRY_AFTER, value);
     }
-    Response { status: problem.code.status(), headers, body: Body::Whole(body) }
+    Response { status: problem.code.status(), headers, body: Body::Full(body) }
 }
--- a/hawthornkeel/src/http/channel.rs
+++ b/hawthornkeel/src/http/channel.rs
@@ -26,13 +26,13 @@
 
 /// What a receiver sees next.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Piece {
+pub enum BodyEvent {
     /// Bytes of the body.
     Data(Bytes),
     /// The body is whole.
     End,
     /// The sender was dropped before the body was whole.
-    Broken,
+    Aborted,
 }
 
 #[derive(Default)]
@@ -126,29 +126,29 @@
 
 impl Receiver {
     /// Returns the next piece, waiting for it where needed.
-    pub async fn next(&mut self) -> Piece {
+    pub async fn next(&mut self) -> BodyEvent {
         poll_fn(|cx| self.poll_next(cx)).await
     }
 
     /// Returns the next piece that waits already, if any.
-    pub fn take_ready(&mut self) -> Option<Bytes> {
+    pub fn try_next(&mut self) -> Option<Bytes> {
         let mut shared = self.shared.borrow_mut();
         let data = shared.queue.pop_front()?;
         shared.wake_sender();
         Some(data)
     }
 
-    fn poll_next(&self, cx: &mut Context<'_>) -> Poll<Piece> {
+    fn poll_next(&self, cx: &mut Context<'_>) -> Poll<BodyEvent> {
         let mut shared = self.shared.borrow_mut();
         if let Some(data) = shared.queue.pop_front() {
             shared.wake_sender();
-            return Poll::Ready(Piece::Data(data));
+            return Poll::Ready(BodyEvent::Data(data));
         }
         if shared.finished {
-            return Poll::Ready(Piece::End);
+            return Poll::Ready(BodyEvent::End);
         }
         if shared.sender_gone {
-            return Poll::Ready(Piece::Broken);
+            return Poll::Ready(BodyEvent::Aborted);
         }
         shared.receiver = Some(cx.waker().clone());
         Poll::Pending
--- a/hawthornkeel/src/http/connection.rs
+++ b/hawthornkeel/src/http/connection.rs
@@ -25,8 +25,8 @@
 use crate::http::problem::Code;
 use crate::http::problem::Problem;
 use crate::http::reader::Reader;
-use crate::http::sending;
-use crate::http::sending::Sending;
+use crate::http::response_sender;
+use crate::http::response_sender::SendOptions;
 use crate::http::server::Handler;
 use crate::http::server::Shared;
 use crate::http::signal::Signal;
@@ -89,11 +89,11 @@
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
     let mut reader = Reader::new(read);
-    let mut writer = Writer::new(write, shared.limits.stall);
+    let mut writer = Writer::new(write, shared.limits.write_timeout);
     // A new connection is for a request: one that brings none gets no longer than one that does.
-    let mut idle = shared.limits.receive.min(shared.limits.idle);
+    let mut idle = shared.limits.receive_timeout.min(shared.limits.idle_timeout);
     while wait_for_bytes(&mut reader, idle, shared).await {
-        idle = shared.limits.idle;
+        idle = shared.limits.idle_timeout;
         match exchange(&mut reader, &mut writer, peer, shared).await {
             Next::Keep => {}
             Next::Close => break,
@@ -135,7 +135,7 @@
 /// Waits until idle connections are to end: for a stop, or to make room for others.
 async fn must_end<H>(shared: &Shared<H>) {
     monoio::select! {
-        () = shared.control.stop.wait() => {}
+        () = shared.shutdown.stop.wait() => {}
         () = shared.wait_crowded() => {}
     }
 }
@@ -147,7 +147,7 @@
     peer: SocketAddr,
     shared: &Shared<H>,
 ) -> Next {
-    let received = timeout(shared.limits.receive, receive(reader, writer, shared)).await;
+    let received = timeout(shared.limits.receive_timeout, receive(reader, writer, shared)).await;
     let refused = match received {
         Ok(Ok((parts, body, held))) => {
             let next = answer(reader, writer, peer, shared, parts, body).await;
@@ -181,7 +181,7 @@
         let go_on = Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n");
         writer.write_all(go_on).await.map_err(|_| Refused::Silently)?;
     }
-    let body = body.read_whole(reader).await.map_err(refusal)?;
+    let body = body.read_to_end(reader).await.map_err(refusal)?;
     Ok((parts, body, held))
 }
 
@@ -193,7 +193,7 @@
         BodyLength::Chunked => max,
     };
     let total = shared.held.get().saturating_add(bytes);
-    if total > shared.limits.max_held {
+    if total > shared.limits.max_buffered {
         let problem = Problem::not_run(Code::Overloaded).with_retry_after(HELD_RETRY);
         return Err(Refused::With(problem));
     }
@@ -213,17 +213,23 @@
     let left = Signal::new();
     let mut watching = Watching { left: left.clone(), done: false };
     let wants_close = asks_close(&parts);
-    let chunks = parts.version == Version::HTTP_11;
-    let empty = parts.method == Method::HEAD;
-    let request = Request { head: head_of(&parts), body, peer, left: left.clone() };
-    let response = sending::watch(reader, &left, shared.handler.handle(request)).await;
+    let chunked = parts.version == Version::HTTP_11;
+    let head_only = parts.method == Method::HEAD;
+    let request = Request { head: head_of(&parts), body, peer, disconnected: left.clone() };
+    let response = response_sender::watch(reader, &left, shared.handler.handle(request)).await;
     if left.is_set() {
         return Next::Close;
     }
-    let ending = shared.control.drain.is_set() || shared.control.stop.is_set();
+    let ending = shared.shutdown.drain.is_set() || shared.shutdown.stop.is_set();
     let close = wants_close || ending || shared.is_full();
-    let sent =
-        sending::send(reader, writer, response, &left, Sending { close, chunks, empty }).await;
+    let sent = response_sender::send(
+        reader,
+        writer,
+        response,
+        &left,
+        SendOptions { close, chunked, head_only },
+    )
+    .await;
     watching.done = sent.is_ok();
     match sent {
         Ok(()) if !close => Next::Keep,
@@ -234,8 +240,8 @@
 /// Writes a refusal and closes, reading what is still on its way so that the refusal arrives.
 async fn refuse(reader: &mut Reader, writer: &mut Writer, problem: Problem) {
     let response = problem.into_response();
-    let how = Sending { close: true, chunks: true, empty: false };
-    if sending::send(reader, writer, response, &Signal::new(), how).await.is_err() {
+    let how = SendOptions { close: true, chunked: true, head_only: false };
+    if response_sender::send(reader, writer, response, &Signal::new(), how).await.is_err() {
         return;
     }
     writer.shutdown().await;
@@ -289,13 +295,13 @@
 
 fn asks_close(parts: &Parts) -> bool {
     match parts.version {
-        Version::HTTP_11 => has_token(&parts.headers, "close"),
+        Version::HTTP_11 => has_connection_option(&parts.headers, "close"),
         _ => true,
     }
 }
 
 /// Tells whether the `Connection` field lists `token`.
-pub(crate) fn has_token(headers: &HeaderMap, token: &str) -> bool {
+pub(crate) fn has_connection_option(headers: &HeaderMap, token: &str) -> bool {
     let values = headers.get_all(CONNECTION).iter().filter_map(|v| v.to_str().ok());
     values.flat_map(|v| v.split(',')).any(|t| t.trim().eq_ignore_ascii_case(token))
 }
--- a/hawthornkeel/src/http/framing.rs
+++ b/hawthornkeel/src/http/framing.rs
@@ -256,7 +256,7 @@
     ///
     /// # Errors
     /// Fails as [`BodyReader::next`] does.
-    pub async fn read_whole(&mut self, reader: &mut Reader) -> Result<Bytes, ReadError> {
+    pub async fn read_to_end(&mut self, reader: &mut Reader) -> Result<Bytes, ReadError> {
         let Some(first) = self.next(reader).await? else { return Ok(Bytes::new()) };
         if self.is_done() {
             return Ok(first);
--- a/hawthornkeel/src/http/message.rs
+++ b/hawthornkeel/src/http/message.rs
@@ -42,13 +42,13 @@
     /// Address of the other end of the connection.
     pub peer: SocketAddr,
     /// Set once the caller has left: work for it may stop.
-    pub left: Signal,
+    pub disconnected: Signal,
 }
 
 /// Body of a response.
 pub enum Body {
     /// Whole body, sent with its length.
-    Whole(Bytes),
+    Full(Bytes),
     /// Body in pieces, sent chunked as each arrives; a broken one ends without its last chunk.
     Stream(Receiver),
 }
@@ -65,15 +65,15 @@
 
 impl Response {
     /// Creates a response with a whole body of the type `content_type`.
-    pub fn whole(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Self {
+    pub fn full(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Self {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
-        Self { status, headers, body: Body::Whole(body.into()) }
+        Self { status, headers, body: Body::Full(body.into()) }
     }
 
     /// Creates a response of status 200 with a JSON body.
     pub fn json(body: impl Into<Bytes>) -> Self {
-        Self::whole(StatusCode::OK, "application/json", body)
+        Self::full(StatusCode::OK, "application/json", body)
     }
 
     /// Creates a response of status 200 that streams server-sent events from `receiver`.
--- a/hawthornkeel/src/http/problem.rs
+++ b/hawthornkeel/src/http/problem.rs
@@ -169,7 +169,7 @@
     /// Returns the refusal as a response.
     pub fn into_response(self) -> Response {
         let seconds = self.retry_after.map(whole_seconds);
-        let response = Response::whole(self.code.status(), CONTENT_TYPE, self.to_json());
+        let response = Response::full(self.code.status(), CONTENT_TYPE, self.to_json());
         match seconds {
             Some(seconds) => response.with_header("retry-after", &seconds.to_string()),
             None => response,
--- a/hawthornkeel/src/http/sending.rs
+++ b/hawthornkeel/src/http/response_sender.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use bytes::BytesMut;
 
-use crate::http::channel::Piece;
+use crate::http::channel::BodyEvent;
 use crate::http::channel::Receiver;
 use crate::http::message::Body;
 use crate::http::message::Response;
@@ -49,13 +49,13 @@
 
 /// How an answer is sent.
 #[derive(Clone, Copy)]
-pub(crate) struct Sending {
+pub(crate) struct SendOptions {
     /// Whether the connection is closed after it.
     pub(crate) close: bool,
     /// Whether the caller understands chunks.
-    pub(crate) chunks: bool,
+    pub(crate) chunked: bool,
     /// Whether only the head is sent.
-    pub(crate) empty: bool,
+    pub(crate) head_only: bool,
 }
 
 /// Writes a response whole, or as its pieces come until it ends or the caller leaves.
@@ -64,29 +64,29 @@
     writer: &mut Writer,
     response: Response,
     left: &Signal,
-    sending: Sending,
+    options: SendOptions,
 ) -> io::Result<()> {
     let mut out = BytesMut::new();
     let Response { status, headers, body } = response;
     match body {
-        Body::Whole(data) => {
+        Body::Full(data) => {
             writer::encode_head(
                 status,
                 &headers,
                 Framing::Length(data.len()),
-                sending.close,
+                options.close,
                 &mut out,
             );
-            if !sending.empty {
+            if !options.head_only {
                 out.extend_from_slice(&data);
             }
             writer.write_all(out.freeze()).await
         }
         Body::Stream(receiver) => {
-            let framing = if sending.chunks { Framing::Chunked } else { Framing::Close };
-            writer::encode_head(status, &headers, framing, sending.close, &mut out);
+            let framing = if options.chunked { Framing::Chunked } else { Framing::Close };
+            writer::encode_head(status, &headers, framing, options.close, &mut out);
             writer.write_all(out.freeze()).await?;
-            if sending.empty {
+            if options.head_only {
                 return Ok(());
             }
             send_stream(reader, writer, receiver, left, framing).await
@@ -119,11 +119,13 @@
             () = &mut leaving => return Err(io::ErrorKind::ConnectionAborted.into()),
         };
         match piece {
-            Piece::Data(data) => writer.write_all(join(data, &mut receiver, framing)).await?,
-            Piece::End if framing == Framing::Chunked => {
+            BodyEvent::Data(data) => writer.write_all(join(data, &mut receiver, framing)).await?,
+            BodyEvent::End if framing == Framing::Chunked => {
                 return writer.write_all(Bytes::from_static(b"0\r\n\r\n")).await;
             }
-            Piece::End | Piece::Broken => return Err(io::ErrorKind::ConnectionAborted.into()),
+            BodyEvent::End | BodyEvent::Aborted => {
+                return Err(io::ErrorKind::ConnectionAborted.into());
+            }
         }
     }
 }
@@ -139,7 +141,7 @@
             Framing::Chunked => writer::encode_chunk(&data, &mut out),
             _ => out.extend_from_slice(&data),
         }
-        next = if out.len() < MAX_WRITE { receiver.take_ready() } else { None };
+        next = if out.len() < MAX_WRITE { receiver.try_next() } else { None };
     }
     out.freeze()
 }
--- a/hawthornkeel/src/http/server.rs
+++ b/hawthornkeel/src/http/server.rs
@@ -36,15 +36,15 @@
     /// Request body, in bytes at most, where the handler sets no other bound.
     pub max_body: usize,
     /// Bytes of bodies held for all connections together, at most.
-    pub max_held: usize,
+    pub max_buffered: usize,
     /// Open connections, at most; more wait to be accepted, and idle ones make room for them.
     pub max_connections: usize,
     /// Time for a caller to send a whole request, and for a new connection to begin one.
-    pub receive: Duration,
+    pub receive_timeout: Duration,
     /// Time that a connection may stay open between requests.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Time after which a write that makes no progress closes the connection.
-    pub stall: Duration,
+    pub write_timeout: Duration,
 }
 
 impl Default for Limits {
@@ -52,11 +52,11 @@
         Self {
             max_head: 16 * 1024,
             max_body: 1 << 20,
-            max_held: 256 << 20,
+            max_buffered: 256 << 20,
             max_connections: 4096,
-            receive: Duration::from_secs(10),
-            idle: Duration::from_secs(75),
-            stall: Duration::from_secs(10),
+            receive_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(75),
+            write_timeout: Duration::from_secs(10),
         }
     }
 }
@@ -84,7 +84,7 @@
 
 /// Steps of a planned stop, set one after the other; clones share them.
 #[derive(Clone, Default)]
-pub struct Control {
+pub struct ShutdownSignals {
     /// Connections are still accepted, and each answer says `Connection: close`.
     pub drain: Signal,
     /// No connection is accepted, idle ones are closed and running requests are answered.
@@ -114,7 +114,7 @@
 pub(crate) struct Shared<H> {
     pub(crate) handler: H,
     pub(crate) limits: Limits,
-    pub(crate) control: Control,
+    pub(crate) shutdown: ShutdownSignals,
     /// Bytes of bodies held now.
     pub(crate) held: Cell<usize>,
     open: Cell<usize>,
@@ -143,7 +143,7 @@
     listener: TcpListener,
     address: SocketAddr,
     limits: Limits,
-    control: Control,
+    shutdown: ShutdownSignals,
 }
 
 impl Server {
@@ -158,7 +158,7 @@
             Ok((listener, local))
         };
         let (listener, address) = listen().map_err(|cause| ListenError { address, cause })?;
-        Ok(Self { listener, address, limits, control: Control::default() })
+        Ok(Self { listener, address, limits, shutdown: ShutdownSignals::default() })
     }
 
     /// Returns the address listened on.
@@ -167,8 +167,8 @@
     }
 
     /// Returns the steps of the server's planned stop.
-    pub fn control(&self) -> Control {
-        self.control.clone()
+    pub fn shutdown_signals(&self) -> ShutdownSignals {
+        self.shutdown.clone()
     }
 
     /// Accepts and answers until stopped, and returns once every connection has ended.
@@ -176,7 +176,7 @@
         let shared = Rc::new(Shared {
             handler,
             limits: self.limits,
-            control: self.control,
+            shutdown: self.shutdown,
             held: Cell::new(0),
             open: Cell::new(0),
             crowded: RefCell::default(),
@@ -213,7 +213,7 @@
     shared: &Rc<Shared<H>>,
     ended: &Rc<Ended>,
 ) {
-    let stop = &shared.control.stop;
+    let stop = &shared.shutdown.stop;
     while !stop.is_set() {
         if shared.is_full() {
             shared.make_room();
@@ -261,7 +261,7 @@
     let ended = ended.clone();
     shared.open.set(shared.open.get().saturating_add(1));
     monoio::spawn(async move {
-        let abort = shared.control.abort.clone();
+        let abort = shared.shutdown.abort.clone();
         monoio::select! {
             () = connection::run(stream, peer, &shared) => {}
             () = abort.wait() => {}
--- a/hawthornkeel/src/http/writer.rs
+++ b/hawthornkeel/src/http/writer.rs
@@ -17,7 +17,7 @@
 use monoio::io::OwnedWriteHalf;
 use monoio::net::TcpStream;
 
-use crate::http::patience;
+use crate::http::time_limit;
 
 /// How the body of a response is framed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -50,7 +50,7 @@
     pub async fn write_all(&mut self, mut data: Bytes) -> io::Result<()> {
         while data.has_remaining() {
             let write = self.half.write(data.clone());
-            let (result, _) = patience::within(self.stall, write).await.ok_or_else(stalled)?;
+            let (result, _) = time_limit::within(self.stall, write).await.ok_or_else(stalled)?;
             let count = result?;
             if count == 0 {
                 return Err(io::ErrorKind::WriteZero.into());
--- a/hawthornkeel/src/instance.rs
+++ b/hawthornkeel/src/instance.rs
@@ -132,7 +132,7 @@
 async fn stop_control(control: &Control, limit: Duration) {
     let mut waited = Duration::ZERO;
     control.hand_over();
-    while control.lead().own && waited < limit {
+    while control.lead().is_leader && waited < limit {
         monoio::time::sleep(POLL).await;
         waited += POLL;
     }
--- a/hawthornkeel/src/peer/certificate.rs
+++ b/hawthornkeel/src/peer/certificate.rs
@@ -36,7 +36,7 @@
 
 /// Files of one instance's certificate.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Issued {
+pub struct IssuedFiles {
     /// File of the authority's certificate.
     pub authority: PathBuf,
     /// File of the instance's certificate.
@@ -56,7 +56,7 @@
 
 impl Validity {
     /// Returns the validity of `length` from now on.
-    pub fn of(length: Duration) -> Self {
+    pub fn from_now(length: Duration) -> Self {
         let now = SystemTime::now();
         Self { from: now - CLOCK_DIFFERENCE, until: now + length }
     }
@@ -67,8 +67,8 @@
 /// # Errors
 ///
 /// Fails where a file can't be read or written, or where the authority's files are damaged.
-pub fn issue(folder: &Path, name: &InstanceName) -> io::Result<Issued> {
-    issue_for(folder, name, Validity::of(INSTANCE_VALIDITY))
+pub fn issue(folder: &Path, name: &InstanceName) -> io::Result<IssuedFiles> {
+    issue_with_validity(folder, name, Validity::from_now(INSTANCE_VALIDITY))
 }
 
 /// Issues a certificate like [`issue`], with the given validity.
@@ -76,14 +76,18 @@
 /// # Errors
 ///
 /// Fails where a file can't be read or written, or where the authority's files are damaged.
-pub fn issue_for(folder: &Path, name: &InstanceName, validity: Validity) -> io::Result<Issued> {
+pub fn issue_with_validity(
+    folder: &Path,
+    name: &InstanceName,
+    validity: Validity,
+) -> io::Result<IssuedFiles> {
     fs::create_dir_all(folder)?;
     let issuer = authority(folder)?;
     let key = KeyPair::generate().map_err(io::Error::other)?;
     let certificate = instance_params(name, validity)
         .and_then(|params| params.signed_by(&key, &issuer))
         .map_err(io::Error::other)?;
-    let issued = Issued {
+    let issued = IssuedFiles {
         authority: folder.join(AUTHORITY_FILE),
         certificate: folder.join(format!("{name}.pem")),
         key: folder.join(format!("{name}.key")),
@@ -153,7 +157,7 @@
 }
 
 fn authority_params() -> CertificateParams {
-    let validity = Validity::of(AUTHORITY_VALIDITY);
+    let validity = Validity::from_now(AUTHORITY_VALIDITY);
     let mut params = CertificateParams::default();
     params.not_before = validity.from.into();
     params.not_after = validity.until.into();
--- a/hawthornkeel/src/peer/pack.rs
+++ b/hawthornkeel/src/peer/compression.rs
@@ -8,36 +8,36 @@
 /// Level of compression: the fastest, since documents hold much that repeats.
 const LEVEL: u8 = 1;
 
-/// Form of a frame's body.
+/// Encoding of a frame's body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Form {
+pub enum BodyEncoding {
     /// As encoded.
-    Plain,
+    Identity,
     /// Compressed.
-    Packed,
+    Deflate,
 }
 
-impl Form {
-    /// Returns the number that stands for the form in a frame's head.
-    pub fn number(self) -> u8 {
+impl BodyEncoding {
+    /// Returns the code that stands for the form in a frame's head.
+    pub fn code(self) -> u8 {
         match self {
-            Self::Plain => 0,
-            Self::Packed => 1,
+            Self::Identity => 0,
+            Self::Deflate => 1,
         }
     }
 
     /// Returns the form that `number` stands for, if any.
-    pub fn from_number(number: u8) -> Option<Self> {
-        match number {
-            0 => Some(Self::Plain),
-            1 => Some(Self::Packed),
+    pub fn from_code(code: u8) -> Option<Self> {
+        match code {
+            0 => Some(Self::Identity),
+            1 => Some(Self::Deflate),
             _ => None,
         }
     }
 }
 
 /// Compresses a body; nothing is returned where that would not make it smaller.
-pub fn pack(body: &[u8]) -> Option<Vec<u8>> {
+pub fn compress(body: &[u8]) -> Option<Vec<u8>> {
     if body.len() < MIN_BODY {
         return None;
     }
@@ -46,6 +46,6 @@
 }
 
 /// Restores a compressed body of `max` bytes at most; nothing is returned where that can't be done.
-pub fn unpack(packed: &[u8], max: usize) -> Option<Vec<u8>> {
+pub fn decompress(packed: &[u8], max: usize) -> Option<Vec<u8>> {
     decompress_to_vec_with_limit(packed, max).ok()
 }
--- a/hawthornkeel/src/peer/credentials.rs
+++ b/hawthornkeel/src/peer/credentials.rs
@@ -97,15 +97,15 @@
     /// # Errors
     ///
     /// Fails where a file is missing or not valid, or where the key is not the certificate's.
-    pub fn of(settings: &Settings) -> Result<Self, CredentialsError> {
+    pub fn from_settings(settings: &Settings) -> Result<Self, CredentialsError> {
         match settings.peers.trust {
             Trust::Certificates => Self::load(&settings.peers),
-            Trust::Addresses => Self::encrypting(&settings.peer_name()),
+            Trust::Addresses => Self::unauthenticated(&settings.peer_name()),
         }
     }
 
     /// Makes credentials that encrypt and prove nothing: the peers' addresses are trusted.
-    fn encrypting(name: &InstanceName) -> Result<Self, CredentialsError> {
+    fn unauthenticated(name: &InstanceName) -> Result<Self, CredentialsError> {
         let own = self_signed(name).map_err(invalid)?;
         let chain = vec![CertificateDer::from(own.certificate)];
         let key = PrivateKeyDer::Pkcs8(PrivatePkcs8KeyDer::from(own.key));
@@ -123,7 +123,7 @@
             .with_single_cert(chain, key)?;
         server.alpn_protocols = vec![ALPN.to_vec()];
         server.send_tls13_tickets = 0;
-        Self::over(client, server)
+        Self::with_quic(client, server)
     }
 
     /// Reads the files that `peers` names.
@@ -153,11 +153,11 @@
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let client = client_tls(&provider, chain.clone(), key.clone_key(), roots.clone())?;
         let server = server_tls(&provider, chain, key, roots)?;
-        Self::over(client, server)
+        Self::with_quic(client, server)
     }
 
     /// Puts QUIC over both sides of TLS.
-    fn over(
+    fn with_quic(
         client: rustls::ClientConfig,
         server: rustls::ServerConfig,
     ) -> Result<Self, CredentialsError> {
@@ -271,7 +271,7 @@
 }
 
 /// Tells whether the peer's certificate on `connection` carries `name`.
-pub fn carries_name(connection: &Connection, name: &str) -> bool {
+pub fn certificate_matches(connection: &Connection, name: &str) -> bool {
     let Some(identity) = connection.peer_identity() else { return false };
     let Ok(chain) = identity.downcast::<Vec<CertificateDer<'static>>>() else { return false };
     let Some(certificate) = chain.first() else { return false };
--- a/hawthornkeel/src/peer/endpoint.rs
+++ b/hawthornkeel/src/peer/endpoint.rs
@@ -62,7 +62,7 @@
     ///
     /// Fails where the address can't be bound or the credentials can't be used.
     pub fn open(settings: &Settings) -> Result<Self, PeerError> {
-        let listen = settings.peers.listen.ok_or(PeerError::NoAddress)?;
+        let listen = settings.peers.listen.ok_or(PeerError::NoListenAddress)?;
         Self::with_socket(UdpSocket::bind(listen)?, settings)
     }
 
@@ -72,7 +72,7 @@
     ///
     /// Fails where the socket or the credentials can't be used.
     pub fn with_socket(socket: UdpSocket, settings: &Settings) -> Result<Self, PeerError> {
-        let credentials = Credentials::of(settings)?;
+        let credentials = Credentials::from_settings(settings)?;
         let source = socket.local_addr()?.ip();
         let config = EndpointConfig::default();
         let runtime = MonoioRuntime::default();
@@ -125,12 +125,12 @@
     }
 
     /// Returns the one-way frames dropped so far because a peer's queue was full.
-    pub fn dropped(&self) -> u64 {
+    pub fn dropped_frames(&self) -> u64 {
         self.inner.dropped.get()
     }
 
     /// Returns the number of connections that peers have opened.
-    pub fn accepted(&self) -> usize {
+    pub fn inbound_connections(&self) -> usize {
         self.inner.server.open_connections()
     }
 
@@ -232,13 +232,13 @@
 
 /// Sends `request` on a stream of its own and reads the answer.
 async fn exchange(connection: &Connection, request: bytes::Bytes) -> Result<Frame, PeerError> {
-    let lost = |e: &dyn std::fmt::Display| PeerError::Lost(e.to_string());
+    let lost = |e: &dyn std::fmt::Display| PeerError::ConnectionLost(e.to_string());
     let (mut send, mut receive) = connection.open_bi().await.map_err(|e| lost(&e))?;
     send.write_chunk(request).await.map_err(|e| lost(&e))?;
     send.finish().map_err(|e| lost(&e))?;
     match wire::read(&mut receive).await {
         Ok(frame) => Ok(frame),
-        Err(wire::WireError::Stream(error)) => Err(lost(&error)),
+        Err(wire::WireError::StreamFailed(error)) => Err(lost(&error)),
         Err(error) => Err(PeerError::Wire(error)),
     }
 }
--- a/hawthornkeel/src/peer/error.rs
+++ b/hawthornkeel/src/peer/error.rs
@@ -15,11 +15,11 @@
     /// The settings name no such peer.
     UnknownPeer(InstanceName),
     /// The settings lack `peers.listen`.
-    NoAddress,
+    NoListenAddress,
     /// No connection could be made: nothing was sent.
     Unreachable(String),
     /// The connection failed after the call was sent.
-    Lost(String),
+    ConnectionLost(String),
     /// The time ran out; `sent` tells whether the call may have reached the peer.
     TimedOut {
         /// Whether the call may have reached the peer.
@@ -39,11 +39,11 @@
     /// Tells whether the call may have reached the peer and been carried out.
     pub fn may_have_run(&self) -> bool {
         match self {
-            Self::Lost(_) => true,
+            Self::ConnectionLost(_) => true,
             Self::TimedOut { sent } => *sent,
             Self::Wire(e) => !matches!(e, WireError::TooLong(_)),
             Self::UnknownPeer(_)
-            | Self::NoAddress
+            | Self::NoListenAddress
             | Self::Unreachable(_)
             | Self::Refused(_)
             | Self::Credentials(_)
@@ -56,9 +56,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::UnknownPeer(name) => write!(f, "settings name no peer {name}"),
-            Self::NoAddress => f.write_str("settings lack peers.listen"),
+            Self::NoListenAddress => f.write_str("settings lack peers.listen"),
             Self::Unreachable(reason) => write!(f, "peer can't be reached: {reason}"),
-            Self::Lost(reason) => write!(f, "connection lost: {reason}"),
+            Self::ConnectionLost(reason) => write!(f, "connection lost: {reason}"),
             Self::TimedOut { sent: true } => f.write_str("no answer in time"),
             Self::TimedOut { sent: false } => f.write_str("no connection in time"),
             Self::Refused(Refusal::Version { found, known }) => {
--- a/hawthornkeel/src/peer/frame.rs
+++ b/hawthornkeel/src/peer/frame.rs
@@ -52,7 +52,7 @@
     /// Call: who leads the control instances.
     Lead,
     /// Answers [`Frame::Lead`].
-    LeadReply(Lead),
+    LeadReply(Leadership),
     /// Call: what the instance has in force.
     Status,
     /// Answers [`Frame::Status`].
@@ -60,9 +60,11 @@
     /// Between entries, one-way.
     Entry(EntryMessage),
     /// Call: what has changed of all that an entry follows.
-    Survey(Survey),
-    /// Answers [`Frame::Survey`].
-    Surveyed(Box<Surveyed>),
+    #[serde(rename = "Survey")]
+    Discover(Discover),
+    /// Answers [`Frame::Discover`].
+    #[serde(rename = "Surveyed")]
+    Discovered(Box<Discovered>),
     /// An entry serves callers, or is about to stop; one-way.
     Present(Presence),
     /// Call: have a stage of a request done.
@@ -102,7 +104,7 @@
     Answer,
     /// Of [`Frame::Entry`].
     Entry,
-    /// Of [`Frame::Survey`].
+    /// Of [`Frame::Discover`].
     Survey,
     /// Of [`Frame::Present`].
     Present,
@@ -128,7 +130,7 @@
             Self::Status => FrameKind::Status,
             Self::Lead => FrameKind::Lead,
             Self::Entry(_) => FrameKind::Entry,
-            Self::Survey(_) => FrameKind::Survey,
+            Self::Discover(_) => FrameKind::Survey,
             Self::Present(_) => FrameKind::Present,
             Self::Offer(_) => FrameKind::Offer,
             Self::Book(_) => FrameKind::Book,
@@ -138,7 +140,7 @@
             | Self::Proposed(_)
             | Self::Followed(_)
             | Self::LeadReply(_)
-            | Self::Surveyed(_)
+            | Self::Discovered(_)
             | Self::Offered(_)
             | Self::Booked(_)
             | Self::Pong
@@ -179,9 +181,10 @@
 
 /// Who leads the control instances, as one of them knows it.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Lead {
+pub struct Leadership {
     /// Whether the sender leads and its lease stands.
-    pub own: bool,
+    #[serde(rename = "own")]
+    pub is_leader: bool,
     /// Instance that leads, if the sender knows one.
     pub leader: Option<InstanceName>,
 }
@@ -206,7 +209,8 @@
     /// State, where it is newer than the caller's.
     pub published: Option<PublishedState>,
     /// Orders to take data centres out that the sender knows.
-    pub holds: Vec<TakeOut>,
+    #[serde(rename = "holds")]
+    pub take_outs: Vec<TakeOut>,
     /// Time since the sender's state was last known to be that of a group with a leader, in
     /// milliseconds, or `None` if it never was.
     pub age_ms: Option<u64>,
@@ -214,28 +218,33 @@
 
 /// Request for what has changed of all that an entry follows.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Survey {
+pub struct Discover {
     /// Log position of the state that the caller has, or `None` for nothing.
     pub after: Option<LogIndex>,
     /// Mark of the list of targets that the caller has.
-    pub listing: Option<u64>,
+    #[serde(rename = "listing")]
+    pub list_mark: Option<u64>,
     /// Entries that the caller knows.
-    pub entries: usize,
+    #[serde(rename = "entries")]
+    pub entry_count: usize,
     /// Time to hold the call while there is nothing new, in milliseconds.
     pub wait_ms: u32,
 }
 
 /// Answer to a survey.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Surveyed {
+pub struct Discovered {
     /// Published state, where it is newer than the caller's, and its age.
     pub followed: Followed,
     /// List of targets, where it differs from the caller's.
-    pub listing: Option<TargetList>,
+    #[serde(rename = "listing")]
+    pub target_list: Option<TargetList>,
     /// Time since the list was read from the platform, in milliseconds.
-    pub listed_ms: Option<u64>,
+    #[serde(rename = "listed_ms")]
+    pub list_age_ms: Option<u64>,
     /// Control instances.
-    pub controls: Vec<InstanceName>,
+    #[serde(rename = "controls")]
+    pub control_instances: Vec<InstanceName>,
     /// Entries that serve callers.
     pub entries: Vec<ServingEntry>,
 }
@@ -246,14 +255,16 @@
     /// Data centre.
     pub centre: CentreName,
     /// Whether it is about to stop.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub draining: bool,
 }
 
 /// Stage of a request that another entry is to have done.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Offer {
     /// Desk that has it done.
-    pub desk: SchedulerName,
+    #[serde(rename = "desk")]
+    pub scheduler: SchedulerName,
     /// Work.
     pub job: Job,
     /// Time to hold the call while it is not done, in milliseconds.
@@ -264,16 +275,19 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Book {
     /// Desk that is to have them done.
-    pub desk: SchedulerName,
+    #[serde(rename = "desk")]
+    pub scheduler: SchedulerName,
     /// Stages.
-    pub bookings: Vec<Reservation>,
+    #[serde(rename = "bookings")]
+    pub reservations: Vec<Reservation>,
 }
 
 /// What another entry need not do or keep any more.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Dismiss {
     /// Desk concerned.
-    pub desk: SchedulerName,
+    #[serde(rename = "desk")]
+    pub scheduler: SchedulerName,
     /// Jobs that nobody waits for, or whose bookings are not used.
     pub jobs: Vec<JobId>,
     /// Results that nobody needs.
@@ -303,7 +317,8 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ControlStatus {
     /// Who leads.
-    pub lead: Lead,
+    #[serde(rename = "lead")]
+    pub leadership: Leadership,
     /// Term.
     pub term: Term,
     /// Last entry known to be committed.
--- a/hawthornkeel/src/peer/inbound.rs
+++ b/hawthornkeel/src/peer/inbound.rs
@@ -15,7 +15,7 @@
 use quinn::SendStream;
 use quinn::VarInt;
 
-use crate::peer::credentials::carries_name;
+use crate::peer::credentials::certificate_matches;
 use crate::peer::frame::Frame;
 use crate::peer::frame::FrameKind;
 use crate::peer::frame::Refusal;
@@ -92,7 +92,7 @@
         Err(error) => return Err(error.to_string()),
     };
     match handlers.trust {
-        Trust::Certificates if !carries_name(connection, name.as_str()) => {
+        Trust::Certificates if !certificate_matches(connection, name.as_str()) => {
             return Err(format!("certificate is not for {name}"));
         }
         Trust::Addresses if Peers::name_of(connection.remote_address()) != name => {
@@ -147,11 +147,11 @@
 ) -> Result<(), String> {
     let answer = match wire::read(&mut receive).await {
         Ok(frame) => answer(name, frame, handlers).await,
-        Err(WireError::Version(found)) => {
+        Err(WireError::UnknownVersion(found)) => {
             tracing::warn!(event = "version-refused", peer = %name, found, known = wire::VERSION);
             Frame::Refused(Refusal::Version { found, known: wire::VERSION })
         }
-        Err(WireError::Malformed(_) | WireError::Form(_) | WireError::Packed) => {
+        Err(WireError::Malformed(_) | WireError::UnknownEncoding(_) | WireError::Decompress) => {
             Frame::Refused(Refusal::Malformed)
         }
         Err(error) => return Err(error.to_string()),
--- a/hawthornkeel/src/peer/link.rs
+++ b/hawthornkeel/src/peer/link.rs
@@ -23,7 +23,7 @@
 use crate::peer::error::PeerError;
 use crate::peer::frame::Frame;
 use crate::peer::runtime::MonoioRuntime;
-use crate::peer::signal::Signal;
+use crate::peer::wakeup::EventCount;
 use crate::peer::wire;
 
 /// One-way frames waiting for one peer, at most.
@@ -62,10 +62,10 @@
     address: SocketAddr,
     dialer: Dialer,
     state: RefCell<State>,
-    changed: Signal,
+    changed: EventCount,
     queue: RefCell<VecDeque<Bytes>>,
     queued_bytes: Cell<usize>,
-    queued: Signal,
+    queued: EventCount,
     /// Last time that the connection was asked for.
     used: Cell<Instant>,
     closed: Cell<bool>,
@@ -92,10 +92,10 @@
                 backoff: FIRST_BACKOFF,
                 reason: String::new(),
             }),
-            changed: Signal::default(),
+            changed: EventCount::default(),
             queue: RefCell::default(),
             queued_bytes: Cell::new(0),
-            queued: Signal::default(),
+            queued: EventCount::default(),
             used: Cell::new(Instant::now()),
             closed: Cell::new(false),
         });
@@ -168,7 +168,7 @@
                 }
                 Live::Wait => {
                     dialed = true;
-                    self.changed.after(seen).await;
+                    self.changed.wait_after(seen).await;
                 }
             }
         }
@@ -275,7 +275,7 @@
             if let Some(frame) = link.pop() {
                 return Some((link, frame));
             }
-            link.queued.after(seen).await;
+            link.queued.wait_after(seen).await;
         }
     }
 }
--- a/hawthornkeel/src/peer/mod.rs
+++ b/hawthornkeel/src/peer/mod.rs
@@ -1,15 +1,15 @@
 //! Messages between instances: QUIC with mutual TLS, on the process's own event loop.
 
 pub mod certificate;
+pub mod compression;
 pub mod credentials;
 pub mod endpoint;
 pub mod error;
 pub mod frame;
 mod inbound;
 mod link;
-pub mod pack;
 pub mod runtime;
-pub mod signal;
+pub mod wakeup;
 pub mod wire;
 
 pub use endpoint::Endpoint;
--- a/hawthornkeel/src/peer/runtime.rs
+++ b/hawthornkeel/src/peer/runtime.rs
@@ -29,7 +29,7 @@
 use quinn::udp::RecvMeta;
 use quinn::udp::Transmit;
 
-use crate::peer::signal::yield_now;
+use crate::peer::wakeup::yield_now;
 
 /// Datagram, in bytes at most.
 const MAX_DATAGRAM: usize = 2048;
--- a/hawthornkeel/src/peer/signal.rs
+++ b/hawthornkeel/src/peer/wakeup.rs
@@ -8,13 +8,13 @@
 
 /// Counter of events that tasks of one thread can wait on.
 #[derive(Debug, Default)]
-pub struct Signal {
+pub struct EventCount {
     count: Cell<u64>,
     wakers: RefCell<Vec<Waker>>,
 }
 
-impl Signal {
-    /// Returns the number of events so far, to pass to [`Signal::after`].
+impl EventCount {
+    /// Returns the number of events so far, to pass to [`EventCount::wait_after`].
     pub fn count(&self) -> u64 {
         self.count.get()
     }
@@ -28,7 +28,7 @@
     }
 
     /// Waits until there is an event that `seen` does not count.
-    pub async fn after(&self, seen: u64) {
+    pub async fn wait_after(&self, seen: u64) {
         poll_fn(|cx| {
             if self.count.get() != seen {
                 return Poll::Ready(());
--- a/hawthornkeel/src/target/connection.rs
+++ b/hawthornkeel/src/target/connection.rs
@@ -24,7 +24,7 @@
 use monoio::time::timeout;
 use monoio_http::common::response::ResponseHead;
 
-use crate::http::connection::has_token;
+use crate::http::connection::has_connection_option;
 use crate::http::framing;
 use crate::http::framing::BodyLength;
 use crate::http::framing::BodyReader;
@@ -152,7 +152,8 @@
             length => length,
         };
         let body = BodyReader::new(length, max_body).map_err(read_error)?;
-        let lasting = head.version == Version::HTTP_11 && !has_token(&head.headers, "close");
+        let lasting =
+            head.version == Version::HTTP_11 && !has_connection_option(&head.headers, "close");
         Ok(Answered {
             status: head.status,
             headers: head.headers,
--- a/hawthornkeel/tests/control_isolation.rs
+++ b/hawthornkeel/tests/control_isolation.rs
@@ -68,8 +68,10 @@
         cluster.set_cut(&[&old, "b"], true);
 
         // The leader loses its lease by itself, acknowledges nothing, and then refuses at once.
-        wait_for("the lease to end", async || control(&b, &old).await.is_some_and(|c| !c.lead.own))
-            .await;
+        wait_for("the lease to end", async || {
+            control(&b, &old).await.is_some_and(|c| !c.leadership.is_leader)
+        })
+        .await;
         wait_for("a refusal", async || {
             let response = b.admin.submit(request(2, 1, "lost")).await;
             assert!(!matches!(response, SubmitResponse::Accepted { .. }));
@@ -103,7 +105,10 @@
         assert!(start.elapsed() < IN_FORCE, "{:?}", start.elapsed());
         // It neither disturbed the term nor took part under an old one.
         let after = control(&a, other(&old)).await.unwrap();
-        assert_eq!((after.term, &after.lead.leader), (before.term, &before.lead.leader));
+        assert_eq!(
+            (after.term, &after.leadership.leader),
+            (before.term, &before.leadership.leader)
+        );
         assert_eq!(submit(&b, request(500, 301, "last")).await, accepted(302));
     });
 }
@@ -137,7 +142,7 @@
                     let seen = watch.changes().count();
                     let undone = !watch.unlogged().is_empty() && watch.taken_out().is_empty();
                     assert!(!undone, "undone by the earlier return");
-                    watch.changes().after(seen).await;
+                    watch.changes().wait_after(seen).await;
                 }
             });
         }
--- a/hawthornkeel/tests/forward_site/mod.rs
+++ b/hawthornkeel/tests/forward_site/mod.rs
@@ -330,14 +330,14 @@
         }
         "/stage-free" => return Response::json("{}"),
         "/lots/full" if first => {
-            let refusal = Response::whole(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "full");
+            let refusal = Response::full(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "full");
             return refusal.with_header("not-executed", "1").with_header("request-id", &id);
         }
         "/lots/broken" if first => {
-            Response::whole(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "no")
+            Response::full(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "no")
         }
         "/events/1" => events(first),
-        path => Response::whole(StatusCode::OK, "text/plain", format!("{target} {path}")),
+        path => Response::full(StatusCode::OK, "text/plain", format!("{target} {path}")),
     };
     response.with_header("server-signature", "s.1").with_header("request-id", &id)
 }
@@ -353,7 +353,7 @@
         }
     });
     let mut response = Response::events(receiver);
-    if let Body::Whole(_) = response.body {
+    if let Body::Full(_) = response.body {
         response.status = StatusCode::INTERNAL_SERVER_ERROR;
     }
     response
--- a/hawthornkeel/tests/http_bounds.rs
+++ b/hawthornkeel/tests/http_bounds.rs
@@ -110,7 +110,8 @@
 #[case::body("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1000\r\n\r\n")]
 #[case::chunk("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3E8\r\n")]
 fn slow_sender_refused(#[case] part: &str) {
-    let address = start(Limits { receive: Duration::from_millis(200), ..Limits::default() });
+    let address =
+        start(Limits { receive_timeout: Duration::from_millis(200), ..Limits::default() });
     let mut caller = RawCaller::connect(address).unwrap();
     let begin = Instant::now();
     caller.send(part).unwrap();
@@ -140,14 +141,15 @@
 
 #[test]
 fn idle_connection_closed() {
-    let address = start(Limits { idle: Duration::from_millis(100), ..Limits::default() });
+    let address = start(Limits { idle_timeout: Duration::from_millis(100), ..Limits::default() });
     let mut caller = RawCaller::connect(address).unwrap();
     assert_eq!(caller.read_to_close().unwrap(), b"");
 }
 
 #[test]
 fn new_connection_without_request_closed() {
-    let address = start(Limits { receive: Duration::from_millis(100), ..Limits::default() });
+    let address =
+        start(Limits { receive_timeout: Duration::from_millis(100), ..Limits::default() });
     let mut caller = RawCaller::connect(address).unwrap();
     assert_eq!(caller.read_to_close().unwrap(), b"");
     // Between requests the longer bound holds.
@@ -161,7 +163,7 @@
 
 #[test]
 fn bodies_held_are_bounded() {
-    let limits = Limits { max_body: 1000, max_held: 1500, ..Limits::default() };
+    let limits = Limits { max_body: 1000, max_buffered: 1500, ..Limits::default() };
     let address = start(limits);
     let head = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1000\r\n\r\n";
     let mut first = RawCaller::connect(address).unwrap();
--- a/hawthornkeel/tests/http_problem.rs
+++ b/hawthornkeel/tests/http_problem.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 
 fn parse(response: Response) -> Value {
-    let Body::Whole(body) = response.body else { panic!("a refusal is sent whole") };
+    let Body::Full(body) = response.body else { panic!("a refusal is sent whole") };
     serde_json::from_slice(&body).unwrap()
 }
 
--- a/hawthornkeel/tests/http_stop.rs
+++ b/hawthornkeel/tests/http_stop.rs
@@ -9,9 +9,9 @@
 
 use hawthornkeel::http::message::Request;
 use hawthornkeel::http::message::Response;
-use hawthornkeel::http::server::Control;
 use hawthornkeel::http::server::Limits;
 use hawthornkeel::http::server::Server;
+use hawthornkeel::http::server::ShutdownSignals;
 use hawthornkeel_fakes::raw::RawCaller;
 use hawthornkeel_fakes::thread;
 use monoio::time::sleep;
@@ -49,7 +49,7 @@
     let address = thread::start(async move |sender| {
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), Limits::default()).unwrap();
         sender.send(server.address()).unwrap();
-        monoio::spawn(follow(server.control(), step, seen));
+        monoio::spawn(follow(server.shutdown_signals(), step, seen));
         server
             .serve(move |request: Request| {
                 hold(request, run.clone(), release.clone(), tell.clone())
@@ -62,7 +62,7 @@
     Held { address: address.unwrap(), running, released, phase, stopping, told, ended }
 }
 
-async fn follow(control: Control, phase: Arc<AtomicUsize>, stopping: Arc<AtomicUsize>) {
+async fn follow(control: ShutdownSignals, phase: Arc<AtomicUsize>, stopping: Arc<AtomicUsize>) {
     for (step, signal) in [(DRAIN, control.drain), (STOP, control.stop), (ABORT, control.abort)] {
         while phase.load(Ordering::SeqCst) < step {
             sleep(STEP).await;
@@ -78,7 +78,7 @@
     released: Arc<AtomicUsize>,
     told: Arc<AtomicUsize>,
 ) -> Response {
-    let left = request.left.clone();
+    let left = request.disconnected.clone();
     monoio::spawn(async move {
         left.wait().await;
         told.fetch_add(1, Ordering::SeqCst);
--- a/hawthornkeel/tests/http_streams.rs
+++ b/hawthornkeel/tests/http_streams.rs
@@ -42,7 +42,7 @@
 async fn handle(request: Request, counts: Arc<Counts>) -> Response {
     let path = request.head.path.clone();
     if path == "/wait" {
-        request.left.wait().await;
+        request.disconnected.wait().await;
         counts.left.fetch_add(1, Ordering::SeqCst);
         return Response::json("{}");
     }
@@ -112,7 +112,7 @@
 
 #[test]
 fn silent_caller_holds_stream_back() {
-    let limits = Limits { stall: Duration::from_millis(300), ..Limits::default() };
+    let limits = Limits { write_timeout: Duration::from_millis(300), ..Limits::default() };
     let (address, counts) = start(limits);
     let mut caller = RawCaller::connect(address).unwrap();
     caller.send("GET /endless HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
--- a/hawthornkeel/tests/peer_frames.rs
+++ b/hawthornkeel/tests/peer_frames.rs
@@ -9,12 +9,12 @@
 use hawthornkeel::peer::Endpoint;
 use hawthornkeel::peer::Frame;
 use hawthornkeel::peer::PeerError;
+use hawthornkeel::peer::compression;
+use hawthornkeel::peer::compression::BodyEncoding;
 use hawthornkeel::peer::frame::Follow;
 use hawthornkeel::peer::frame::Followed;
 use hawthornkeel::peer::frame::FrameKind;
 use hawthornkeel::peer::frame::Refusal;
-use hawthornkeel::peer::pack;
-use hawthornkeel::peer::pack::Form;
 use hawthornkeel::peer::wire;
 use hawthornkeel::peer::wire::WireError;
 use hawthornkeel_core::ids::LogIndex;
@@ -119,7 +119,7 @@
         for _ in 0..10_000 {
             a.send(&InstanceName::new("b"), &Frame::Status).unwrap();
         }
-        assert!(a.dropped() > 0);
+        assert!(a.dropped_frames() > 0);
     });
 }
 
@@ -139,7 +139,7 @@
 
 #[test]
 fn frame_bounded() {
-    let long = followed(1, &"x".repeat(wire::MAX_BODY));
+    let long = followed(1, &"x".repeat(wire::MAX_BODY_BYTES));
     let error = wire::encode(&long).unwrap_err();
     assert!(matches!(error, WireError::TooLong(_)));
 }
@@ -152,14 +152,17 @@
     // The busiest instance moves a document seven times a change (bench `control`).
     let moved = encoded.len() as f64 * 7.0 * CHANGES_A_DAY / SECONDS_A_DAY;
     assert!(moved <= BYTES_A_SECOND, "{moved} bytes a second for {} bytes", text.len());
-    let body = pack::pack(&postcard::to_allocvec(&frame).unwrap()).unwrap();
-    assert_eq!(wire::decode(Form::Packed, &body).unwrap(), frame);
+    let body = compression::compress(&postcard::to_allocvec(&frame).unwrap()).unwrap();
+    assert_eq!(wire::decode(BodyEncoding::Deflate, &body).unwrap(), frame);
 }
 
 #[test]
 fn unpacked_body_bounded() {
-    let bomb = pack::pack(&vec![0; wire::MAX_BODY + 1]).unwrap();
-    assert!(bomb.len() < wire::MAX_BODY / 100);
-    assert!(matches!(wire::decode(Form::Packed, &bomb), Err(WireError::Packed)));
-    assert!(matches!(wire::decode(Form::Packed, b"no such data"), Err(WireError::Packed)));
+    let bomb = compression::compress(&vec![0; wire::MAX_BODY_BYTES + 1]).unwrap();
+    assert!(bomb.len() < wire::MAX_BODY_BYTES / 100);
+    assert!(matches!(wire::decode(BodyEncoding::Deflate, &bomb), Err(WireError::Decompress)));
+    assert!(matches!(
+        wire::decode(BodyEncoding::Deflate, b"no such data"),
+        Err(WireError::Decompress)
+    ));
 }
--- a/hawthornkeel/tests/peer_silence.rs
+++ b/hawthornkeel/tests/peer_reconnect.rs
@@ -96,8 +96,8 @@
         let (a, b, relay) = relayed(&folder);
         let to = InstanceName::new("b");
         a.call(&to, &Frame::Status, support::PATIENCE).await.unwrap();
-        assert_eq!(b.accepted(), 1);
-        support::until("the unused connection to end", || b.accepted() == 0).await;
+        assert_eq!(b.inbound_connections(), 1);
+        support::until("the unused connection to end", || b.inbound_connections() == 0).await;
         a.call(&to, &Frame::Status, support::PATIENCE).await.unwrap();
         assert_eq!(relay.flows(), 2);
     });
--- a/hawthornkeel/tests/peer_trust.rs
+++ b/hawthornkeel/tests/peer_trust.rs
@@ -12,7 +12,7 @@
 use hawthornkeel::peer::Endpoint;
 use hawthornkeel::peer::Frame;
 use hawthornkeel::peer::certificate;
-use hawthornkeel::peer::certificate::Issued;
+use hawthornkeel::peer::certificate::IssuedFiles;
 use hawthornkeel::peer::certificate::Validity;
 use hawthornkeel::peer::credentials::Credentials;
 use hawthornkeel::peer::frame::Followed;
@@ -52,18 +52,18 @@
 }
 
 /// Issues the certificate that `caller` uses as instance `a`.
-fn issued(caller: &Caller, own: &TempDir, other: &TempDir) -> Issued {
+fn issued(caller: &Caller, own: &TempDir, other: &TempDir) -> IssuedFiles {
     let name = InstanceName::new("a");
     match caller {
         Caller::Known => certificate::issue(own.path(), &name).unwrap(),
         Caller::OtherName => certificate::issue(own.path(), &InstanceName::new("c")).unwrap(),
-        Caller::Expired => certificate::issue_for(own.path(), &name, expired()).unwrap(),
-        Caller::Early => certificate::issue_for(own.path(), &name, early()).unwrap(),
+        Caller::Expired => certificate::issue_with_validity(own.path(), &name, expired()).unwrap(),
+        Caller::Early => certificate::issue_with_validity(own.path(), &name, early()).unwrap(),
         Caller::Stranger => {
             let stranger = certificate::issue(other.path(), &name).unwrap();
             // The stranger trusts the right authority; only its own certificate is another's.
             let authority = certificate::issue(own.path(), &name).unwrap().authority;
-            Issued { authority, ..stranger }
+            IssuedFiles { authority, ..stranger }
         }
     }
 }
--- a/hawthornkeel/tests/support/mod.rs
+++ b/hawthornkeel/tests/support/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 use hawthornkeel::peer::certificate;
-use hawthornkeel::peer::certificate::Issued;
+use hawthornkeel::peer::certificate::IssuedFiles;
 use hawthornkeel_config::settings::Instance;
 use hawthornkeel_config::settings::Peer;
 use hawthornkeel_config::settings::Peers;
@@ -52,7 +52,7 @@
 }
 
 /// Returns settings of `name` with the certificate `issued`.
-pub fn settings_with(name: &str, issued: Issued, peers: Vec<Peer>) -> Settings {
+pub fn settings_with(name: &str, issued: IssuedFiles, peers: Vec<Peer>) -> Settings {
     Settings {
         instance: Instance { name: InstanceName::new(name), ..Instance::default() },
         peers: Peers {
--- a/hawthornkeel/tests/support/operator.rs
+++ b/hawthornkeel/tests/support/operator.rs
@@ -71,7 +71,7 @@
     wait_for("a leader", async || {
         for peer in parts.admin.endpoint.peers().filter(|p| p.control) {
             let status = status(parts, peer.name.as_str()).await;
-            if status.and_then(|s| s.control).is_some_and(|c| c.lead.own) {
+            if status.and_then(|s| s.control).is_some_and(|c| c.leadership.is_leader) {
                 leader = Some(peer.name.clone());
             }
         }
--- a/hawthornkeel/tests/token_events.rs
+++ b/hawthornkeel/tests/token_events.rs
@@ -3,7 +3,7 @@
 use futures_channel::oneshot;
 use hawthornkeel::entry::reply::Reply;
 use hawthornkeel::entry::reply::TokenEvents;
-use hawthornkeel::http::channel::Piece;
+use hawthornkeel::http::channel::BodyEvent;
 use hawthornkeel::http::channel::Receiver;
 use hawthornkeel::http::message::Body;
 use hawthornkeel_core::ids::RequestId;
@@ -11,7 +11,7 @@
 
 async fn next(receiver: &mut Receiver) -> String {
     match receiver.next().await {
-        Piece::Data(data) => String::from_utf8(data.to_vec()).unwrap(),
+        BodyEvent::Data(data) => String::from_utf8(data.to_vec()).unwrap(),
         other => panic!("no piece: {other:?}"),
     }
 }
@@ -31,7 +31,7 @@
                         event: token\ndata: {\"text\":\"c\\n\"}\n\n";
         assert_eq!(next(&mut receiver).await, expected);
         assert!(next(&mut receiver).await.starts_with("event: answer\ndata: "));
-        assert_eq!(receiver.next().await, Piece::End);
+        assert_eq!(receiver.next().await, BodyEvent::End);
     })
     .unwrap();
 }
