--- a/hawthornkeel/src/forward/discovery_client.rs
+++ b/hawthornkeel/src/forward/discovery_client.rs
@@ -16,9 +16,9 @@
 use crate::forward::context::Context;
 use crate::forward::schedulers::Schedulers;
 use crate::peer::Frame;
+use crate::peer::frame::Discover;
+use crate::peer::frame::Discovered;
 use crate::peer::frame::Presence;
-use crate::peer::frame::Survey;
-use crate::peer::frame::Surveyed;
 
 /// Time for which a control instance holds a poll while there is nothing new, in milliseconds.
 const LONG_POLL_MS: u32 = 600;
@@ -68,15 +68,15 @@
     usize::try_from(hash >> 33).unwrap_or_default()
 }
 
-async fn poll(context: &Context, control: &InstanceName, mark: Option<u64>) -> Option<Surveyed> {
+async fn poll(context: &Context, control: &InstanceName, mark: Option<u64>) -> Option<Discovered> {
     let after = context.watch.index();
     let entries = context.serving_entries.borrow().entries.len();
     // The first poll returns at once, so that the entry is ready as soon as possible.
     let wait_ms = if after.is_some() { LONG_POLL_MS } else { 0 };
-    let frame = Frame::Survey(Survey { after, listing: mark, entries, wait_ms });
+    let frame = Frame::Discover(Discover { after, list_mark: mark, entry_count: entries, wait_ms });
     let timeout = RESPONSE_TIMEOUT + Duration::from_millis(wait_ms.into());
     match context.endpoint.call(control, &frame, timeout).await {
-        Ok(Frame::Surveyed(update)) => Some(*update),
+        Ok(Frame::Discovered(update)) => Some(*update),
         Ok(_) => None,
         Err(error) => {
             tracing::info!(event = "survey-failed", %control, %error);
@@ -89,10 +89,11 @@
 fn apply(
     context: &Context,
     schedulers: &Schedulers,
-    update: Surveyed,
+    update: Discovered,
     sent: Instant,
 ) -> Option<u64> {
-    let Surveyed { followed, listing, controls, entries, .. } = update;
+    let Discovered { followed, target_list: listing, control_instances: controls, entries, .. } =
+        update;
     let now = boot_now();
     context.directory.update(controls);
     let old_index = context.watch.index();
@@ -167,7 +168,7 @@
 
 /// Tells the control instances that this entry serves callers or is `leaving`.
 pub fn send_heartbeat(context: &Context, leaving: bool) {
-    let presence = Presence { centre: context.centre().clone(), leaving };
+    let presence = Presence { centre: context.centre().clone(), draining: leaving };
     for control in context.directory.peers() {
         let frame = Frame::Present(presence.clone());
         if let Err(error) = context.endpoint.send(&control, &frame) {
--- a/hawthornkeel/src/forward/discovery_server.rs
+++ b/hawthornkeel/src/forward/discovery_server.rs
@@ -26,11 +26,11 @@
 use crate::forward::internal_request::InternalRequest;
 use crate::peer::Endpoint;
 use crate::peer::Frame;
+use crate::peer::frame::Discover;
+use crate::peer::frame::Discovered;
 use crate::peer::frame::FrameKind;
 use crate::peer::frame::Presence;
-use crate::peer::frame::Survey;
-use crate::peer::frame::Surveyed;
-use crate::peer::signal::Signal;
+use crate::peer::wakeup::EventCount;
 
 /// Time without a heartbeat after which an entry is removed.
 const ENTRY_TIMEOUT: Duration = Duration::from_millis(3_500);
@@ -66,7 +66,7 @@
     target_list: RefCell<TargetList>,
     list_time: Cell<Option<Instant>>,
     entries: RefCell<IndexMap<InstanceName, EntryRecord>>,
-    changed: Signal,
+    changed: EventCount,
     started: Instant,
 }
 
@@ -106,7 +106,7 @@
                 target_list: RefCell::default(),
                 list_time: Cell::default(),
                 entries: RefCell::default(),
-                changed: Signal::default(),
+                changed: EventCount::default(),
                 started: Instant::now(),
             }),
         };
@@ -123,8 +123,8 @@
             let server = server.clone();
             async move {
                 match frame {
-                    Frame::Survey(survey) => {
-                        Frame::Surveyed(Box::new(server.handle_poll(&survey).await))
+                    Frame::Discover(survey) => {
+                        Frame::Discovered(Box::new(server.handle_poll(&survey).await))
                     }
                     other => other,
                 }
@@ -140,7 +140,7 @@
 
     fn record_heartbeat(&self, from: &InstanceName, presence: Presence) {
         let mut entries = self.inner.entries.borrow_mut();
-        let changed = if presence.leaving {
+        let changed = if presence.draining {
             entries.shift_remove(from).is_some()
         } else {
             let now = Instant::now();
@@ -151,7 +151,7 @@
         };
         drop(entries);
         if changed {
-            tracing::info!(event = "entry-heard", entry = %from, leaving = presence.leaving);
+            tracing::info!(event = "entry-heard", entry = %from, leaving = presence.draining);
             self.inner.changed.notify();
         }
     }
@@ -177,7 +177,7 @@
     }
 
     /// Responds to a poll once there is something new, or at the end of the long poll.
-    async fn handle_poll(&self, survey: &Survey) -> Surveyed {
+    async fn handle_poll(&self, survey: &Discover) -> Discovered {
         let wait = Duration::from_millis(survey.wait_ms.into()).min(MAX_LONG_POLL);
         let deadline = monoio::time::Instant::now() + wait;
         loop {
@@ -188,8 +188,8 @@
             }
             let changed = async {
                 monoio::select! {
-                    () = self.inner.watch.changes().after(state_changes) => {}
-                    () = self.inner.changed.after(own_changes) => {}
+                    () = self.inner.watch.changes().wait_after(state_changes) => {}
+                    () = self.inner.changed.wait_after(own_changes) => {}
                 }
             };
             if monoio::time::timeout_at(deadline, changed).await.is_err() {
@@ -199,13 +199,13 @@
         self.update_for(survey)
     }
 
-    fn has_news(&self, survey: &Survey) -> bool {
+    fn has_news(&self, survey: &Discover) -> bool {
         self.inner.watch.index() > survey.after
-            || Some(self.inner.target_list.borrow().mark) != survey.listing
-            || self.inner.entries.borrow().len() != survey.entries
+            || Some(self.inner.target_list.borrow().mark) != survey.list_mark
+            || self.inner.entries.borrow().len() != survey.entry_count
     }
 
-    fn update_for(&self, survey: &Survey) -> Surveyed {
+    fn update_for(&self, survey: &Discover) -> Discovered {
         let target_list = self.inner.target_list.borrow().clone();
         let list_time = self.inner.list_time.get();
         let entries = self.inner.entries.borrow();
@@ -216,13 +216,13 @@
             centre: record.centre.clone(),
             settled: just_started || record.first_heartbeat.elapsed() > SETTLE_TIME,
         };
-        Surveyed {
+        Discovered {
             followed: self.inner.watch.reply_after(survey.after),
-            listing: (list_time.is_some() && Some(target_list.mark) != survey.listing)
+            target_list: (list_time.is_some() && Some(target_list.mark) != survey.list_mark)
                 .then_some(target_list),
-            listed_ms: list_time
+            list_age_ms: list_time
                 .map(|l| u64::try_from(l.elapsed().as_millis()).unwrap_or(u64::MAX)),
-            controls: self.controls(),
+            control_instances: self.controls(),
             entries: sorted(entries.iter().map(serving).collect()),
         }
     }
@@ -260,16 +260,21 @@
         let wait_ms = u32::try_from(self.inner.poll_interval.as_millis()).unwrap_or(u32::MAX);
         let mark = self.inner.list_time.get().map(|_| self.inner.target_list.borrow().mark);
         let entries = self.inner.entries.borrow().len();
-        let survey = Survey { after: self.inner.watch.index(), listing: mark, entries, wait_ms };
+        let survey = Discover {
+            after: self.inner.watch.index(),
+            list_mark: mark,
+            entry_count: entries,
+            wait_ms,
+        };
         let sent = Instant::now();
         let timeout = RESPONSE_TIMEOUT + self.inner.poll_interval;
-        let response = self.inner.endpoint.call(leader, &Frame::Survey(survey), timeout).await;
-        let Ok(Frame::Surveyed(update)) = response else { return false };
-        let Some(age) = update.listed_ms.map(Duration::from_millis) else { return false };
+        let response = self.inner.endpoint.call(leader, &Frame::Discover(survey), timeout).await;
+        let Ok(Frame::Discovered(update)) = response else { return false };
+        let Some(age) = update.list_age_ms.map(Duration::from_millis) else { return false };
         if age > MAX_LIST_AGE {
             return false;
         }
-        if let Some(target_list) = update.listing {
+        if let Some(target_list) = update.target_list {
             self.set_target_list(target_list);
         }
         self.inner.list_time.set(sent.checked_sub(age));
--- a/hawthornkeel/src/forward/handler.rs
+++ b/hawthornkeel/src/forward/handler.rs
@@ -174,7 +174,7 @@
 
 impl Handler for ForwardHandler {
     async fn handle(&self, request: Request) -> Response {
-        let disconnected = request.left.clone();
+        let disconnected = request.disconnected.clone();
         let admitted = match access::admit(&self.context, request) {
             Ok(admitted) => Rc::new(admitted),
             Err(problem) => return problem_response(problem),
@@ -450,7 +450,7 @@
                     let headers = forwarded_headers(&response.headers);
                     response.finish();
                     progress.log_end(request, "answered", status.as_u16());
-                    return Response { status, headers, body: Body::Whole(body) };
+                    return Response { status, headers, body: Body::Full(body) };
                 }
                 Err(error) => {
                     tracing::info!(
--- a/hawthornkeel/src/forward/http_client.rs
+++ b/hawthornkeel/src/forward/http_client.rs
@@ -23,7 +23,7 @@
 use monoio::time::timeout;
 use monoio_http::common::response::ResponseHead;
 
-use crate::http::connection::has_token;
+use crate::http::connection::has_connection_option;
 use crate::http::framing;
 use crate::http::framing::BodyLength;
 use crate::http::framing::BodyReader;
@@ -246,7 +246,8 @@
                 Body::Framed(body.map_err(|_| ExchangeError::Interrupted("response is too large"))?)
             }
         };
-        let persistent = head.version == Version::HTTP_11 && !has_token(&head.headers, "close");
+        let persistent =
+            head.version == Version::HTTP_11 && !has_connection_option(&head.headers, "close");
         let identified = echoed || request.id.is_none();
         Ok(TargetResponse {
             status: head.status,
--- a/hawthornkeel/src/forward/operators.rs
+++ b/hawthornkeel/src/forward/operators.rs
@@ -112,7 +112,8 @@
 
     /// Returns the document that a leader confirms to be the latest.
     async fn read_document(&self) -> Response {
-        let confirmed = monoio::time::timeout(READ_TIMEOUT, self.follower.linearizable_state()).await;
+        let confirmed =
+            monoio::time::timeout(READ_TIMEOUT, self.follower.linearizable_state()).await;
         let text = match confirmed {
             Ok(Some(published)) => Some(published.text),
             _ => self.read_from_leader().await,
@@ -137,7 +138,7 @@
 }
 
 fn accepted() -> Response {
-    Response::whole(StatusCode::OK, "application/json", "{}")
+    Response::full(StatusCode::OK, "application/json", "{}")
 }
 
 /// Responds that the outcome is unknown; the operator may retry at any instance.
--- a/hawthornkeel/src/forward/outcome.rs
+++ b/hawthornkeel/src/forward/outcome.rs
@@ -117,5 +117,5 @@
     {
         headers.insert(RETRY_AFTER, value);
     }
-    Response { status: problem.code.status(), headers, body: Body::Whole(body) }
+    Response { status: problem.code.status(), headers, body: Body::Full(body) }
 }
--- a/hawthornkeel/src/forward/request.rs
+++ b/hawthornkeel/src/forward/request.rs
@@ -182,7 +182,8 @@
             name.as_str(),
             "keep-alive" | "proxy-connection" | "proxy-authenticate" | "proxy-authorization"
         );
-    is_standard || crate::http::connection::has_token(headers, name.as_str()) && name != HOST
+    is_standard
+        || crate::http::connection::has_connection_option(headers, name.as_str()) && name != HOST
 }
 
 fn takes_body(method: &Method) -> bool {
--- a/hawthornkeel/src/forward/schedulers/mod.rs
+++ b/hawthornkeel/src/forward/schedulers/mod.rs
@@ -40,7 +40,7 @@
 use crate::peer::frame::Dismiss;
 use crate::peer::frame::FrameKind;
 use crate::peer::frame::Offer;
-use crate::peer::signal::Signal;
+use crate::peer::wakeup::EventCount;
 
 /// Time for which the owner holds an offer while its job is unfinished, in milliseconds.
 const LONG_POLL_MS: u32 = 250;
@@ -71,7 +71,7 @@
     schedulers: RefCell<IndexMap<SchedulerName, LocalScheduler>>,
     /// Entries that did not respond to a call and are being probed.
     suspects: RefCell<IndexSet<InstanceName>>,
-    input_arrived: Signal,
+    input_arrived: EventCount,
     ticking: Cell<bool>,
 }
 
@@ -90,7 +90,7 @@
                 pools: RefCell::default(),
                 schedulers: RefCell::default(),
                 suspects: RefCell::default(),
-                input_arrived: Signal::default(),
+                input_arrived: EventCount::default(),
                 ticking: Cell::new(false),
             }),
         };
@@ -194,7 +194,7 @@
         name: &SchedulerName,
         reservations: Vec<Reservation>,
     ) -> Option<(InstanceName, Vec<Option<ReservationEstimate>>)> {
-        let book = Book { desk: name.clone(), bookings: reservations };
+        let book = Book { scheduler: name.clone(), reservations };
         for owner in self.candidates(name) {
             let estimates = self.reserve_at(&owner, &book).await;
             // An entry that is stopping returns no estimates.
@@ -218,7 +218,7 @@
             Ok(Frame::Booked(estimates)) => Some(estimates),
             Ok(_) => None,
             Err(error) => {
-                tracing::info!(event = "booking-failed", %owner, desk = %book.desk, %error);
+                tracing::info!(event = "booking-failed", %owner, desk = %book.scheduler, %error);
                 self.mark_suspect(owner);
                 None
             }
@@ -227,16 +227,16 @@
 
     /// Cancels jobs or reservations on a scheduler of `owner`.
     pub fn cancel(&self, owner: &InstanceName, name: &SchedulerName, jobs: Vec<JobId>) {
-        self.send_dismiss(owner, Dismiss { desk: name.clone(), jobs, results: Vec::new() });
+        self.send_dismiss(owner, Dismiss { scheduler: name.clone(), jobs, results: Vec::new() });
     }
 
     fn apply_reservations(&self, book: &Book) -> Vec<Option<ReservationEstimate>> {
-        if !self.ensure_open(&book.desk) {
+        if !self.ensure_open(&book.scheduler) {
             return Vec::new();
         }
         let mut schedulers = self.inner.schedulers.borrow_mut();
-        let Some(local) = schedulers.get_mut(&book.desk) else { return Vec::new() };
-        book.bookings.iter().map(|b| local.scheduler.reserve(boot_now(), b)).collect()
+        let Some(local) = schedulers.get_mut(&book.scheduler) else { return Vec::new() };
+        book.reservations.iter().map(|b| local.scheduler.reserve(boot_now(), b)).collect()
     }
 
     /// Returns the candidate owners of a scheduler in the order to try, this entry included.
@@ -290,7 +290,7 @@
         let started = Instant::now();
         loop {
             let job = after_delay(&job, started.elapsed())?;
-            let offer = Offer { desk: name.clone(), job, wait_ms: LONG_POLL_MS };
+            let offer = Offer { scheduler: name.clone(), job, wait_ms: LONG_POLL_MS };
             let outcome = self.send_offer(owner, offer).await;
             match &outcome {
                 Some(JobOutcome::Open) => continue,
@@ -332,7 +332,7 @@
 
     /// Accepts an offer and returns the outcome of its job, or `Open` after the long poll.
     async fn handle_offer(&self, offer: Offer) -> JobOutcome {
-        let Offer { desk: name, job, wait_ms } = offer;
+        let Offer { scheduler: name, job, wait_ms } = offer;
         let id = job.id.clone();
         if !self.has_job(&name, &id) && !self.ensure_open(&name) {
             return JobOutcome::Elsewhere;
@@ -382,7 +382,7 @@
     }
 
     fn handle_dismiss(&self, dismiss: Dismiss) {
-        let Dismiss { desk: name, jobs, results } = dismiss;
+        let Dismiss { scheduler: name, jobs, results } = dismiss;
         for job in jobs {
             if let Some(local) = self.inner.schedulers.borrow_mut().get_mut(&name) {
                 local.waiters.swap_remove(&job);
@@ -468,7 +468,7 @@
             let busy = self.inner.schedulers.borrow().values().any(|l| !l.scheduler.is_idle());
             self.inner.ticking.set(busy);
             if !busy {
-                self.inner.input_arrived.after(seen).await;
+                self.inner.input_arrived.wait_after(seen).await;
                 continue;
             }
             monoio::time::sleep(TICK_INTERVAL).await;
--- a/hawthornkeel/src/forward/schedulers/results.rs
+++ b/hawthornkeel/src/forward/schedulers/results.rs
@@ -26,7 +26,7 @@
         }
         self.schedulers.send_dismiss(
             &self.owner,
-            Dismiss { desk: self.name.clone(), jobs: Vec::new(), results },
+            Dismiss { scheduler: self.name.clone(), jobs: Vec::new(), results },
         );
     }
 }
--- a/hawthornkeel/src/forward/server.rs
+++ b/hawthornkeel/src/forward/server.rs
@@ -18,10 +18,10 @@
 use crate::http::message::Response;
 use crate::http::problem::Code;
 use crate::http::problem::Problem;
-use crate::http::server::Control;
 use crate::http::server::Limits;
 use crate::http::server::ListenError;
 use crate::http::server::Server;
+use crate::http::server::ShutdownSignals;
 use crate::peer::Endpoint;
 use crate::stop::StopRequest;
 
@@ -75,7 +75,7 @@
     /// Serves until a stop is requested, then performs the planned stop.
     pub async fn serve(self, stop: StopRequest) -> StopReport {
         let Self { context, schedulers, server } = self;
-        let control = server.control();
+        let control = server.shutdown_signals();
         let (name, address) = (context.endpoint.name().clone(), server.address());
         tracing::info!(event = "entry-started", %name, %address);
         let handler = ForwardHandler { context: Rc::clone(&context), schedulers };
@@ -100,11 +100,11 @@
     }
     let ready = !context.stopping.get() && context.table.borrow().is_some();
     let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-    Response::whole(status, "text/plain", "")
+    Response::full(status, "text/plain", "")
 }
 
 /// Performs the planned stop: drains connections, stops accepting, then aborts what is left.
-async fn planned_stop(context: &Context, control: &Control) -> StopReport {
+async fn planned_stop(context: &Context, control: &ShutdownSignals) -> StopReport {
     let grace = Duration::from_secs_f64(context.settings.forward.grace_s.max(0.1));
     tracing::info!(event = "stop-begun", open = context.in_flight.get());
     context.stopping.set(true);
@@ -129,9 +129,9 @@
     let body_memory = settings.forward.memory_mb.saturating_mul(1 << 20) / BODY_MEMORY_DIVISOR;
     Limits {
         max_body: 4 << 20,
-        max_held: usize::try_from(body_memory).unwrap_or(usize::MAX),
+        max_buffered: usize::try_from(body_memory).unwrap_or(usize::MAX),
         max_connections: settings.forward.max_connections,
-        idle: IDLE_TIMEOUT,
+        idle_timeout: IDLE_TIMEOUT,
         ..Limits::default()
     }
 }
--- a/hawthornkeel/src/instance.rs
+++ b/hawthornkeel/src/instance.rs
@@ -132,7 +132,7 @@
 async fn stop_control(control: &ControlNode, limit: Duration) {
     let mut waited = Duration::ZERO;
     control.transfer_leadership();
-    while control.lead().own && waited < limit {
+    while control.lead().is_leader && waited < limit {
         monoio::time::sleep(POLL).await;
         waited += POLL;
     }
