--- a/hawthornkeel/benches/own_process/mod.rs
+++ b/hawthornkeel/benches/child_process/mod.rs
@@ -16,13 +16,13 @@
 type Failure = Box<dyn Error>;
 
 /// This program once more, in a process of its own; dropping it ends the process.
-pub struct OwnProcess {
+pub struct ChildProcess {
     child: Child,
     /// Address that it listens on, which it prints first.
     pub address: SocketAddr,
 }
 
-impl OwnProcess {
+impl ChildProcess {
     /// Starts this program with `flag` and the address of what it calls.
     pub fn start(flag: &str, target: SocketAddr) -> Result<Self, Failure> {
         let mut command = Command::new(env::current_exe()?);
@@ -40,7 +40,7 @@
     }
 
     /// Returns the time that its first thread has run, and that it was ready and waited for a core.
-    pub fn scheduled(&self) -> Result<(Duration, Duration), Failure> {
+    pub fn cpu_times(&self) -> Result<(Duration, Duration), Failure> {
         let text = fs::read_to_string(format!("/proc/{}/schedstat", self.id()))?;
         let mut nanos = text.split(' ').map(str::parse::<u64>);
         let mut next = || Ok::<_, Failure>(Duration::from_nanos(nanos.next().ok_or("no time")??));
@@ -55,7 +55,7 @@
     }
 }
 
-impl Drop for OwnProcess {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
         // It may have ended by itself.
         let _ = self.child.kill();
--- a/hawthornkeel/benches/control.rs
+++ b/hawthornkeel/benches/control.rs
@@ -36,7 +36,7 @@
 use hawthornkeel_fakes::document::large;
 use hdrhistogram::Histogram;
 use support::cluster::Cluster;
-use support::cluster::Spec;
+use support::cluster::InstanceSpec;
 use support::operator::accepted;
 use support::operator::leader;
 use support::operator::request;
@@ -114,7 +114,7 @@
     cluster.set_tuning(tuning);
     cluster.start_all();
     support::run(async {
-        let parts = cluster.join("a", "east");
+        let parts = cluster.start_local("a", "east");
         let leader = leader(&parts).await;
         let before = reading(&cluster, &parts, leader.as_str()).await;
         let mut claims = measure(&parts, claimers).await;
@@ -195,7 +195,7 @@
             open.set(open.get() - 1);
         });
     }
-    support::until("the claimers", || open.get() == 0).await;
+    support::wait_until("the claimers", || open.get() == 0).await;
     Claims {
         latency: latency.replace(Histogram::new(3).unwrap()),
         all: all.get(),
@@ -239,15 +239,15 @@
 fn cost(size: usize) -> Greatest {
     let centres = ["east", "west", "south"].into_iter().cycle();
     let mut specs = controls();
-    let entry = |(at, centre)| Spec { name: name(at), centre, control: false };
+    let entry = |(at, centre)| InstanceSpec { name: name(at), centre, control: false };
     specs.extend((specs.len()..size).zip(centres).map(entry));
     let names: Vec<_> = specs.iter().map(|s| s.name).collect();
     let mut cluster = Cluster::new(specs);
     cluster.start_all();
     support::run(async {
         // One more instance submits; the others don't count it among themselves.
-        let parts = cluster.join("a", "east");
-        let looking = cluster.join("b", "east");
+        let parts = cluster.start_local("a", "east");
+        let looking = cluster.start_local("b", "east");
         submit(&parts, request(1, 0, "text")).await;
         for name in &names {
             wait_for("the first version", async || {
@@ -342,7 +342,7 @@
     }
 }
 
-fn controls() -> Vec<Spec> {
+fn controls() -> Vec<InstanceSpec> {
     let places = [("c1", "east"), ("c2", "west"), ("c3", "south")];
-    places.into_iter().map(|(name, centre)| Spec { name, centre, control: true }).collect()
+    places.into_iter().map(|(name, centre)| InstanceSpec { name, centre, control: true }).collect()
 }
--- a/hawthornkeel/benches/http_edge.rs
+++ b/hawthornkeel/benches/http_edge.rs
@@ -4,7 +4,7 @@
 //! the figures are a ratio on the same machine at the same time. The run fails where the added p99
 //! passes 5% of the 30 ms gap between tokens.
 
-mod own_process;
+mod child_process;
 
 use std::cell::Cell;
 use std::env;
@@ -43,7 +43,7 @@
 use hawthornkeel_fakes::thread;
 use hawthornkeel_fakes::thread::TargetThread;
 
-use crate::own_process::OwnProcess;
+use crate::child_process::ChildProcess;
 
 /// Requests a second.
 const RATE: f64 = 2_000.0;
@@ -89,9 +89,9 @@
 
 fn measure() -> Result<bool, Failure> {
     let target = TargetThread::start(Behaviour { token_ms: 30_000, ..Behaviour::default() })?;
-    let proxy = OwnProcess::start("--proxy", target.address)?;
+    let proxy = ChildProcess::start("--proxy", target.address)?;
     let added = measure_latency(target.address, proxy.address)?;
-    let (ran, waited) = proxy.scheduled()?;
+    let (ran, waited) = proxy.cpu_times()?;
     println!(
         "scheduled=proxy ran_ms={} waited_for_core_ms={}",
         ran.as_millis(),
@@ -178,7 +178,7 @@
 }
 
 /// Prints the proxy's memory before and with many open streams.
-fn measure_streams(proxy: &OwnProcess) -> Result<(), Failure> {
+fn measure_streams(proxy: &ChildProcess) -> Result<(), Failure> {
     let before = proxy.memory()?;
     let body = "{\"prompt\":\"ref-1\",\"stream\":true}";
     let length = body.len();
@@ -198,7 +198,7 @@
 }
 
 /// Returns the processor time that a process has used.
-fn busy(process: &OwnProcess) -> Result<Duration, Failure> {
+fn busy(process: &ChildProcess) -> Result<Duration, Failure> {
     let stat = fs::read_to_string(format!("/proc/{}/stat", process.id()))?;
     let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or("").split(' ').collect();
     let ticks = fields[11].parse::<u64>()? + fields[12].parse::<u64>()?;
@@ -223,7 +223,7 @@
     let id = CallId { request: RequestId(numbers.get()), ..CallId::default() };
     Call {
         id,
-        progress: Duration::from_secs(60),
+        progress_timeout: Duration::from_secs(60),
         timeout: Duration::from_secs(60),
         ..Call::default()
     }
--- a/hawthornkeel/benches/token_path.rs
+++ b/hawthornkeel/benches/token_path.rs
@@ -5,7 +5,7 @@
 //! streams, which gives a slope. The time between tokens is compared with that of streams taken from
 //! the engine directly, in turns of one run. The run fails where the added p99 passes 5% of the gap.
 
-mod own_process;
+mod child_process;
 
 use std::cell::RefCell;
 use std::env;
@@ -49,7 +49,7 @@
 use monoio::net::TcpStream;
 use monoio::time::sleep;
 
-use crate::own_process::OwnProcess;
+use crate::child_process::ChildProcess;
 
 /// Time between the tokens of a stream, in milliseconds.
 const GAP_MS: u64 = 30;
@@ -350,12 +350,12 @@
 
 /// Entry in a process of its own, so that its memory and processor time are its own.
 struct Entry {
-    process: OwnProcess,
+    process: ChildProcess,
 }
 
 impl Entry {
     fn start(engine: SocketAddr) -> Result<Self, Failure> {
-        Ok(Self { process: OwnProcess::start("--entry", engine)? })
+        Ok(Self { process: ChildProcess::start("--entry", engine)? })
     }
 
     /// Raises the limit of calls to the engine by short calls.
@@ -379,7 +379,7 @@
 
     /// Returns the time that the entry's first thread has run, which serves callers.
     fn busy(&self) -> Result<Duration, Failure> {
-        let (run, _) = self.process.scheduled()?;
+        let (run, _) = self.process.cpu_times()?;
         Ok(run)
     }
 
--- a/hawthornkeel/src/cli/admin.rs
+++ b/hawthornkeel/src/cli/admin.rs
@@ -15,8 +15,8 @@
 use crate::cli::error::one_line;
 use crate::runtime;
 use crate::target::call::Call;
+use crate::target::connection::CallTimeouts;
 use crate::target::connection::Connection;
-use crate::target::connection::Watch;
 use crate::target::error::CallError;
 
 /// Time for a connection to open.
@@ -80,16 +80,16 @@
 
 async fn exchange(admin: SocketAddr, method: &Method, call: &Call) -> Result<Answer, CallError> {
     let request = call.encode(method, &admin.to_string())?;
-    let watch = Watch::start(call.timeout, call.timeout);
+    let timeouts = CallTimeouts::start(call.timeout, call.timeout);
     let mut connection = Connection::open(admin, CONNECT).await?;
-    connection.send(request, &watch).await?;
+    connection.send(request, &timeouts).await?;
     let id = CallId::default();
-    let mut answered = connection.read_head(id, MAX_ANSWER, &watch).await?;
+    let mut head = connection.read_head(id, MAX_ANSWER, &timeouts).await?;
     let mut body = BytesMut::new();
-    while let Some(piece) = connection.next_piece(&mut answered.body, &watch).await? {
+    while let Some(piece) = connection.next_chunk(&mut head.body, &timeouts).await? {
         body.extend_from_slice(&piece);
     }
-    Ok(Answer { status: answered.status, body: body.freeze() })
+    Ok(Answer { status: head.status, body: body.freeze() })
 }
 
 /// Returns the error that a refusal stands for.
--- a/hawthornkeel/src/cli/run.rs
+++ b/hawthornkeel/src/cli/run.rs
@@ -28,16 +28,16 @@
     if !warnings.is_empty() {
         eprintln!("{warnings}");
     }
-    logging::init(&settings.log.filter).map_err(failed)?;
-    let metrics = telemetry::install().map_err(failed)?;
-    let stop = StopRequest::from_signals().map_err(failed)?;
+    logging::init(&settings.log.filter).map_err(command_error)?;
+    let metrics = telemetry::install().map_err(command_error)?;
+    let stop = StopRequest::from_signals().map_err(command_error)?;
     let instance = instance::run(settings, stop, metrics);
-    let report = runtime::block_on(instance).map_err(failed)?.map_err(failed)?;
-    report_stop(report)
+    let report = runtime::block_on(instance).map_err(command_error)?.map_err(command_error)?;
+    stop_result(report)
 }
 
 /// Returns the result of a process that stopped as `report` says.
-pub fn report_stop(report: StopReport) -> Result<(), CliError> {
+pub fn stop_result(report: StopReport) -> Result<(), CliError> {
     match report {
         StopReport::Complete => Ok(()),
         StopReport::Cut(count) => Err(CliError::Failed(format!("{count} requests were cut off"))),
@@ -45,6 +45,6 @@
 }
 
 /// Returns the error of a command that `error` ended.
-pub(crate) fn failed(error: impl std::error::Error) -> CliError {
+pub(crate) fn command_error(error: impl std::error::Error) -> CliError {
     CliError::Failed(one_line(&error.to_string()))
 }
--- a/hawthornkeel/src/cli/trial.rs
+++ b/hawthornkeel/src/cli/trial.rs
@@ -6,8 +6,8 @@
 
 use crate::cli::command::TrialOptions;
 use crate::cli::error::CliError;
-use crate::cli::run::failed;
-use crate::cli::run::report_stop;
+use crate::cli::run::command_error;
+use crate::cli::run::stop_result;
 use crate::logging;
 use crate::runtime;
 use crate::stop::StopRequest;
@@ -21,9 +21,9 @@
 pub fn trial(options: &TrialOptions) -> Result<(), CliError> {
     let text = read_text(&options.document)?;
     let document = parse_document(&options.document.display().to_string(), &text)?;
-    logging::init(&Log::default().filter).map_err(failed)?;
-    let stop = StopRequest::from_signals().map_err(failed)?;
+    logging::init(&Log::default().filter).map_err(command_error)?;
+    let stop = StopRequest::from_signals().map_err(command_error)?;
     let trial = trial::run(document, options.listen, stop);
-    let report = runtime::block_on(trial).map_err(failed)?.map_err(failed)?;
-    report_stop(report)
+    let report = runtime::block_on(trial).map_err(command_error)?.map_err(command_error)?;
+    stop_result(report)
 }
--- a/hawthornkeel/src/clock.rs
+++ b/hawthornkeel/src/clock.rs
@@ -20,7 +20,7 @@
     }
 
     /// Returns the time until `point`, or zero where it has passed.
-    pub fn until(&self, point: Instant) -> Duration {
+    pub fn time_until(&self, point: Instant) -> Duration {
         point.since(self.now())
     }
 }
--- a/hawthornkeel/src/control/orders.rs
+++ b/hawthornkeel/src/control/orders.rs
@@ -132,7 +132,7 @@
             id: CallId { request: RequestId(rand::random()), ..CallId::default() },
             idempotent: false,
             timeout: self.settings.timeout,
-            progress: self.settings.timeout,
+            progress_timeout: self.settings.timeout,
             ..Call::default()
         };
         let order = FencedOrder { fencing, order };
--- a/hawthornkeel/src/entry/call.rs
+++ b/hawthornkeel/src/entry/call.rs
@@ -26,7 +26,7 @@
 use crate::target::client::Client;
 use crate::target::completion::COMPLETIONS;
 use crate::target::error::CallError;
-use crate::target::process::Heard;
+use crate::target::process::ReportedIncarnation;
 use crate::target::stream::Event;
 use crate::target::stream::TokenStream;
 use crate::telemetry;
@@ -78,7 +78,7 @@
         let stage = plan.stage.name.as_str().to_owned();
         metrics::counter!(telemetry::COLD_CALLS, "stage" => stage).increment(1);
     }
-    let heard = Heard::default();
+    let heard = ReportedIncarnation::default();
     let record = CallRecord::start(&context, &plan);
     let result = attempt(&context, &permit, &plan, &heard).await;
     permit.hear(heard.get());
@@ -110,14 +110,14 @@
     context: &Context,
     permit: &HeldPermit,
     plan: &CallPlan,
-    heard: &Heard,
+    heard: &ReportedIncarnation,
 ) -> Result<Answered, CallError> {
     let address: SocketAddr = permit
         .address
         .parse()
         .map_err(|_| CallError::NotSent("address can't be parsed".to_owned()))?;
     let until = permit.permit().map_or(Instant::ZERO, |p| p.deadline);
-    let left = context.clock.until(until);
+    let left = context.clock.time_until(until);
     if left.is_zero() {
         return Err(CallError::NotSent("permit expired".to_owned()));
     }
@@ -125,8 +125,8 @@
         true => left,
         false => longest(context, permit, plan),
     };
-    let process = permit.process();
-    let call = Call { process, heard: heard.clone(), ..encode(plan, timeout) };
+    let expected_process = permit.process();
+    let call = Call { expected_process, reported: heard.clone(), ..encode(plan, timeout) };
     match plan.pool.kind {
         PoolKind::Service => {
             let answer = context.client.call(address, &call).await?;
@@ -141,9 +141,9 @@
 /// Its answer is still recorded after the deadline; only the end of a grant ends it earlier, since
 /// the target may be granted to another call then.
 fn longest(context: &Context, permit: &HeldPermit, plan: &CallPlan) -> Duration {
-    let late = context.clock.until(plan.deadline) + LATE_ANSWER;
+    let late = context.clock.time_until(plan.deadline) + LATE_ANSWER;
     let grant_expiry = permit.permit().and_then(|p| p.grant_expiry);
-    grant_expiry.map_or(late, |end| late.min(context.clock.until(end)))
+    grant_expiry.map_or(late, |end| late.min(context.clock.time_until(end)))
 }
 
 /// Returns the time without a byte after which a call counts as silent.
@@ -162,7 +162,7 @@
         key: plan.key.as_ref().map(|k| k.to_string()),
         priority: plan.priority,
         timeout,
-        progress: progress(&plan.stage, timeout),
+        progress_timeout: progress(&plan.stage, timeout),
         ..Call::default()
     };
     match plan.pool.kind {
@@ -189,7 +189,7 @@
     permit: &HeldPermit,
 ) -> Result<Answered, CallError> {
     let mut stream = client.stream(address, call).await?;
-    permit.hear(call.heard.get());
+    permit.hear(call.reported.get());
     let mut tokens: u32 = 0;
     while let Event::Token { text, .. } = stream.next().await? {
         tokens = tokens.saturating_add(1);
@@ -209,7 +209,7 @@
 fn add_ready(stream: &mut TokenStream, plan: &CallPlan, events: &mut TokenEvents) -> u32 {
     let mut tokens: u32 = 0;
     while !events.is_full() {
-        let Some(Event::Token { text, .. }) = stream.take_ready() else {
+        let Some(Event::Token { text, .. }) = stream.try_next() else {
             break;
         };
         tokens = tokens.saturating_add(1);
@@ -224,9 +224,9 @@
         CallError::NotSent(_) | CallError::Restarted => CallFailure::NotSent,
         CallError::Refused { not_run: true, .. } => CallFailure::Declined,
         CallError::Refused { .. } => CallFailure::Refused,
-        CallError::Silent => CallFailure::ProgressTimeout,
+        CallError::TimedOut => CallFailure::ProgressTimeout,
         CallError::Truncated => CallFailure::Truncated,
-        CallError::Crossed => CallFailure::WrongCall,
+        CallError::WrongCall => CallFailure::WrongCall,
         CallError::Reset(_) => CallFailure::Reset,
         CallError::Malformed(_) | CallError::NotResumed => CallFailure::Malformed,
         CallError::Status(status) => CallFailure::Status(*status),
--- a/hawthornkeel/src/entry/controllers/load.rs
+++ b/hawthornkeel/src/entry/controllers/load.rs
@@ -37,7 +37,7 @@
 pub async fn watch(context: Rc<Context>) {
     loop {
         monoio::time::sleep(WATCH_PAUSE).await;
-        for lost in context.client.take_lost().await {
+        for lost in context.client.reap_lost().await {
             if let Some(target) = target_at(&context, lost.address) {
                 take_lost(&context, target, lost.recent);
             }
@@ -76,7 +76,8 @@
         return;
     };
     let id = CallId { request: RequestId(rand::random()), ..CallId::default() };
-    let call = Call { id, timeout: POLL_TIMEOUT, progress: POLL_TIMEOUT, ..Call::default() };
+    let call =
+        Call { id, timeout: POLL_TIMEOUT, progress_timeout: POLL_TIMEOUT, ..Call::default() };
     // A target without a report is routed to by what its answers show.
     let Ok(report) = context.client.load(address, &call).await else {
         return;
--- a/hawthornkeel/src/entry/controllers/targets.rs
+++ b/hawthornkeel/src/entry/controllers/targets.rs
@@ -70,7 +70,8 @@
 
 async fn poll(context: &Context, address: SocketAddr) -> Result<Vec<TargetInfo>, CallError> {
     let path = context.settings.platform.path.clone();
-    let call = Call { path, timeout: POLL_TIMEOUT, progress: POLL_TIMEOUT, ..Call::default() };
+    let call =
+        Call { path, timeout: POLL_TIMEOUT, progress_timeout: POLL_TIMEOUT, ..Call::default() };
     let answer = context.client.get(address, &call).await?;
     let list: InstanceList = serde_json::from_slice(&answer.body)
         .map_err(|_| CallError::Malformed("list of instances can't be parsed"))?;
--- a/hawthornkeel/src/entry/drive/mod.rs
+++ b/hawthornkeel/src/entry/drive/mod.rs
@@ -157,8 +157,8 @@
     /// Waits for the operation in progress, the deadline or the caller's leaving.
     async fn next_input(&mut self) -> Input {
         let clock = self.context.clock;
-        let left = clock.until(self.run.spec().deadline);
-        let hedge_due = self.timer.map(|t| (t.call, clock.until(t.due)));
+        let left = clock.time_until(self.run.spec().deadline);
+        let hedge_due = self.timer.map(|t| (t.call, clock.time_until(t.due)));
         let hedge = self.hedge.as_mut().map(|h| &mut h.work);
         let step = monoio::select! {
             step = end(self.operation.as_mut()) => step,
--- a/hawthornkeel/src/entry/permit.rs
+++ b/hawthornkeel/src/entry/permit.rs
@@ -8,7 +8,7 @@
 use hawthornkeel_core::routing::types::Permit;
 
 use crate::entry::context::Context;
-use crate::target::process::Process;
+use crate::target::process::ExpectedProcess;
 
 /// Permit for one call, given back as cancelled where it is dropped unused.
 pub struct HeldPermit {
@@ -30,11 +30,13 @@
     }
 
     /// Returns which process of the target may get the call: the proved one, where no grant is held.
-    pub fn process(&self) -> Process {
+    pub fn process(&self) -> ExpectedProcess {
         match &self.permit {
-            Some(Permit { grant: None, incarnation: Some(named), .. }) => Process::Named(*named),
-            Some(Permit { grant: None, .. }) => Process::Recent,
-            _ => Process::Any,
+            Some(Permit { grant: None, incarnation: Some(named), .. }) => {
+                ExpectedProcess::Incarnation(*named)
+            }
+            Some(Permit { grant: None, .. }) => ExpectedProcess::Unchanged,
+            _ => ExpectedProcess::Any,
         }
     }
 
--- a/hawthornkeel/src/instance.rs
+++ b/hawthornkeel/src/instance.rs
@@ -54,7 +54,7 @@
     /// The control role can't start.
     Control(OpenError),
     /// The entry role has no address.
-    NoAddress,
+    NoListenAddress,
     /// The control role failed, and nothing more can be acknowledged.
     Failed(ControlFailure),
 }
@@ -65,7 +65,7 @@
             Self::Peer(error) => write!(f, "can't open the endpoint for peers: {error}"),
             Self::Listen(error) => error.fmt(f),
             Self::Control(error) => error.fmt(f),
-            Self::NoAddress => f.write_str("entry.listen is missing"),
+            Self::NoListenAddress => f.write_str("entry.listen is missing"),
             Self::Failed(failure) => write!(f, "control role failed: {failure}"),
         }
     }
@@ -150,7 +150,7 @@
     let Some(context) = context else {
         return Ok(wait_for_stop(stop).await);
     };
-    let listen = settings.entry.listen.ok_or(RunError::NoAddress)?;
+    let listen = settings.entry.listen.ok_or(RunError::NoListenAddress)?;
     Ok(Started::listen(context, listen)?.serve(stop).await)
 }
 
--- a/hawthornkeel/src/logging.rs
+++ b/hawthornkeel/src/logging.rs
@@ -12,16 +12,16 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LoggingError {
     /// The filter can't be read.
-    Filter(String),
+    InvalidFilter(String),
     /// Log output has started already.
-    Started,
+    AlreadyInitialized,
 }
 
 impl fmt::Display for LoggingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Filter(cause) => write!(f, "log.filter can't be read: {cause}"),
-            Self::Started => f.write_str("log output has started already"),
+            Self::InvalidFilter(cause) => write!(f, "log.filter can't be read: {cause}"),
+            Self::AlreadyInitialized => f.write_str("log output has started already"),
         }
     }
 }
@@ -33,9 +33,9 @@
 /// # Errors
 /// Fails where the filter can't be read or log output has started already.
 pub fn init(filter: &str) -> Result<(), LoggingError> {
-    let filter =
-        EnvFilter::try_new(filter).map_err(|error| LoggingError::Filter(error.to_string()))?;
+    let filter = EnvFilter::try_new(filter)
+        .map_err(|error| LoggingError::InvalidFilter(error.to_string()))?;
     let lines = tracing_logfmt::builder().layer().with_writer(io::stdout);
     let subscriber = tracing_subscriber::registry().with(filter).with(lines);
-    subscriber.try_init().map_err(|_| LoggingError::Started)
+    subscriber.try_init().map_err(|_| LoggingError::AlreadyInitialized)
 }
--- a/hawthornkeel/src/stop.rs
+++ b/hawthornkeel/src/stop.rs
@@ -34,7 +34,7 @@
     }
 
     /// Asks to stop.
-    pub fn ask(&self) {
+    pub fn request(&self) {
         self.count.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -46,7 +46,7 @@
     /// Returns how often a stop was asked for; signals between two looks count once.
     pub fn count(&self) -> usize {
         if self.signalled.swap(false, Ordering::Relaxed) {
-            self.ask();
+            self.request();
         }
         self.count.load(Ordering::Relaxed)
     }
--- a/hawthornkeel/src/target/call.rs
+++ b/hawthornkeel/src/target/call.rs
@@ -8,8 +8,8 @@
 use http::Method;
 
 use crate::target::error::CallError;
-use crate::target::process::Heard;
-use crate::target::process::Process;
+use crate::target::process::ExpectedProcess;
+use crate::target::process::ReportedIncarnation;
 
 /// Header with the call's identity, which an answer echoes.
 pub const REQUEST_ID: &str = "x-request-id";
@@ -41,13 +41,13 @@
     /// Time for the whole call.
     pub timeout: Duration,
     /// Time without a byte after which the connection counts as silent.
-    pub progress: Duration,
+    pub progress_timeout: Duration,
     /// Bytes of generated text that an engine's stream goes on from.
     pub resume_offset: u64,
     /// Which process of the target may get the call.
-    pub process: Process,
+    pub expected_process: ExpectedProcess,
     /// Incarnation that the target names on the call; shared by the clones of the call.
-    pub heard: Heard,
+    pub reported: ReportedIncarnation,
 }
 
 impl Default for Call {
@@ -60,10 +60,10 @@
             key: None,
             priority: 0,
             timeout: Duration::from_secs(30),
-            progress: Duration::from_secs(5),
+            progress_timeout: Duration::from_secs(5),
             resume_offset: 0,
-            process: Process::Any,
-            heard: Heard::default(),
+            expected_process: ExpectedProcess::Any,
+            reported: ReportedIncarnation::default(),
         }
     }
 }
--- a/hawthornkeel/src/target/client.rs
+++ b/hawthornkeel/src/target/client.rs
@@ -13,14 +13,14 @@
 use crate::target::call::Call;
 use crate::target::call::RESUME_OFFSET;
 use crate::target::connection;
-use crate::target::connection::Answered;
+use crate::target::connection::CallTimeouts;
 use crate::target::connection::Connection;
-use crate::target::connection::Watch;
+use crate::target::connection::ReceivedHead;
 use crate::target::error::CallError;
-use crate::target::pool::Lost;
-use crate::target::pool::Pool;
-use crate::target::pool::Taken;
-use crate::target::process::Process;
+use crate::target::pool::ConnectionPool;
+use crate::target::pool::LostConnection;
+use crate::target::pool::PoolLookup;
+use crate::target::process::ExpectedProcess;
 use crate::target::refusal;
 use crate::target::stream::TokenStream;
 
@@ -30,27 +30,27 @@
     /// Idle connections kept for each target, at most.
     pub max_idle: usize,
     /// Time that an idle connection is kept.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Time for a connection to open.
-    pub connect: Duration,
-    /// Answer, in bytes at most.
-    pub max_answer: usize,
+    pub connect_timeout: Duration,
+    /// Largest response, in bytes.
+    pub max_response: usize,
 }
 
 impl Default for ClientLimits {
     fn default() -> Self {
         Self {
             max_idle: 64,
-            idle: Duration::from_secs(30),
-            connect: Duration::from_millis(300),
-            max_answer: 4 << 20,
+            idle_timeout: Duration::from_secs(30),
+            connect_timeout: Duration::from_millis(300),
+            max_response: 4 << 20,
         }
     }
 }
 
 /// Whole answer of a plain service.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct CallResponse {
     /// Status, a success.
     pub status: StatusCode,
     /// Header fields.
@@ -67,31 +67,31 @@
 
 struct Inner {
     limits: ClientLimits,
-    pool: Pool,
+    pool: ConnectionPool,
 }
 
-/// Answer whose body has not been read, with the connection that it comes on.
-pub(crate) struct Open {
+/// Response whose body has not been read, with the connection that it comes on.
+pub(crate) struct PendingResponse {
     pub(crate) connection: Connection,
-    pub(crate) answered: Answered,
-    pub(crate) watch: Watch,
+    pub(crate) head: ReceivedHead,
+    pub(crate) timeouts: CallTimeouts,
 }
 
 impl Client {
     /// Creates a client.
     pub fn new(limits: ClientLimits) -> Self {
-        let pool = Pool::new(limits.max_idle, limits.idle);
+        let pool = ConnectionPool::new(limits.max_idle, limits.idle_timeout);
         Self { inner: Rc::new(Inner { limits, pool }) }
     }
 
     /// Closes the idle connections to `address`, as after its target was replaced.
-    pub fn forget(&self, address: SocketAddr) {
-        self.inner.pool.forget(address);
+    pub fn close_idle(&self, address: SocketAddr) {
+        self.inner.pool.close_idle(address);
     }
 
     /// Closes idle connections that their targets have closed, and returns whose they were.
-    pub async fn take_lost(&self) -> Vec<Lost> {
-        self.inner.pool.take_lost().await
+    pub async fn reap_lost(&self) -> Vec<LostConnection> {
+        self.inner.pool.reap_lost().await
     }
 
     /// Calls a plain service and returns its whole answer.
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     /// Fails as [`CallError`] says; nothing of the answer is given on then.
-    pub async fn call(&self, address: SocketAddr, call: &Call) -> Result<Answer, CallError> {
+    pub async fn call(&self, address: SocketAddr, call: &Call) -> Result<CallResponse, CallError> {
         self.exchange(address, &Method::POST, call).await
     }
 
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     /// Fails as [`CallError`] says.
-    pub async fn get(&self, address: SocketAddr, call: &Call) -> Result<Answer, CallError> {
+    pub async fn get(&self, address: SocketAddr, call: &Call) -> Result<CallResponse, CallError> {
         self.exchange(address, &Method::GET, call).await
     }
 
@@ -120,15 +120,15 @@
     /// Fails as [`CallError`] says; the stream itself may fail later in the same ways.
     pub async fn stream(&self, address: SocketAddr, call: &Call) -> Result<TokenStream, CallError> {
         let open = self.open(address, &Method::POST, call).await?;
-        if call.resume_offset > 0 && !is_resumed(&open.answered.headers, call.resume_offset) {
+        if call.resume_offset > 0 && !is_resumed(&open.head.headers, call.resume_offset) {
             return Err(CallError::NotResumed);
         }
         Ok(TokenStream::new(self.clone(), address, open, call.resume_offset))
     }
 
     /// Puts a connection back after a whole exchange.
-    pub(crate) fn put_back(&self, address: SocketAddr, open: Open) {
-        if open.answered.reusable && open.answered.body.is_done() {
+    pub(crate) fn release(&self, address: SocketAddr, open: PendingResponse) {
+        if open.head.reusable && open.head.body.is_done() {
             self.inner.pool.put(address, open.connection);
         }
     }
@@ -138,13 +138,13 @@
         address: SocketAddr,
         method: &Method,
         call: &Call,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<CallResponse, CallError> {
         let mut open = self.open(address, method, call).await?;
-        let body = read_whole(&mut open).await?;
-        let status = open.answered.status;
-        let headers = open.answered.headers.clone();
-        self.put_back(address, open);
-        Ok(Answer { status, headers, body })
+        let body = read_to_end(&mut open).await?;
+        let status = open.head.status;
+        let headers = open.head.headers.clone();
+        self.release(address, open);
+        Ok(CallResponse { status, headers, body })
     }
 
     /// Sends the call and reads the head of its answer, a success.
@@ -153,21 +153,24 @@
         address: SocketAddr,
         method: &Method,
         call: &Call,
-    ) -> Result<Open, CallError> {
+    ) -> Result<PendingResponse, CallError> {
         let request = call.encode(method, &address.to_string())?;
-        let watch = Watch::start(call.timeout, call.progress);
+        let timeouts = CallTimeouts::start(call.timeout, call.progress_timeout);
         // A call that may not be repeated never meets a connection that may have died unseen.
         let pooled =
-            if call.idempotent { self.take(address, call).await? } else { Taken::default() };
+            if call.idempotent { self.take(address, call).await? } else { PoolLookup::default() };
         let mut first = None;
         if let Some(connection) = pooled.connection {
-            match self.reuse(address, connection, call, request.clone(), watch).await {
+            match self.reuse(address, connection, call, request.clone(), timeouts).await {
                 Err(error) if is_connection(&error) => {
-                    self.inner.pool.forget(address);
-                    if call.process == Process::Recent && pooled.recent && is_lost(&error) {
+                    self.inner.pool.close_idle(address);
+                    if call.expected_process == ExpectedProcess::Unchanged
+                        && pooled.recent
+                        && is_lost(&error)
+                    {
                         return Err(lost_error(error));
                     }
-                    if watch.left().is_zero() {
+                    if timeouts.left().is_zero() {
                         return Err(error);
                     }
                     first = Some(error);
@@ -175,24 +178,24 @@
                 other => return self.accept(address, call, other?).await,
             }
         }
-        let connection = match (self.connect(address, call, &watch).await, first) {
+        let connection = match (self.connect(address, call, &timeouts).await, first) {
             // The call may have run on the connection before.
             (Err(CallError::Restarted), Some(sent)) if !sent.is_not_run() => return Err(sent),
             (connection, _) => connection?,
         };
-        let open = self.send(connection, call, request, watch).await?;
+        let open = self.send(connection, call, request, timeouts).await?;
         self.accept(address, call, open).await
     }
 
     /// Takes an idle connection, where there is one; fails where the target has restarted.
-    async fn take(&self, address: SocketAddr, call: &Call) -> Result<Taken, CallError> {
-        let wanted = match call.process {
-            Process::Named(incarnation) => Some(incarnation),
-            Process::Any | Process::Recent => None,
+    async fn take(&self, address: SocketAddr, call: &Call) -> Result<PoolLookup, CallError> {
+        let wanted = match call.expected_process {
+            ExpectedProcess::Incarnation(incarnation) => Some(incarnation),
+            ExpectedProcess::Any | ExpectedProcess::Unchanged => None,
         };
         let taken = self.inner.pool.take(address, wanted).await;
-        match call.process {
-            Process::Recent if taken.lost => Err(CallError::Restarted),
+        match call.expected_process {
+            ExpectedProcess::Unchanged if taken.lost => Err(CallError::Restarted),
             _ => Ok(taken),
         }
     }
@@ -204,26 +207,26 @@
         connection: Connection,
         call: &Call,
         request: Bytes,
-        watch: Watch,
-    ) -> Result<Open, CallError> {
-        match self.prove(address, connection, call, watch).await? {
-            Some(connection) => self.send(connection, call, request, watch).await,
+        timeouts: CallTimeouts,
+    ) -> Result<PendingResponse, CallError> {
+        match self.verify_process(address, connection, call, timeouts).await? {
+            Some(connection) => self.send(connection, call, request, timeouts).await,
             None => Err(CallError::NotSent("connection can't be used again".to_owned())),
         }
     }
 
     /// Opens a connection to whichever process listens.
-    pub(crate) async fn connect_any(
+    pub(crate) async fn connect_unchecked(
         &self,
         address: SocketAddr,
-        watch: &Watch,
+        timeouts: &CallTimeouts,
     ) -> Result<Connection, CallError> {
-        let limit = self.inner.limits.connect.min(watch.left());
+        let limit = self.inner.limits.connect_timeout.min(timeouts.left());
         Connection::open(address, limit).await
     }
 
     /// Returns the idle connections.
-    pub(crate) fn pool(&self) -> &Pool {
+    pub(crate) fn pool(&self) -> &ConnectionPool {
         &self.inner.pool
     }
 
@@ -233,13 +236,13 @@
         mut connection: Connection,
         call: &Call,
         request: Bytes,
-        watch: Watch,
-    ) -> Result<Open, CallError> {
-        connection.send(request, &watch).await?;
-        let max = self.inner.limits.max_answer;
-        let answered = connection.read_head(call.id, max, &watch).await?;
-        call.heard.set(connection.incarnation);
-        Ok(Open { connection, answered, watch })
+        timeouts: CallTimeouts,
+    ) -> Result<PendingResponse, CallError> {
+        connection.send(request, &timeouts).await?;
+        let max = self.inner.limits.max_response;
+        let head = connection.read_head(call.id, max, &timeouts).await?;
+        call.reported.set(connection.incarnation);
+        Ok(PendingResponse { connection, head, timeouts })
     }
 
     /// Turns an answer that is no success into an error, reading it whole to keep the connection.
@@ -247,32 +250,32 @@
         &self,
         address: SocketAddr,
         call: &Call,
-        mut open: Open,
-    ) -> Result<Open, CallError> {
-        let status = open.answered.status;
+        mut open: PendingResponse,
+    ) -> Result<PendingResponse, CallError> {
+        let status = open.head.status;
         if status.is_success() {
             return Ok(open);
         }
-        let retry_after = connection::retry_after(&open.answered.headers);
-        let body = read_whole(&mut open).await;
+        let retry_after = connection::retry_after(&open.head.headers);
+        let body = read_to_end(&mut open).await;
         let not_run = body.as_ref().is_ok_and(refusal::says_not_run);
         if body.is_ok() {
-            self.put_back(address, open);
+            self.release(address, open);
         }
         Err(refusal::status_error(status, retry_after, not_run, call.idempotent))
     }
 }
 
 /// Reads the body of an answer to its end.
-pub(crate) async fn read_whole(open: &mut Open) -> Result<Bytes, CallError> {
-    let Open { connection, answered, watch } = open;
-    let body = &mut answered.body;
-    let Some(first) = connection.next_piece(body, watch).await? else { return Ok(Bytes::new()) };
+pub(crate) async fn read_to_end(open: &mut PendingResponse) -> Result<Bytes, CallError> {
+    let PendingResponse { connection, head, timeouts } = open;
+    let body = &mut head.body;
+    let Some(first) = connection.next_chunk(body, timeouts).await? else { return Ok(Bytes::new()) };
     if body.is_done() {
         return Ok(first);
     }
     let mut whole = BytesMut::from(first.as_ref());
-    while let Some(piece) = connection.next_piece(body, watch).await? {
+    while let Some(piece) = connection.next_chunk(body, timeouts).await? {
         whole.extend_from_slice(&piece);
     }
     Ok(whole.freeze())
@@ -284,7 +287,7 @@
 fn is_connection(error: &CallError) -> bool {
     matches!(
         error,
-        CallError::NotSent(_) | CallError::Reset(_) | CallError::Silent | CallError::Crossed
+        CallError::NotSent(_) | CallError::Reset(_) | CallError::TimedOut | CallError::WrongCall
     )
 }
 
--- a/hawthornkeel/src/target/connection.rs
+++ b/hawthornkeel/src/target/connection.rs
@@ -42,14 +42,14 @@
 
 /// Times that a call must keep.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Watch {
+pub(crate) struct CallTimeouts {
     /// When the whole call must have ended.
     pub(crate) end: Instant,
     /// Time without a byte after which the connection counts as silent.
     pub(crate) progress: Duration,
 }
 
-impl Watch {
+impl CallTimeouts {
     /// Creates a watch that starts now.
     pub(crate) fn start(timeout: Duration, progress: Duration) -> Self {
         let now = Instant::now();
@@ -73,7 +73,7 @@
 }
 
 /// Head of an answer that belongs to the call.
-pub(crate) struct Answered {
+pub(crate) struct ReceivedHead {
     /// Status.
     pub(crate) status: StatusCode,
     /// Header fields.
@@ -99,7 +99,7 @@
     }
 
     /// Tells whether nothing came and the other end has not closed since the last exchange.
-    pub(crate) async fn is_quiet(&mut self) -> bool {
+    pub(crate) async fn is_idle(&mut self) -> bool {
         if self.reader.buffered() > 0 {
             return false;
         }
@@ -108,15 +108,19 @@
     }
 
     /// Sends `request` whole.
-    pub(crate) async fn send(&mut self, request: Bytes, watch: &Watch) -> Result<(), CallError> {
+    pub(crate) async fn send(
+        &mut self,
+        request: Bytes,
+        timeouts: &CallTimeouts,
+    ) -> Result<(), CallError> {
         let mut rest = request;
         let mut sent = false;
         while rest.has_remaining() {
-            let written = match timeout(watch.left(), self.write.write(rest.clone())).await {
+            let written = match timeout(timeouts.left(), self.write.write(rest.clone())).await {
                 Ok((Ok(count @ 1..), _)) => count,
                 Ok((Ok(_), _)) => return Err(send_error(sent, "nothing written".to_owned())),
                 Ok((Err(error), _)) => return Err(send_error(sent, error.to_string())),
-                Err(_) if sent => return Err(CallError::Silent),
+                Err(_) if sent => return Err(CallError::TimedOut),
                 Err(_) => return Err(CallError::NotSent("write timed out".to_owned())),
             };
             sent = true;
@@ -133,14 +137,14 @@
         &mut self,
         id: CallId,
         max_body: usize,
-        watch: &Watch,
-    ) -> Result<Answered, CallError> {
-        let head = self.read_final_head(watch).await?;
+        timeouts: &CallTimeouts,
+    ) -> Result<ReceivedHead, CallError> {
+        let head = self.read_final_head(timeouts).await?;
         let reused = std::mem::replace(&mut self.used, true);
         let echoed = match head.headers.get(REQUEST_ID) {
             Some(echo) if echo.as_bytes() == id.to_string().as_bytes() => true,
-            Some(_) => return Err(CallError::Crossed),
-            None if reused => return Err(CallError::Crossed),
+            Some(_) => return Err(CallError::WrongCall),
+            None if reused => return Err(CallError::WrongCall),
             None => false,
         };
         self.incarnation = process::incarnation(&head.headers).or(self.incarnation);
@@ -153,7 +157,7 @@
         };
         let body = BodyReader::new(length, max_body).map_err(read_error)?;
         let lasting = head.version == Version::HTTP_11 && !has_token(&head.headers, "close");
-        Ok(Answered {
+        Ok(ReceivedHead {
             status: head.status,
             headers: head.headers,
             body,
@@ -161,10 +165,13 @@
         })
     }
 
-    async fn read_final_head(&mut self, watch: &Watch) -> Result<ResponseHead, CallError> {
+    async fn read_final_head(
+        &mut self,
+        timeouts: &CallTimeouts,
+    ) -> Result<ResponseHead, CallError> {
         for _ in 0..=MAX_INTERIM {
             let read = framing::read_response_head(&mut self.reader, MAX_HEAD);
-            let head = within(watch, read).await?;
+            let head = within(timeouts, read).await?;
             if !head.status.is_informational() {
                 return Ok(head);
             }
@@ -173,28 +180,31 @@
     }
 
     /// Returns a piece of the answer's body that was read already, if any.
-    pub(crate) fn take_piece(&mut self, body: &mut BodyReader) -> Result<Option<Bytes>, CallError> {
+    pub(crate) fn take_buffered(
+        &mut self,
+        body: &mut BodyReader,
+    ) -> Result<Option<Bytes>, CallError> {
         body.take_buffered(&mut self.reader).map_err(read_error)
     }
 
     /// Returns the next piece of the answer's body, `None` once it is whole.
-    pub(crate) async fn next_piece(
+    pub(crate) async fn next_chunk(
         &mut self,
         body: &mut BodyReader,
-        watch: &Watch,
+        timeouts: &CallTimeouts,
     ) -> Result<Option<Bytes>, CallError> {
-        within(watch, body.next(&mut self.reader)).await
+        within(timeouts, body.next(&mut self.reader)).await
     }
 }
 
-/// Runs a read under the watch.
+/// Runs a read under the timeouts.
 async fn within<T>(
-    watch: &Watch,
+    timeouts: &CallTimeouts,
     read: impl Future<Output = Result<T, ReadError>>,
 ) -> Result<T, CallError> {
-    match timeout(watch.left(), read).await {
+    match timeout(timeouts.left(), read).await {
         Ok(result) => result.map_err(read_error),
-        Err(_) => Err(CallError::Silent),
+        Err(_) => Err(CallError::TimedOut),
     }
 }
 
@@ -209,7 +219,7 @@
         ReadError::HeadTooLarge => CallError::Malformed("answer head is too large"),
         ReadError::BodyTooLarge => CallError::Malformed("answer is too large"),
         ReadError::Malformed(what) => CallError::Malformed(what),
-        ReadError::Io(error) if error.kind() == io::ErrorKind::TimedOut => CallError::Silent,
+        ReadError::Io(error) if error.kind() == io::ErrorKind::TimedOut => CallError::TimedOut,
         ReadError::Io(error) => CallError::Reset(error.to_string()),
     }
 }
--- a/hawthornkeel/src/target/error.rs
+++ b/hawthornkeel/src/target/error.rs
@@ -21,11 +21,11 @@
         not_run: bool,
     },
     /// No byte came for the progress time or the whole time; the call may have run.
-    Silent,
+    TimedOut,
     /// The answer ended before it was whole.
     Truncated,
     /// The answer belongs to another call.
-    Crossed,
+    WrongCall,
     /// The connection failed after the call was sent; the call may have run.
     Reset(String),
     /// The answer breaks the protocol.
@@ -48,9 +48,9 @@
             Self::NotSent(_) => "not-sent",
             Self::Restarted => "restarted",
             Self::Refused { .. } => "refused",
-            Self::Silent => "silent",
+            Self::TimedOut => "silent",
             Self::Truncated => "truncated",
-            Self::Crossed => "crossed",
+            Self::WrongCall => "crossed",
             Self::Reset(_) => "reset",
             Self::Malformed(_) => "malformed",
             Self::NotResumed => "not-resumed",
@@ -65,9 +65,9 @@
             Self::NotSent(cause) => write!(f, "call not sent: {cause}"),
             Self::Restarted => f.write_str("call not sent: target restarted"),
             Self::Refused { status, .. } => write!(f, "call refused with status {status}"),
-            Self::Silent => f.write_str("connection silent"),
+            Self::TimedOut => f.write_str("connection silent"),
             Self::Truncated => f.write_str("answer truncated"),
-            Self::Crossed => f.write_str("answer belongs to another call"),
+            Self::WrongCall => f.write_str("answer belongs to another call"),
             Self::Reset(cause) => write!(f, "connection reset: {cause}"),
             Self::Malformed(what) => write!(f, "answer malformed: {what}"),
             Self::NotResumed => f.write_str("stream not resumed"),
--- a/hawthornkeel/src/target/pool.rs
+++ b/hawthornkeel/src/target/pool.rs
@@ -17,20 +17,20 @@
 /// Idle connections to targets, bounded for each target.
 ///
 /// Only a connection whose last exchange ended whole is ever put back.
-pub(crate) struct Pool {
+pub(crate) struct ConnectionPool {
     max_idle: usize,
     idle_time: Duration,
-    targets: RefCell<IndexMap<SocketAddr, VecDeque<Idle>>>,
+    targets: RefCell<IndexMap<SocketAddr, VecDeque<IdleConnection>>>,
 }
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
 
 /// What a search for an idle connection found.
 #[derive(Default)]
-pub(crate) struct Taken {
+pub(crate) struct PoolLookup {
     /// Connection, if there is one.
     pub(crate) connection: Option<Connection>,
     /// Whether the connection was used so recently that its loss tells of a restart.
@@ -41,14 +41,14 @@
 
 /// Loss of an idle connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Lost {
+pub struct LostConnection {
     /// Address of the target.
     pub address: SocketAddr,
     /// Whether the connection was used so recently that its loss tells of a restart.
     pub recent: bool,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Creates a pool that keeps `max_idle` connections a target, each for `idle_time`.
     pub(crate) fn new(max_idle: usize, idle_time: Duration) -> Self {
         Self { max_idle, idle_time, targets: RefCell::new(IndexMap::new()) }
@@ -57,7 +57,11 @@
     /// Takes a connection to `address` that nothing came on since its last exchange.
     ///
     /// Connections known to lead to another process than `wanted` are closed.
-    pub(crate) async fn take(&self, address: SocketAddr, wanted: Option<Incarnation>) -> Taken {
+    pub(crate) async fn take(
+        &self,
+        address: SocketAddr,
+        wanted: Option<Incarnation>,
+    ) -> PoolLookup {
         let mut lost = false;
         while let Some(idle) = self.pop(address) {
             let mut connection = idle.connection;
@@ -69,19 +73,19 @@
                 continue;
             }
             let recent = age < RECENT;
-            if connection.is_quiet().await {
-                return Taken { connection: Some(connection), recent, lost };
+            if connection.is_idle().await {
+                return PoolLookup { connection: Some(connection), recent, lost };
             }
             lost |= recent;
         }
-        Taken { lost, ..Taken::default() }
+        PoolLookup { lost, ..PoolLookup::default() }
     }
 
     /// Tells whether the target closed the connection to `address` that was used last.
     pub(crate) async fn is_lost(&self, address: SocketAddr) -> bool {
         let Some(mut idle) = self.pop(address) else { return false };
         let recent = idle.since.elapsed() < RECENT;
-        if !idle.connection.is_quiet().await {
+        if !idle.connection.is_idle().await {
             return recent;
         }
         self.restore(address, idle);
@@ -91,19 +95,19 @@
     /// Closes idle connections that their targets have closed; returns whose and how recent.
     ///
     /// Connections of a target are looked at from the one that was used last, up to an open one.
-    pub(crate) async fn take_lost(&self) -> Vec<Lost> {
+    pub(crate) async fn reap_lost(&self) -> Vec<LostConnection> {
         self.close_old();
         let addresses: Vec<SocketAddr> = self.targets.borrow().keys().copied().collect();
         let mut lost = Vec::new();
         for address in addresses {
-            let mut found: Option<Lost> = None;
+            let mut found: Option<LostConnection> = None;
             while let Some(mut idle) = self.pop(address) {
-                if idle.connection.is_quiet().await {
+                if idle.connection.is_idle().await {
                     self.restore(address, idle);
                     break;
                 }
                 let recent = idle.since.elapsed() < RECENT;
-                found.get_or_insert(Lost { address, recent });
+                found.get_or_insert(LostConnection { address, recent });
             }
             lost.extend(found);
         }
@@ -120,7 +124,7 @@
     }
 
     /// Closes those connections of a target that were idle for too long.
-    fn drop_old(&self, idle: &mut VecDeque<Idle>, now: Instant) {
+    fn drop_old(&self, idle: &mut VecDeque<IdleConnection>, now: Instant) {
         // The first has been idle longest, as the last is the first to be taken.
         while idle.front().is_some_and(|i| now.duration_since(i.since) >= self.idle_time) {
             idle.pop_front();
@@ -128,12 +132,12 @@
     }
 
     /// Puts a connection back that was only looked at.
-    fn restore(&self, address: SocketAddr, idle: Idle) {
+    fn restore(&self, address: SocketAddr, idle: IdleConnection) {
         self.targets.borrow_mut().entry(address).or_default().push_back(idle);
     }
 
     /// Takes out the connection that was used last.
-    fn pop(&self, address: SocketAddr) -> Option<Idle> {
+    fn pop(&self, address: SocketAddr) -> Option<IdleConnection> {
         // The borrow ends before any check, which may let other tasks run.
         self.targets.borrow_mut().get_mut(&address)?.pop_back()
     }
@@ -145,12 +149,12 @@
         let now = Instant::now();
         self.drop_old(idle, now);
         if idle.len() < self.max_idle {
-            idle.push_back(Idle { connection, since: now });
+            idle.push_back(IdleConnection { connection, since: now });
         }
     }
 
     /// Closes the idle connections to `address`.
-    pub(crate) fn forget(&self, address: SocketAddr) {
+    pub(crate) fn close_idle(&self, address: SocketAddr) {
         self.targets.borrow_mut().swap_remove(&address);
     }
 }
--- a/hawthornkeel/src/target/process.rs
+++ b/hawthornkeel/src/target/process.rs
@@ -11,9 +11,9 @@
 use crate::target::call::Call;
 use crate::target::client;
 use crate::target::client::Client;
-use crate::target::client::Open;
+use crate::target::client::PendingResponse;
+use crate::target::connection::CallTimeouts;
 use crate::target::connection::Connection;
-use crate::target::connection::Watch;
 use crate::target::error::CallError;
 use crate::target::load;
 use crate::target::load::LoadReport;
@@ -23,23 +23,23 @@
 
 /// Which process of a target may get a call.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Process {
+pub enum ExpectedProcess {
     /// Any.
     #[default]
     Any,
     /// The one of this incarnation.
-    Named(Incarnation),
+    Incarnation(Incarnation),
     /// The one that recent connections led to, as far as their loss tells.
-    Recent,
+    Unchanged,
 }
 
 /// Incarnation that a target named on a call, known as soon as the head of its answer is.
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
+pub struct ReportedIncarnation {
     incarnation: Rc<Cell<Option<Incarnation>>>,
 }
 
-impl Heard {
+impl ReportedIncarnation {
     /// Returns the incarnation, if the target named any.
     pub fn get(&self) -> Option<Incarnation> {
         self.incarnation.get()
@@ -63,43 +63,47 @@
         &self,
         address: SocketAddr,
         call: &Call,
-        watch: &Watch,
+        timeouts: &CallTimeouts,
     ) -> Result<Connection, CallError> {
-        let connection = self.connect_any(address, watch).await?;
-        match call.process {
-            Process::Any => Ok(connection),
-            Process::Named(_) => {
-                let proved = self.prove(address, connection, call, *watch).await?;
+        let connection = self.connect_unchecked(address, timeouts).await?;
+        match call.expected_process {
+            ExpectedProcess::Any => Ok(connection),
+            ExpectedProcess::Incarnation(_) => {
+                let proved = self.verify_process(address, connection, call, *timeouts).await?;
                 match proved {
                     Some(connection) => Ok(connection),
                     // The target keeps no connection, so that the next moment is left to chance.
-                    None => self.connect_any(address, watch).await,
+                    None => self.connect_unchecked(address, timeouts).await,
                 }
             }
             // Looked at last: an ended process closes its connections before the next one accepts.
-            Process::Recent if self.pool().is_lost(address).await => Err(CallError::Restarted),
-            Process::Recent => Ok(connection),
+            ExpectedProcess::Unchanged if self.pool().is_lost(address).await => {
+                Err(CallError::Restarted)
+            }
+            ExpectedProcess::Unchanged => Ok(connection),
         }
     }
 
     /// Checks that `connection` leads to the process that `call` is for, asking where need be.
     ///
     /// Returns the connection, where it can be used on.
-    pub(crate) async fn prove(
+    pub(crate) async fn verify_process(
         &self,
         address: SocketAddr,
         connection: Connection,
         call: &Call,
-        watch: Watch,
+        timeouts: CallTimeouts,
     ) -> Result<Option<Connection>, CallError> {
-        let Process::Named(wanted) = call.process else { return Ok(Some(connection)) };
+        let ExpectedProcess::Incarnation(wanted) = call.expected_process else {
+            return Ok(Some(connection));
+        };
         let (kept, named) = match connection.incarnation {
             Some(named) => (Some(connection), Some(named)),
-            None => self.ask(address, connection, call, watch).await.map_err(not_sent)?,
+            None => self.ask(address, connection, call, timeouts).await.map_err(not_sent)?,
         };
         match named {
             Some(named) if named != wanted => {
-                call.heard.set(Some(named));
+                call.reported.set(Some(named));
                 Err(CallError::Restarted)
             }
             // A target that names no process here is called as it always was.
@@ -113,18 +117,18 @@
         address: SocketAddr,
         connection: Connection,
         call: &Call,
-        watch: Watch,
+        timeouts: CallTimeouts,
     ) -> Result<(Option<Connection>, Option<Incarnation>), CallError> {
         let ask = Call { path: load::PATH.to_owned(), ..call.clone() };
         let request = ask.encode(&Method::GET, &address.to_string())?;
-        let mut open = self.send(connection, call, request, watch).await?;
-        let body = client::read_whole(&mut open).await?;
-        let Open { mut connection, answered, .. } = open;
+        let mut open = self.send(connection, call, request, timeouts).await?;
+        let body = client::read_to_end(&mut open).await?;
+        let PendingResponse { mut connection, head, .. } = open;
         let report: Option<LoadReport> = serde_json::from_slice(&body).ok();
         let reported = report.and_then(|r| r.incarnation);
         connection.incarnation = connection.incarnation.or(reported);
         let named = connection.incarnation;
-        Ok((answered.reusable.then_some(connection), named))
+        Ok((head.reusable.then_some(connection), named))
     }
 }
 
--- a/hawthornkeel/src/target/stream.rs
+++ b/hawthornkeel/src/target/stream.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 
 use crate::target::client::Client;
-use crate::target::client::Open;
+use crate::target::client::PendingResponse;
 use crate::target::error::CallError;
 use crate::target::sse::Parsed;
 use crate::target::sse::Parser;
@@ -28,7 +28,7 @@
 pub struct TokenStream {
     client: Client,
     address: SocketAddr,
-    state: Option<Open>,
+    state: Option<PendingResponse>,
     parser: Parser,
     offset: u64,
     done: bool,
@@ -37,7 +37,12 @@
 }
 
 impl TokenStream {
-    pub(crate) fn new(client: Client, address: SocketAddr, open: Open, offset: u64) -> Self {
+    pub(crate) fn new(
+        client: Client,
+        address: SocketAddr,
+        open: PendingResponse,
+        offset: u64,
+    ) -> Self {
         let parser = Parser::default();
         Self { client, address, state: Some(open), parser, offset, done: false, failed: None }
     }
@@ -66,7 +71,7 @@
     /// Returns the next event if the bytes of a token have come already, without waiting.
     ///
     /// The end and errors are left to [`TokenStream::next`].
-    pub fn take_ready(&mut self) -> Option<Event> {
+    pub fn try_next(&mut self) -> Option<Event> {
         match self.parse() {
             Ok(event) => event,
             Err(error) => {
@@ -87,8 +92,8 @@
             let Some(open) = &mut self.state else {
                 return if self.done { Ok(Event::End) } else { Err(CallError::Truncated) };
             };
-            let Open { connection, answered, watch } = open;
-            match connection.next_piece(&mut answered.body, watch).await? {
+            let PendingResponse { connection, head, timeouts } = open;
+            match connection.next_chunk(&mut head.body, timeouts).await? {
                 Some(piece) => self.feed(&piece)?,
                 None => self.finish()?,
             }
@@ -101,7 +106,7 @@
             match self.parser.next()? {
                 Some(Parsed::Text(text)) => return Ok(Some(self.token(text))),
                 Some(Parsed::Done) => self.done = true,
-                None => match self.take_piece()? {
+                None => match self.take_buffered()? {
                     Some(piece) => self.feed(&piece)?,
                     None => break,
                 },
@@ -111,9 +116,9 @@
     }
 
     /// Takes a piece of the body that was read already.
-    fn take_piece(&mut self) -> Result<Option<Bytes>, CallError> {
+    fn take_buffered(&mut self) -> Result<Option<Bytes>, CallError> {
         let Some(open) = &mut self.state else { return Ok(None) };
-        open.connection.take_piece(&mut open.answered.body)
+        open.connection.take_buffered(&mut open.head.body)
     }
 
     fn feed(&mut self, piece: &Bytes) -> Result<(), CallError> {
@@ -139,7 +144,7 @@
             return Err(CallError::Malformed("bytes after the end of the stream"));
         }
         if let Some(open) = self.state.take() {
-            self.client.put_back(self.address, open);
+            self.client.release(self.address, open);
         }
         Ok(())
     }
--- a/hawthornkeel/tests/control_claims.rs
+++ b/hawthornkeel/tests/control_claims.rs
@@ -20,16 +20,16 @@
 use hawthornkeel_core::state::command::Settle;
 use hawthornkeel_core::state::command::Settlement;
 use support::cluster::Cluster;
-use support::cluster::Spec;
+use support::cluster::InstanceSpec;
 use support::operator::leader;
 use support::operator::wait_for;
 use support::run;
-use support::until;
+use support::wait_until;
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 
 fn three() -> Cluster {
-    let spec = |(name, centre)| Spec { name, centre, control: true };
+    let spec = |(name, centre)| InstanceSpec { name, centre, control: true };
     let places = [("c1", "east"), ("c2", "west"), ("c3", "south")];
     let mut cluster = Cluster::new(places.into_iter().map(spec).collect());
     cluster.start_all();
@@ -67,7 +67,7 @@
 fn resent_elsewhere() {
     let cluster = three();
     run(async {
-        let (a, b) = (cluster.join("a", "east"), cluster.join("b", "west"));
+        let (a, b) = (cluster.start_local("a", "east"), cluster.start_local("b", "west"));
         assert_eq!(decide(&a, claim(1, claimant("a", 1))).await, ClaimOutcome::Granted);
         // The answer was lost: the same claim again, and the caller's resend at another instance.
         assert_eq!(decide(&a, claim(1, claimant("a", 1))).await, ClaimOutcome::Granted);
@@ -88,11 +88,11 @@
     run(async {
         let granted = Rc::new(RefCell::new(vec![0_u32; KEYS as usize]));
         let decided = Rc::new(Cell::new(0));
-        let parts = cluster.join("a", "east");
+        let parts = cluster.start_local("a", "east");
         let old = leader(&parts).await;
         for (name, centre) in [("a", "east"), ("b", "west"), ("c", "south")] {
             let (granted, decided) = (granted.clone(), decided.clone());
-            let parts = cluster.join(name, centre);
+            let parts = cluster.start_local(name, centre);
             monoio::spawn(async move {
                 for number in 0..KEYS {
                     let command = claim(number, claimant(name, number.into()));
@@ -103,9 +103,9 @@
                 }
             });
         }
-        until("some claims", || decided.get() > KEYS / 3).await;
+        wait_until("some claims", || decided.get() > KEYS / 3).await;
         cluster.kill(old.as_str());
-        until("all claims", || decided.get() == 3 * KEYS).await;
+        wait_until("all claims", || decided.get() == 3 * KEYS).await;
         assert!(granted.borrow().iter().all(|g| *g == 1), "{:?}", granted.borrow());
     });
 }
--- a/hawthornkeel/tests/control_follow.rs
+++ b/hawthornkeel/tests/control_follow.rs
@@ -8,7 +8,7 @@
 use hawthornkeel::control::start::Parts;
 use hawthornkeel_core::ids::Version;
 use support::cluster::Cluster;
-use support::cluster::Spec;
+use support::cluster::InstanceSpec;
 use support::operator::accepted;
 use support::operator::request;
 use support::operator::status;
@@ -22,10 +22,13 @@
 const NAMES: [&str; 8] = ["c1", "c2", "c3", "e1", "e2", "e3", "e4", "e5"];
 
 /// Eight instances in three data centres, three of them with the control role.
-fn specs() -> Vec<Spec> {
+fn specs() -> Vec<InstanceSpec> {
     let centres = ["east", "west", "south"].into_iter().cycle();
-    let spec =
-        |(name, centre): (&'static str, _)| Spec { name, centre, control: name.starts_with('c') };
+    let spec = |(name, centre): (&'static str, _)| InstanceSpec {
+        name,
+        centre,
+        control: name.starts_with('c'),
+    };
     NAMES.into_iter().zip(centres).map(spec).collect()
 }
 
@@ -43,7 +46,7 @@
 fn in_force_everywhere() {
     let cluster = eight();
     run(async {
-        let parts = cluster.join("a", "east");
+        let parts = cluster.start_local("a", "east");
         let mut longest = Duration::ZERO;
         for number in 1..=20 {
             let response = submit(&parts, request(number, number - 1, "text")).await;
@@ -66,7 +69,7 @@
 fn restarted_catches_up() {
     let mut cluster = eight();
     run(async {
-        let parts = cluster.join("a", "east");
+        let parts = cluster.start_local("a", "east");
         for number in 1..=10 {
             submit(&parts, request(number, number - 1, "text")).await;
         }
@@ -95,11 +98,11 @@
     let mut cluster = Cluster::with_relays(specs());
     cluster.start_all();
     run(async {
-        let parts = cluster.join("a", "south");
+        let parts = cluster.start_local("a", "south");
         submit(&parts, request(1, 0, "text")).await;
         wait_for("e4", async || version(&parts, "e4").await == Some(Version(1))).await;
         // `e4` follows `c1`, which from now on reaches only it.
-        cluster.set_cut_between("c1", &["c2", "c3", "e1", "e2", "e3", "e5", "a"], true);
+        cluster.set_partition_between("c1", &["c2", "c3", "e1", "e2", "e3", "e5", "a"], true);
         assert_eq!(submit(&parts, request(2, 1, "text")).await, accepted(2));
         let start = Instant::now();
         wait_for("e4 from another", async || version(&parts, "e4").await == Some(Version(2))).await;
--- a/hawthornkeel/tests/control_isolation.rs
+++ b/hawthornkeel/tests/control_isolation.rs
@@ -17,7 +17,7 @@
 use hawthornkeel_core::ids::Version;
 use hawthornkeel_core::state::command::Command;
 use support::cluster::Cluster;
-use support::cluster::Spec;
+use support::cluster::InstanceSpec;
 use support::operator::accepted;
 use support::operator::leader;
 use support::operator::request;
@@ -32,7 +32,7 @@
 const TAKEN_OUT: Duration = Duration::from_secs(5);
 
 fn three() -> Cluster {
-    let spec = |(name, centre)| Spec { name, centre, control: true };
+    let spec = |(name, centre)| InstanceSpec { name, centre, control: true };
     let places = [("c1", "east"), ("c2", "west"), ("c3", "south")];
     let mut cluster = Cluster::with_relays(places.into_iter().map(spec).collect());
     cluster.start_all();
@@ -61,11 +61,11 @@
     let cluster = three();
     run(async {
         // `a` stays with the majority and `b` is cut off together with the leader.
-        let (a, b) = (cluster.join("a", "west"), cluster.join("b", "east"));
+        let (a, b) = (cluster.start_local("a", "west"), cluster.start_local("b", "east"));
         assert_eq!(submit(&a, request(1, 0, "one")).await, accepted(1));
         let old = leader(&a).await.as_str().to_owned();
         wait_for("b", async || b.watch.index().is_some()).await;
-        cluster.set_cut(&[&old, "b"], true);
+        cluster.set_partition(&[&old, "b"], true);
 
         // The leader loses its lease by itself, acknowledges nothing, and then refuses at once.
         wait_for("the lease to end", async || control(&b, &old).await.is_some_and(|c| !c.lead.own))
@@ -89,7 +89,7 @@
             assert_eq!(response, accepted(expected + 1));
         }
         let before = control(&a, other(&old)).await.unwrap();
-        cluster.set_cut(&[&old, "b"], false);
+        cluster.set_partition(&[&old, "b"], false);
 
         let start = Instant::now();
         let mut served = Version(1);
@@ -112,11 +112,11 @@
 fn centre_taken_out_apart() {
     let cluster = three();
     run(async {
-        let (a, b) = (cluster.join("a", "west"), cluster.join("b", "east"));
+        let (a, b) = (cluster.start_local("a", "west"), cluster.start_local("b", "east"));
         assert_eq!(submit(&a, request(1, 0, "one")).await, accepted(1));
         wait_for("b", async || b.watch.index().is_some()).await;
         let out = vec!["east".into()];
-        cluster.set_cut(&["c1", "b"], true);
+        cluster.set_partition(&["c1", "b"], true);
 
         // The order reaches only the side that is cut off: it holds there at once.
         let start = Instant::now();
@@ -141,7 +141,7 @@
                 }
             });
         }
-        cluster.set_cut(&["c1", "b"], false);
+        cluster.set_partition(&["c1", "b"], false);
         wait_for("the order everywhere", async || {
             let mut everywhere = b.watch.taken_out() == out && a.watch.taken_out() == out;
             for name in ["c1", "c2", "c3"] {
--- a/hawthornkeel/tests/control_leader.rs
+++ b/hawthornkeel/tests/control_leader.rs
@@ -12,7 +12,7 @@
 use hawthornkeel_core::ids::OperationNumber;
 use hawthornkeel_core::ids::Version;
 use support::cluster::Cluster;
-use support::cluster::Spec;
+use support::cluster::InstanceSpec;
 use support::operator::accepted;
 use support::operator::leader;
 use support::operator::replace_disk;
@@ -22,12 +22,12 @@
 use support::operator::voters;
 use support::operator::wait_for;
 use support::run;
-use support::until;
+use support::wait_until;
 
 const CONTROLS: [&str; 3] = ["c1", "c2", "c3"];
 
 fn three() -> Cluster {
-    let spec = |name| Spec { name, centre: "east", control: true };
+    let spec = |name| InstanceSpec { name, centre: "east", control: true };
     let mut cluster = Cluster::new(CONTROLS.into_iter().map(spec).collect());
     cluster.start_all();
     cluster
@@ -37,7 +37,7 @@
 fn leader_killed() {
     let mut cluster = three();
     run(async {
-        let parts = cluster.join("a", "east");
+        let parts = cluster.start_local("a", "east");
         assert_eq!(submit(&parts, request(1, 0, "one")).await, accepted(1));
         let old = leader(&parts).await;
         cluster.kill(old.as_str());
@@ -45,7 +45,8 @@
         assert_ne!(leader(&parts).await, old);
         // A resend after a lost answer gets the first outcome from the new leader.
         assert_eq!(submit(&parts, request(1, 0, "one")).await, accepted(1));
-        until("the new version", || parts.watch.current().is_some_and(|p| &*p.text == "two")).await;
+        wait_until("the new version", || parts.watch.current().is_some_and(|p| &*p.text == "two"))
+            .await;
     });
 }
 
@@ -53,15 +54,16 @@
 fn quorum_lost() {
     let mut cluster = three();
     run(async {
-        let parts = cluster.join("a", "east");
+        let parts = cluster.start_local("a", "east");
         submit(&parts, request(1, 0, "one")).await;
-        until("the version", || parts.watch.current().is_some_and(|p| &*p.text == "one")).await;
+        wait_until("the version", || parts.watch.current().is_some_and(|p| &*p.text == "one"))
+            .await;
         cluster.kill("c1");
         cluster.kill("c2");
         // The first proposals may be under way when the quorum is lost; later ones are refused.
         let start = Instant::now();
         while parts.admin.submit(request(2, 1, "two")).await != SubmitResponse::NotAccepted {
-            assert!(start.elapsed() < support::PATIENCE, "never refused");
+            assert!(start.elapsed() < support::WAIT_TIMEOUT, "never refused");
         }
         let fence = hawthornkeel_core::state::command::Command::Fence("t".into());
         let start = Instant::now();
@@ -90,7 +92,7 @@
 fn disk_replaced() {
     let mut cluster = three();
     run(async {
-        let parts = cluster.join("a", "east");
+        let parts = cluster.start_local("a", "east");
         for number in 1..=50 {
             assert_eq!(submit(&parts, request(number, number - 1, "old")).await, accepted(number));
         }
@@ -106,7 +108,7 @@
 fn all_restarted() {
     let mut cluster = three();
     run(async {
-        let parts = cluster.join("a", "east");
+        let parts = cluster.start_local("a", "east");
         for number in 1..=20 {
             assert_eq!(submit(&parts, request(number, number - 1, "old")).await, accepted(number));
         }
--- a/hawthornkeel/tests/control_snapshots.rs
+++ b/hawthornkeel/tests/control_snapshots.rs
@@ -4,7 +4,7 @@
 
 use hawthornkeel_core::ids::Version;
 use support::cluster::Cluster;
-use support::cluster::Spec;
+use support::cluster::InstanceSpec;
 use support::operator::accepted;
 use support::operator::replace_disk;
 use support::operator::request;
@@ -20,9 +20,9 @@
 const CHANGES: u64 = 300;
 
 fn three() -> Cluster {
-    let spec = |name| Spec { name, centre: "east", control: true };
+    let spec = |name| InstanceSpec { name, centre: "east", control: true };
     let mut cluster = Cluster::new(CONTROLS.into_iter().map(spec).collect());
-    cluster.set_snapshots(SNAPSHOT_ENTRIES);
+    cluster.set_snapshot_entries(SNAPSHOT_ENTRIES);
     cluster.start_all();
     cluster
 }
@@ -31,7 +31,7 @@
 fn replaced_disk_gets_snapshot() {
     let mut cluster = three();
     run(async {
-        let parts = cluster.join("a", "east");
+        let parts = cluster.start_local("a", "east");
         for number in 1..=CHANGES {
             assert_eq!(submit(&parts, request(number, number - 1, "old")).await, accepted(number));
         }
--- a/hawthornkeel/tests/peer_frames.rs
+++ b/hawthornkeel/tests/peer_frames.rs
@@ -28,7 +28,7 @@
 use support::run;
 use support::settings;
 use support::socket;
-use support::until;
+use support::wait_until;
 use tempfile::TempDir;
 
 const TIMEOUT: Duration = Duration::from_secs(5);
@@ -104,7 +104,7 @@
             )
             .unwrap();
         }
-        until("all frames", || seen.borrow().len() == 500).await;
+        wait_until("all frames", || seen.borrow().len() == 500).await;
         assert!(seen.borrow().iter().copied().eq(0..500));
     });
 }
--- a/hawthornkeel/tests/peer_trust.rs
+++ b/hawthornkeel/tests/peer_trust.rs
@@ -27,7 +27,7 @@
 use support::settings;
 use support::settings_with;
 use support::socket;
-use support::until;
+use support::wait_until;
 use tempfile::TempDir;
 
 const TIMEOUT: Duration = Duration::from_secs(5);
@@ -123,7 +123,7 @@
                 let error = answer.unwrap_err();
                 assert!(!error.may_have_run(), "{error}");
                 assert!(error.to_string().contains(reason), "{error}");
-                until("the refusal's log line", || logged(&log, "peer-refused", reason)).await;
+                wait_until("the refusal's log line", || logged(&log, "peer-refused", reason)).await;
             }
         }
     });
--- a/hawthornkeel/tests/support/cluster.rs
+++ b/hawthornkeel/tests/support/cluster.rs
@@ -29,7 +29,7 @@
 const POLL: Duration = Duration::from_millis(20);
 
 /// Instance of a test.
-pub struct Spec {
+pub struct InstanceSpec {
     /// Name.
     pub name: &'static str,
     /// Data centre.
@@ -42,7 +42,7 @@
 pub struct Cluster {
     folder: TempDir,
     tuning: Tuning,
-    instances: Vec<Placed>,
+    instances: Vec<ClusterInstance>,
     /// Relays between instances, by who sends and who is sent to.
     relays: Mutex<Vec<((String, String), Relay)>>,
     /// Whether instances reach each other through relays.
@@ -51,8 +51,8 @@
     snapshot_entries: u64,
 }
 
-struct Placed {
-    spec: Spec,
+struct ClusterInstance {
+    spec: InstanceSpec,
     /// Held while the instance is down too, so that no other test takes its port.
     socket: UdpSocket,
     running: Option<Running>,
@@ -88,12 +88,12 @@
 impl Cluster {
     /// Returns what an instance that runs has used.
     pub fn usage(&self, name: &str) -> Arc<Usage> {
-        self.placed(name).running.as_ref().unwrap().usage.clone()
+        self.instance(name).running.as_ref().unwrap().usage.clone()
     }
 
     /// Places instances without starting them.
-    pub fn new(specs: Vec<Spec>) -> Self {
-        let place = |spec| Placed { spec, socket: super::socket(), running: None };
+    pub fn new(specs: Vec<InstanceSpec>) -> Self {
+        let place = |spec| ClusterInstance { spec, socket: super::socket(), running: None };
         Self {
             folder: TempDir::new().unwrap(),
             tuning: Tuning::default(),
@@ -105,14 +105,14 @@
     }
 
     /// Places instances that reach each other through relays, so that they can be cut off.
-    pub fn with_relays(specs: Vec<Spec>) -> Self {
+    pub fn with_relays(specs: Vec<InstanceSpec>) -> Self {
         let mut cluster = Self::new(specs);
         cluster.relayed = true;
         cluster
     }
 
     /// Cuts every way between the instances of `side` and the others, or mends it.
-    pub fn set_cut(&self, side: &[&str], cut: bool) {
+    pub fn set_partition(&self, side: &[&str], cut: bool) {
         let within = |name: &String| side.contains(&name.as_str());
         for ((from, to), relay) in &*self.relays.lock().unwrap() {
             if within(from) != within(to) {
@@ -122,7 +122,7 @@
     }
 
     /// Cuts the ways between `one` and the instances of `others`, or mends them.
-    pub fn set_cut_between(&self, one: &str, others: &[&str], cut: bool) {
+    pub fn set_partition_between(&self, one: &str, others: &[&str], cut: bool) {
         let is_other = |name: &String| others.contains(&name.as_str());
         for ((from, to), relay) in &*self.relays.lock().unwrap() {
             if (from == one && is_other(to)) || (to == one && is_other(from)) {
@@ -132,7 +132,7 @@
     }
 
     /// Returns the address at which `from` reaches an instance.
-    fn way(&self, from: &str, to: &Placed) -> SocketAddr {
+    fn way(&self, from: &str, to: &ClusterInstance) -> SocketAddr {
         let address = to.socket.local_addr().unwrap();
         if !self.relayed {
             return address;
@@ -149,7 +149,7 @@
     }
 
     /// Sets the log entries between snapshots for instances started from now on.
-    pub fn set_snapshots(&mut self, entries: u64) {
+    pub fn set_snapshot_entries(&mut self, entries: u64) {
         self.snapshot_entries = entries;
     }
 
@@ -183,7 +183,7 @@
 
     /// Starts an instance.
     pub fn start(&mut self, name: &str) {
-        let placed = self.placed(name);
+        let placed = self.instance(name);
         let settings = self.settings(name, placed.spec.centre, placed.spec.control);
         let socket = placed.socket.try_clone().unwrap();
         let stop = Arc::new(AtomicBool::new(false));
@@ -207,19 +207,19 @@
 
     /// Loses the disk of an instance that is down.
     pub fn wipe(&self, name: &str) {
-        let placed = self.placed(name);
+        let placed = self.instance(name);
         let settings = self.settings(name, placed.spec.centre, placed.spec.control);
         std::fs::remove_dir_all(settings.control.data).unwrap();
     }
 
     /// Starts an instance without the control role in the calling thread.
-    pub fn join(&self, name: &str, centre: &str) -> Parts {
+    pub fn start_local(&self, name: &str, centre: &str) -> Parts {
         let settings = self.settings(name, centre, false);
         let endpoint = Endpoint::with_socket(super::socket(), &settings).unwrap();
         start::start(&settings, &endpoint, None)
     }
 
-    fn placed(&self, name: &str) -> &Placed {
+    fn instance(&self, name: &str) -> &ClusterInstance {
         self.instances.iter().find(|p| p.spec.name == name).unwrap()
     }
 }
@@ -235,7 +235,7 @@
     }
 }
 
-fn peer(placed: &Placed, address: SocketAddr) -> Peer {
+fn peer(placed: &ClusterInstance, address: SocketAddr) -> Peer {
     Peer {
         name: InstanceName::new(placed.spec.name),
         address,
--- a/hawthornkeel/tests/support/mod.rs
+++ b/hawthornkeel/tests/support/mod.rs
@@ -23,7 +23,7 @@
 use monoio::RuntimeBuilder;
 
 /// Time after which a test gives up waiting for a condition.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs `test` on an event loop like the shipped one.
 pub fn run<F: Future>(test: F) -> F::Output {
@@ -32,10 +32,10 @@
 }
 
 /// Waits until `condition` holds.
-pub async fn until(what: &str, mut condition: impl FnMut() -> bool) {
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "gave up waiting for {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "gave up waiting for {what}");
         monoio::time::sleep(Duration::from_millis(2)).await;
     }
 }
--- a/hawthornkeel/tests/target_connections.rs
+++ b/hawthornkeel/tests/target_connections.rs
@@ -28,7 +28,7 @@
     Call {
         id: CallId { request: RequestId(number), ..CallId::default() },
         body: Bytes::from_static(b"{}"),
-        progress: Duration::from_millis(200),
+        progress_timeout: Duration::from_millis(200),
         timeout: LIMIT,
         ..Call::default()
     }
@@ -117,9 +117,9 @@
         }
         target.silence().unwrap();
         // A poll has no time for a second try; the next call does not meet the other connection.
-        let poll = Call { timeout: POLL, progress: POLL, ..call(3) };
-        assert_eq!(client.call(target.address, &poll).await.unwrap_err(), CallError::Silent);
-        let patient = Call { progress: LIMIT, ..call(4) };
+        let poll = Call { timeout: POLL, progress_timeout: POLL, ..call(3) };
+        assert_eq!(client.call(target.address, &poll).await.unwrap_err(), CallError::TimedOut);
+        let patient = Call { progress_timeout: LIMIT, ..call(4) };
         client.call(target.address, &patient).await.unwrap();
     })
     .unwrap();
@@ -131,7 +131,7 @@
     let (target, client) = start(Behaviour::default());
     let relay = StreamRelay::new(target.address).unwrap();
     relay.set_cut(true).unwrap();
-    let patient = Call { progress: LIMIT, ..call(1) };
+    let patient = Call { progress_timeout: LIMIT, ..call(1) };
     let start = Instant::now();
     let result = thread::block_on(client.call(relay.address, &patient)).unwrap();
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
@@ -144,7 +144,7 @@
     thread::block_on(async {
         let call = Call { idempotent: false, ..call(1) };
         let result = client.call(target.address, &call).await;
-        assert_eq!(result.unwrap_err(), CallError::Silent);
+        assert_eq!(result.unwrap_err(), CallError::TimedOut);
     })
     .unwrap();
     assert_eq!(target.report().unwrap().runs.len(), 1);
--- a/hawthornkeel/tests/target_orders.rs
+++ b/hawthornkeel/tests/target_orders.rs
@@ -63,7 +63,7 @@
     let target = TargetThread::start(cold).unwrap();
     thread::block_on(async {
         let client = Client::new(ClientLimits::default());
-        let call = Call { progress: Duration::from_secs(2), ..Call::default() };
+        let call = Call { progress_timeout: Duration::from_secs(2), ..Call::default() };
         let before = client.load(target.address, &call).await.unwrap();
         assert_eq!((before.incarnation, before.cold), (Some(Incarnation(1)), Some(true)));
         target.restart().unwrap();
--- a/hawthornkeel/tests/target_answers.rs
+++ b/hawthornkeel/tests/target_responses.rs
@@ -20,7 +20,7 @@
         id: CallId { request: RequestId(number), ..CallId::default() },
         path: "/rank".to_owned(),
         body: Bytes::from(format!("\"ref-{number}\"")),
-        progress: Duration::from_millis(200),
+        progress_timeout: Duration::from_millis(200),
         timeout: Duration::from_secs(5),
         ..Call::default()
     }
@@ -40,10 +40,10 @@
 }
 
 #[rstest]
-#[case::late(Fault::Late, CallError::Silent)]
-#[case::silent(Fault::Silent, CallError::Silent)]
-#[case::stalled(Fault::Stall, CallError::Silent)]
-#[case::crossed(Fault::Crossed, CallError::Crossed)]
+#[case::late(Fault::Late, CallError::TimedOut)]
+#[case::silent(Fault::Silent, CallError::TimedOut)]
+#[case::stalled(Fault::Stall, CallError::TimedOut)]
+#[case::crossed(Fault::Crossed, CallError::WrongCall)]
 #[case::truncated(Fault::Truncated, CallError::Truncated)]
 #[case::closed(Fault::Close, CallError::Reset("closed before the answer".to_owned()))]
 #[case::dropped(Fault::Drop, CallError::Reset("closed before the answer".to_owned()))]
@@ -118,7 +118,7 @@
         for number in 1..400 {
             let client = client.clone();
             tasks.push(monoio::spawn(async move {
-                let call = Call { progress: Duration::from_secs(5), ..call(number) };
+                let call = Call { progress_timeout: Duration::from_secs(5), ..call(number) };
                 answer(&client, target, &call).await
             }));
         }
--- a/hawthornkeel/tests/target_restarts.rs
+++ b/hawthornkeel/tests/target_restarts.rs
@@ -13,9 +13,9 @@
 use hawthornkeel::target::client::ClientLimits;
 use hawthornkeel::target::completion::COMPLETIONS;
 use hawthornkeel::target::error::CallError;
-use hawthornkeel::target::pool::Lost;
-use hawthornkeel::target::process::Heard;
-use hawthornkeel::target::process::Process;
+use hawthornkeel::target::pool::LostConnection;
+use hawthornkeel::target::process::ExpectedProcess;
+use hawthornkeel::target::process::ReportedIncarnation;
 use hawthornkeel_core::ids::CallId;
 use hawthornkeel_core::ids::Incarnation;
 use hawthornkeel_core::ids::RequestId;
@@ -25,14 +25,14 @@
 use hawthornkeel_fakes::thread::TargetThread;
 use rstest::rstest;
 
-const FIRST: Process = Process::Named(Incarnation(1));
+const FIRST: ExpectedProcess = ExpectedProcess::Incarnation(Incarnation(1));
 
-fn call(process: Process, idempotent: bool) -> Call {
+fn call(expected_process: ExpectedProcess, idempotent: bool) -> Call {
     Call {
         id: CallId { request: RequestId(7), ..CallId::default() },
         body: Bytes::from_static(b"{}"),
-        heard: Heard::default(),
-        process,
+        reported: ReportedIncarnation::default(),
+        expected_process,
         idempotent,
         ..Call::default()
     }
@@ -46,18 +46,18 @@
 /// Calls once, restarts the target, and returns the error of a call and what was heard on it.
 fn call_after_restart(
     named: bool,
-    process: Process,
+    expected_process: ExpectedProcess,
     idempotent: bool,
 ) -> (CallError, Option<Incarnation>) {
     let (target, client) = start(Behaviour { named, ..Behaviour::default() });
-    let call = call(process, idempotent);
+    let call = call(expected_process, idempotent);
     let result = thread::block_on(async {
-        client.call(target.address, &self::call(Process::Any, true)).await.unwrap();
+        client.call(target.address, &self::call(ExpectedProcess::Any, true)).await.unwrap();
         target.restart().unwrap();
         client.call(target.address, &call).await
     });
     assert_eq!(target.report().unwrap().runs.len(), 1, "the new process got the call");
-    (result.unwrap().unwrap_err(), call.heard.get())
+    (result.unwrap().unwrap_err(), call.reported.get())
 }
 
 #[rstest]
@@ -73,7 +73,7 @@
 
 #[test]
 fn lost_connection_tells_of_an_unnamed_process() {
-    let (error, _) = call_after_restart(false, Process::Recent, true);
+    let (error, _) = call_after_restart(false, ExpectedProcess::Unchanged, true);
     assert!(matches!(error, CallError::Reset(_)), "{error:?}");
 }
 
@@ -104,7 +104,7 @@
 #[case::whole(Fault::None)]
 fn every_answer_names_its_process(#[case] fault: Fault, #[values(true, false)] stream: bool) {
     let (target, client) = start(Behaviour { fault, ..Behaviour::default() });
-    let call = call(Process::Any, true);
+    let call = call(ExpectedProcess::Any, true);
     thread::block_on(async {
         if stream {
             let body = Bytes::from_static(b"{\"stream\":true}");
@@ -115,7 +115,7 @@
         }
     })
     .unwrap();
-    assert_eq!(call.heard.get(), Some(Incarnation(1)));
+    assert_eq!(call.reported.get(), Some(Incarnation(1)));
 }
 
 /// Starts a server that closes each connection after `answers` answers.
@@ -165,12 +165,12 @@
     let address = start_closing(2, "");
     let client = Client::new(ClientLimits::default());
     thread::block_on(async {
-        client.call(address, &call(Process::Any, true)).await.unwrap();
-        assert_eq!(client.take_lost().await, [], "still open");
-        client.call(address, &call(Process::Any, true)).await.unwrap();
+        client.call(address, &call(ExpectedProcess::Any, true)).await.unwrap();
+        assert_eq!(client.reap_lost().await, [], "still open");
+        client.call(address, &call(ExpectedProcess::Any, true)).await.unwrap();
         monoio::time::sleep(Duration::from_millis(20)).await;
-        assert_eq!(client.take_lost().await, [Lost { address, recent: true }]);
-        assert_eq!(client.take_lost().await, []);
+        assert_eq!(client.reap_lost().await, [LostConnection { address, recent: true }]);
+        assert_eq!(client.reap_lost().await, []);
     })
     .unwrap();
 }
@@ -180,12 +180,12 @@
     let address = start_closing(1, "");
     let client = Client::new(ClientLimits::default());
     thread::block_on(async {
-        client.call(address, &call(Process::Recent, true)).await.unwrap();
+        client.call(address, &call(ExpectedProcess::Unchanged, true)).await.unwrap();
         monoio::time::sleep(Duration::from_millis(20)).await;
-        let result = client.call(address, &call(Process::Recent, idempotent)).await;
+        let result = client.call(address, &call(ExpectedProcess::Unchanged, idempotent)).await;
         assert_eq!(result.unwrap_err(), CallError::Restarted);
         // The loss was told of once; now the router decides by grants.
-        client.call(address, &call(Process::Any, true)).await.unwrap();
+        client.call(address, &call(ExpectedProcess::Any, true)).await.unwrap();
     })
     .unwrap();
 }
--- a/hawthornkeel/tests/target_streams.rs
+++ b/hawthornkeel/tests/target_streams.rs
@@ -31,7 +31,7 @@
         id: CallId { attempt: AttemptNumber(attempt), ..CallId::default() },
         path: COMPLETIONS.to_owned(),
         body: body.to_bytes(),
-        progress: Duration::from_millis(200),
+        progress_timeout: Duration::from_millis(200),
         ..Call::default()
     }
 }
@@ -75,7 +75,7 @@
 
 #[rstest]
 #[case::cut(Fault::Cut, CallError::Truncated)]
-#[case::stalled(Fault::Stall, CallError::Silent)]
+#[case::stalled(Fault::Stall, CallError::TimedOut)]
 fn broken_stream_goes_on(#[case] fault: Fault, #[case] expected: CallError) {
     let faulty = Behaviour { fault, fault_calls: Some(1), cut_after: 3, ..Behaviour::default() };
     let (target, client) = start(faulty);
@@ -104,7 +104,7 @@
 
 #[rstest]
 #[case::twice(Fault::Twice, None)]
-#[case::crossed(Fault::Crossed, Some(CallError::Crossed))]
+#[case::crossed(Fault::Crossed, Some(CallError::WrongCall))]
 fn foreign_text_never_comes(#[case] fault: Fault, #[case] expected: Option<CallError>) {
     let (target, client) = start(Behaviour { fault, ..Behaviour::default() });
     thread::block_on(async {
@@ -134,7 +134,7 @@
         let call = Call { timeout: Duration::from_millis(120), ..call(0) };
         let (text, error) = read(&client, target.address, &call).await;
         assert!(text.len() < TEXT.len());
-        assert_eq!(error, Some(CallError::Silent));
+        assert_eq!(error, Some(CallError::TimedOut));
     })
     .unwrap();
 }
@@ -181,8 +181,8 @@
     thread::block_on(async {
         let mut stream = client.stream(address, &call(0)).await.unwrap();
         assert_eq!(stream.next().await, Ok(token(0, "a")));
-        assert_eq!(stream.take_ready(), Some(token(1, "b")));
-        assert_eq!(stream.take_ready(), None);
+        assert_eq!(stream.try_next(), Some(token(1, "b")));
+        assert_eq!(stream.try_next(), None);
         assert_eq!(stream.offset(), 2);
         let error = stream.next().await.unwrap_err();
         assert!(matches!(error, CallError::Malformed(_)), "{error:?}");
