--- a/hawthornkeel/src/cli/check.rs
+++ b/hawthornkeel/src/cli/check.rs
@@ -36,7 +36,7 @@
 }
 
 fn check_text(file: &str, text: &str) -> Result<Sound, Findings> {
-    let (findings, summary) = match FileKind::of(text) {
+    let (findings, summary) = match FileKind::detect(text) {
         FileKind::Settings => {
             let checked = check_settings(file, text);
             (checked.findings, format!("settings of {}", checked.value.instance.name))
--- a/hawthornkeel/src/forward/desks/calls.rs
+++ b/hawthornkeel/src/forward/desks/calls.rs
@@ -13,7 +13,7 @@
 use hawthornkeel_core::stages::scheduler::PieceOutcome;
 use hawthornkeel_platform::fields;
 use hawthornkeel_platform::pieces;
-use hawthornkeel_platform::pieces::Done;
+use hawthornkeel_platform::pieces::PieceReply;
 
 use crate::forward::calls;
 use crate::forward::calls::Call;
@@ -38,7 +38,7 @@
         let count = items.len();
         let reply = self.post(&maker, &items, started + limit).await;
         let input = match &reply {
-            Ok(reply) if reply.status == 200 => match pieces::done(&reply.body) {
+            Ok(reply) if reply.status == 200 => match pieces::decode_run(&reply.body) {
                 Ok(done) => Input::Answered(number, done.into_iter().map(outcome).collect()),
                 Err(_) => Input::Failed(number, CallFailure::Lost),
             },
@@ -72,12 +72,12 @@
         let address = self.inner.context.board.borrow().address(maker);
         let address = address.ok_or_else(|| Failure::Unreached("not listed".to_owned()))?;
         let pieces: Vec<pieces::Piece<'_>> = items.iter().map(piece).collect();
-        let body = pieces::run(&pieces).map_err(|e| Failure::Unreached(e.to_string()))?;
+        let body = pieces::encode_run(&pieces).map_err(|e| Failure::Unreached(e.to_string()))?;
         let call = Call {
             address,
             path: pieces::RUN_PATH,
             body: Some(&body),
-            fields: &[(fields::TARGET, maker.as_str())],
+            fields: &[(fields::EXPECTED_TARGET, maker.as_str())],
             until,
         };
         calls::make(&self.inner.context.exchanges, &call).await
@@ -85,12 +85,12 @@
 
     pub(super) async fn free(self, maker: TargetName, results: Vec<Handle>) {
         let Some(address) = self.inner.context.board.borrow().address(&maker) else { return };
-        let Ok(body) = pieces::free(&results) else { return };
+        let Ok(body) = pieces::encode_free(&results) else { return };
         let call = Call {
             address,
             path: pieces::FREE_PATH,
             body: Some(&body),
-            fields: &[(fields::TARGET, maker.as_str())],
+            fields: &[(fields::EXPECTED_TARGET, maker.as_str())],
             until: Instant::now() + FREE_TIME,
         };
         if let Err(failure) = calls::make(&self.inner.context.exchanges, &call).await {
@@ -99,13 +99,13 @@
     }
 }
 
-fn outcome(done: Done) -> PieceOutcome {
-    match done {
-        Done::Result(handle) => PieceOutcome::Done(handle),
-        Done::Late => PieceOutcome::Late,
-        Done::Gone => PieceOutcome::Gone,
-        Done::Room => PieceOutcome::OutOfMemory,
-        Done::Failed => PieceOutcome::Failed,
+fn outcome(reply: PieceReply) -> PieceOutcome {
+    match reply {
+        PieceReply::Result(handle) => PieceOutcome::Done(handle),
+        PieceReply::Late => PieceOutcome::Late,
+        PieceReply::Gone => PieceOutcome::Gone,
+        PieceReply::OutOfMemory => PieceOutcome::OutOfMemory,
+        PieceReply::Failed => PieceOutcome::Failed,
     }
 }
 
--- a/hawthornkeel/src/forward/discovery_server.rs
+++ b/hawthornkeel/src/forward/discovery_server.rs
@@ -15,7 +15,7 @@
 use hawthornkeel_core::fleet::TargetList;
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::InstanceName;
-use hawthornkeel_platform::listing;
+use hawthornkeel_platform::target_list;
 use indexmap::IndexMap;
 
 use crate::control::directory::Directory;
@@ -274,7 +274,7 @@
 
     async fn read_list(&self) {
         let mut targets = Vec::new();
-        let mut path = listing::PATH.to_owned();
+        let mut path = target_list::PATH.to_owned();
         for _ in 0..MAX_PAGES {
             let until = Instant::now() + PAGE_TIME;
             let address = self.inner.list;
@@ -284,12 +284,12 @@
                 Ok(reply) => return self.unread(&format!("status {}", reply.status)),
                 Err(failure) => return self.unread(&failure.to_string()),
             };
-            let page = match listing::decode(&reply.body) {
+            let page = match target_list::decode_page(&reply.body) {
                 Ok(page) => page,
                 Err(error) => return self.unread(&error.to_string()),
             };
-            if page.unreadable > 0 {
-                tracing::debug!(event = "list-entries-skipped", count = page.unreadable);
+            if page.skipped > 0 {
+                tracing::debug!(event = "list-entries-skipped", count = page.skipped);
             }
             targets.extend(page.targets);
             match page.next {
@@ -297,7 +297,7 @@
                 None => break,
             }
         }
-        self.set_listing(listing::join(targets));
+        self.set_listing(target_list::merge_pages(targets));
         self.inner.listed.set(Some(Instant::now()));
     }
 
--- a/hawthornkeel/src/forward/gate.rs
+++ b/hawthornkeel/src/forward/gate.rs
@@ -53,6 +53,6 @@
     AccessRequest {
         host: head.header(HOST.as_str()).unwrap_or_default(),
         path: &head.path,
-        key: head.header(AUTHORIZATION.as_str()).and_then(fields::key),
+        key: head.header(AUTHORIZATION.as_str()).and_then(fields::api_key),
     }
 }
--- a/hawthornkeel/src/forward/operators.rs
+++ b/hawthornkeel/src/forward/operators.rs
@@ -15,8 +15,8 @@
 use hawthornkeel_core::state::command::Replace;
 use hawthornkeel_platform::document;
 use hawthornkeel_platform::operators;
-use hawthornkeel_platform::operators::NoOrder;
-use hawthornkeel_platform::operators::Order;
+use hawthornkeel_platform::operators::OperatorRequest;
+use hawthornkeel_platform::operators::OperatorRequestError;
 use http::StatusCode;
 
 use crate::control::client::ControlClient;
@@ -58,12 +58,16 @@
 impl Handler for OperatorHandler {
     async fn handle(&self, request: Request) -> Response {
         let Head { method, path, .. } = &request.head;
-        let response = match operators::order(method.as_str(), path) {
-            Ok(Order::Replace) => self.replace(&request.body).await,
-            Ok(Order::Read) => self.read().await,
-            Ok(Order::Centre(centre, state)) => self.centre(centre, state).await,
-            Err(NoOrder::Path) => Problem::not_run(Code::NotFound).into_response(),
-            Err(NoOrder::Method) => Problem::not_run(Code::MethodNotAllowed).into_response(),
+        let response = match operators::parse_request(method.as_str(), path) {
+            Ok(OperatorRequest::ReplaceDocument) => self.replace(&request.body).await,
+            Ok(OperatorRequest::ReadDocument) => self.read().await,
+            Ok(OperatorRequest::SetCentreState(centre, state)) => self.centre(centre, state).await,
+            Err(OperatorRequestError::UnknownPath) => {
+                Problem::not_run(Code::NotFound).into_response()
+            }
+            Err(OperatorRequestError::WrongMethod) => {
+                Problem::not_run(Code::MethodNotAllowed).into_response()
+            }
         };
         tracing::info!(event = "order-answered", %method, path, status = response.status.as_u16());
         response
--- a/hawthornkeel/src/forward/plan.rs
+++ b/hawthornkeel/src/forward/plan.rs
@@ -217,7 +217,7 @@
         let slack = due_ms.saturating_sub(millis(self.own_time(at)));
         if read >= LARGE {
             let board = self.context.board.borrow();
-            let keeper = inputs.iter().find_map(|i| pieces::keeper(i))?;
+            let keeper = inputs.iter().find_map(|i| pieces::target_of_result(i))?;
             let centre = board.centre_at(keeper)?.clone();
             return Some(Locality { centre, wait_ms: slack / INPUTS_PART });
         }
--- a/hawthornkeel/src/forward/relay.rs
+++ b/hawthornkeel/src/forward/relay.rs
@@ -67,7 +67,7 @@
         self.buffer.extend_from_slice(piece);
         let end = self.buffer.windows(2).rposition(|w| w == b"\n\n")? + 2;
         let events = self.buffer.split_to(end).freeze();
-        if let Some(last) = fields::last_event(&events) {
+        if let Some(last) = fields::last_event_id(&events) {
             self.last = Some(last.to_owned());
         }
         Some(events)
@@ -154,7 +154,8 @@
             self.course.tried.push(from.clone());
         }
         self.course.runs += 1;
-        let last = last.or_else(|| self.ticket.head.header(fields::LAST_EVENT)).map(str::to_owned);
+        let last =
+            last.or_else(|| self.ticket.head.header(fields::LAST_EVENT_ID)).map(str::to_owned);
         loop {
             let attempts = self.ticket.route.max_attempts;
             let allowed = self.course.runs < attempts && self.ticket.left() > SILENCE;
--- a/hawthornkeel/src/forward/request.rs
+++ b/hawthornkeel/src/forward/request.rs
@@ -75,7 +75,7 @@
         let id: Arc<str> = Arc::from(head.header(fields::REQUEST_ID).unwrap_or_default());
         let hash = xxhash_rust::xxh3::xxh3_64(id.as_bytes());
         let pool = pass.route.pick_pool(hash).and_then(|p| table.pools.get(p)).cloned()?;
-        let asked = head.header(fields::DEADLINE).and_then(|d| d.trim().parse::<f64>().ok());
+        let asked = head.header(fields::DEADLINE_MS).and_then(|d| d.trim().parse::<f64>().ok());
         let asked = asked.and_then(|d| Duration::try_from_secs_f64(d / 1_000.0).ok());
         let timeout = pass.route.timeout;
         let fresh = first_attempt_slack(timeout, asked.unwrap_or(timeout));
@@ -106,7 +106,7 @@
 
     /// Returns the number of pieces of each stage, as the caller says; `None` where it can't be read.
     pub fn pieces(&self) -> Option<Vec<u32>> {
-        fields::numbers(self.head.header(fields::PIECES).unwrap_or_default())
+        fields::parse_numbers(self.head.header(fields::PIECE_COUNTS).unwrap_or_default())
     }
 
     /// Encodes the request for `target`; a stream goes on after the event `last`, if there is one.
@@ -129,16 +129,16 @@
             put(&mut out, &["\r\n"]);
         }
         let left = self.left().as_millis().max(1).to_string();
-        put_field(&mut out, fields::DEADLINE, &left);
-        put_field(&mut out, fields::TARGET, target.name.as_str());
+        put_field(&mut out, fields::DEADLINE_MS, &left);
+        put_field(&mut out, fields::EXPECTED_TARGET, target.name.as_str());
         if let Some(workspace) = &self.workspace {
             put_field(&mut out, fields::WORKSPACE, workspace.as_str());
         }
         if !results.is_empty() {
-            put_field(&mut out, fields::RESULTS, &results.join(","));
+            put_field(&mut out, fields::INPUTS, &results.join(","));
         }
         if let Some(last) = last {
-            put_field(&mut out, fields::LAST_EVENT, last);
+            put_field(&mut out, fields::LAST_EVENT_ID, last);
         }
         if !self.body.is_empty() || takes_body(method) {
             put_field(&mut out, CONTENT_LENGTH.as_str(), &self.body.len().to_string());
@@ -158,7 +158,7 @@
         if name == AUTHORIZATION {
             return !self.table.requires_key;
         }
-        let replaced = last.is_some() && name == fields::LAST_EVENT;
+        let replaced = last.is_some() && name == fields::LAST_EVENT_ID;
         !replaced
             && !is_hop(name, &self.head.headers)
             && name != EXPECT
@@ -169,7 +169,7 @@
 
 /// Returns the number that requests of one session share.
 fn session(head: &Head) -> Option<u64> {
-    let parts = fields::parts(head.header(fields::PROMPT)?);
+    let parts = fields::parse_prompt_prefix(head.header(fields::PROMPT_PREFIX)?);
     // The last part is the request's own.
     let shared = parts.len().checked_sub(2).and_then(|at| parts.get(at));
     shared.or(parts.first()).map(|p| p.id)
--- a/hawthornkeel/src/forward/server.rs
+++ b/hawthornkeel/src/forward/server.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hawthornkeel_config::settings::Settings;
-use hawthornkeel_platform::operators::READINESS;
+use hawthornkeel_platform::operators::READINESS_PATH;
 use http::StatusCode;
 
 use crate::control::directory::Directory;
@@ -93,7 +93,7 @@
 
 /// Answers a readiness check: an entry is ready once it can tell callers' requests apart.
 fn answer_check(context: &Context, request: &Request) -> Response {
-    if request.head.path != READINESS {
+    if request.head.path != READINESS_PATH {
         return Problem::not_run(Code::NotFound).into_response();
     }
     let ready = !context.stopping.get() && context.table.borrow().is_some();
--- a/hawthornkeel/src/peer/inbound.rs
+++ b/hawthornkeel/src/peer/inbound.rs
@@ -95,7 +95,7 @@
         Trust::Certificates if !carries_name(connection, name.as_str()) => {
             return Err(format!("certificate is not for {name}"));
         }
-        Trust::Addresses if Peers::name_of(connection.remote_address()) != name => {
+        Trust::Addresses if Peers::name_from_address(connection.remote_address()) != name => {
             return Err(format!("address is not that of {name}"));
         }
         Trust::Certificates | Trust::Addresses => {}
--- a/hawthornkeel_config/src/checks/document.rs
+++ b/hawthornkeel_config/src/checks/document.rs
@@ -58,9 +58,9 @@
 
 fn check_pool(reader: &mut Reader<'_>, path: &str, pool: &Pool) {
     if pool.cold_limit > pool.warm_limit && reader.is_sound(&format!("{path}.warm_limit")) {
-        let wrong = format!("{} is above warm_limit, {}", pool.cold_limit, pool.warm_limit);
+        let message = format!("{} is above warm_limit, {}", pool.cold_limit, pool.warm_limit);
         let accepted = format!("1 to {}", pool.warm_limit);
-        reader.report(&format!("{path}.cold_limit"), wrong, &accepted);
+        reader.report(&format!("{path}.cold_limit"), message, &accepted);
     }
     if !reader.is_sound(&format!("{path}.kind")) {
         return;
@@ -71,8 +71,12 @@
             reader.report(&format!("{path}.model"), "missing".to_owned(), accepted);
         }
         (PoolKind::Service, Some(_)) => {
-            let wrong = "a pool of plain services has no model".to_owned();
-            reader.report(&format!("{path}.model"), wrong, "a model only where kind = \"engine\"");
+            let message = "a pool of plain services has no model".to_owned();
+            reader.report(
+                &format!("{path}.model"),
+                message,
+                "a model only where kind = \"engine\"",
+            );
         }
         (PoolKind::Engine, Some(_)) | (PoolKind::Service, None) => {}
     }
@@ -90,25 +94,25 @@
     let floors: Duration = pipeline.stages.iter().map(Stage::floor).sum();
     if pipeline.deadline() < floors {
         let floors = floors.as_millis();
-        let wrong = format!(
+        let message = format!(
             "{} ms is shorter than the floors of the stages together, {floors} ms",
             pipeline.deadline_ms
         );
-        reader.report(&format!("{path}.deadline_ms"), wrong, &format!("at least {floors}"));
+        reader.report(&format!("{path}.deadline_ms"), message, &format!("at least {floors}"));
     }
 }
 
 fn check_stage(reader: &mut Reader<'_>, path: &str, stage: &Stage, document: &Document) {
     if !stage.pool.as_str().is_empty() && document.pool(stage.pool.as_str()).is_none() {
         let names: Vec<&str> = document.pools.iter().map(|p| p.name.as_str()).collect();
-        let wrong = format!("no pool is called {:?}", stage.pool.as_str());
+        let message = format!("no pool is called {:?}", stage.pool.as_str());
         let accepted = format!("the name of a [[pool]]: {}", names.join(", "));
-        reader.report(&format!("{path}.pool"), wrong, &accepted);
+        reader.report(&format!("{path}.pool"), message, &accepted);
     }
     if !stage.idempotent && stage.max_attempts > 1 {
-        let wrong = format!("{} attempts at a stage that is not idempotent", stage.max_attempts);
+        let message = format!("{} attempts at a stage that is not idempotent", stage.max_attempts);
         let accepted = "1, or idempotent = true where the stage may run again";
-        reader.report(&format!("{path}.max_attempts"), wrong, accepted);
+        reader.report(&format!("{path}.max_attempts"), message, accepted);
     }
 }
 
--- a/hawthornkeel_config/src/checks/settings.rs
+++ b/hawthornkeel_config/src/checks/settings.rs
@@ -20,8 +20,8 @@
     let sound = reader.is_sound("entry.enabled") && reader.is_sound("control.enabled");
     let roles = settings.entry.enabled || settings.control.enabled;
     if sound && !roles && settings.forward.listen.is_none() && reader.is_sound("forward.listen") {
-        let wrong = "the instance has no role".to_owned();
-        reader.report("instance", wrong, "entry.enabled = true or control.enabled = true");
+        let message = "the instance has no role".to_owned();
+        reader.report("instance", message, "entry.enabled = true or control.enabled = true");
     }
     if settings.entry.enabled {
         check_entry(reader, settings);
@@ -40,17 +40,17 @@
     }
     let entry = &settings.entry;
     if entry.stop_ms < entry.drain_ms && reader.is_sound("entry.drain_ms") {
-        let wrong = format!("{} is below entry.drain_ms", entry.stop_ms);
+        let message = format!("{} is below entry.drain_ms", entry.stop_ms);
         let accepted = format!("at least {}", entry.drain_ms);
-        reader.report("entry.stop_ms", wrong, &accepted);
+        reader.report("entry.stop_ms", message, &accepted);
     }
     if settings.platform.address.is_none() {
         let accepted = "the address of the platform's list of instances";
         reader.report("platform.address", "missing".to_owned(), accepted);
     }
     if settings.keys.is_empty() {
-        let wrong = "no caller has a key".to_owned();
-        reader.report("keys", wrong, "at least one line: SHA-256 of a key = workspace");
+        let message = "no caller has a key".to_owned();
+        reader.report("keys", message, "at least one line: SHA-256 of a key = workspace");
     }
 }
 
@@ -71,9 +71,9 @@
     }
     let shortest = control.heartbeat_ms.saturating_mul(MIN_HEARTBEATS);
     if control.election_ms < shortest && reader.is_sound("control.heartbeat_ms") {
-        let wrong =
+        let message =
             format!("{} is below {MIN_HEARTBEATS} times control.heartbeat_ms", control.election_ms);
-        reader.report("control.election_ms", wrong, &format!("at least {shortest}"));
+        reader.report("control.election_ms", message, &format!("at least {shortest}"));
     }
 }
 
@@ -84,7 +84,7 @@
         return;
     }
     let peer = settings.peers.peers.iter().find(|p| p.name == *founder);
-    let wrong = match peer {
+    let message = match peer {
         None => format!("{:?} is neither a peer nor this instance", founder.as_str()),
         Some(peer) if !peer.control => {
             format!("{:?} is a peer without control = true", founder.as_str())
@@ -92,7 +92,7 @@
         Some(_) => return,
     };
     let accepted = "this instance or peers with control = true";
-    reader.report("control.founders", wrong, accepted);
+    reader.report("control.founders", message, accepted);
 }
 
 fn check_peers(reader: &mut Reader<'_>, settings: &Settings) {
@@ -103,18 +103,18 @@
     for (number, peer) in peers.peers.iter().enumerate() {
         let path = format!("peers.peer[{number}]");
         if peer.name == settings.instance.name {
-            let wrong = "the instance is its own peer".to_owned();
-            reader.report(&format!("{path}.name"), wrong, "the other instances only");
+            let message = "the instance is its own peer".to_owned();
+            reader.report(&format!("{path}.name"), message, "the other instances only");
         }
         let address = format!("{path}.address");
         if peer.address.port() == 0 {
             reader.report(&address, "port 0 can't be reached".to_owned(), "a port above 0");
         } else if Some(peer.address) == peers.listen {
-            let wrong = "this is the address of the instance itself".to_owned();
-            reader.report(&address, wrong, "the address of the peer");
+            let message = "this is the address of the instance itself".to_owned();
+            reader.report(&address, message, "the address of the peer");
         } else if let Some(other) = addresses.insert(peer.address, peer.name.as_str()) {
-            let wrong = format!("this is the address of {other:?} too");
-            reader.report(&address, wrong, "an address of its own");
+            let message = format!("this is the address of {other:?} too");
+            reader.report(&address, message, "an address of its own");
         }
     }
     if !peers.peers.is_empty() && peers.trust == Trust::Certificates {
@@ -156,7 +156,7 @@
 fn check_own_addresses(reader: &mut Reader<'_>, settings: &Settings) {
     let admin = settings.instance.admin;
     if admin.is_some_and(|a| a.port() != 0) && admin == settings.entry.listen {
-        let wrong = "this is entry.listen too".to_owned();
-        reader.report("instance.admin", wrong, "an address of its own");
+        let message = "this is entry.listen too".to_owned();
+        reader.report("instance.admin", message, "an address of its own");
     }
 }
--- a/hawthornkeel_config/src/findings.rs
+++ b/hawthornkeel_config/src/findings.rs
@@ -36,7 +36,7 @@
     /// Path of the key, such as `pipeline[0].deadline_ms`; empty for the whole file.
     pub key: String,
     /// What is wrong.
-    pub wrong: String,
+    pub message: String,
     /// What would be accepted.
     pub accepted: String,
 }
@@ -47,7 +47,7 @@
         if !self.key.is_empty() {
             write!(f, "{}: ", self.key)?;
         }
-        write!(f, "{}; accepted: {}", self.wrong, self.accepted)
+        write!(f, "{}; accepted: {}", self.message, self.accepted)
     }
 }
 
@@ -74,14 +74,14 @@
     }
 
     /// Creates the findings about a file that can't be read.
-    pub fn unreadable(file: &str, wrong: String) -> Self {
+    pub fn unreadable(file: &str, message: String) -> Self {
         let finding = Finding {
             severity: Severity::Error,
             file: file.to_owned(),
             line: 0,
             column: 0,
             key: String::new(),
-            wrong,
+            message,
             accepted: "a readable file in UTF-8".to_owned(),
         };
         Self { list: vec![finding] }
@@ -121,7 +121,7 @@
         severity: Severity,
         range: Range<usize>,
         key: &str,
-        wrong: String,
+        message: String,
         accepted: &str,
     ) {
         let (line, column) = place(self.text, range.start);
@@ -131,7 +131,7 @@
             line,
             column,
             key: key.to_owned(),
-            wrong,
+            message,
             accepted: accepted.to_owned(),
         });
     }
@@ -145,7 +145,7 @@
     pub(crate) fn finish(self) -> Findings {
         let mut findings = self.findings;
         findings.list.sort_by(|a, b| {
-            (a.line, a.column, &a.key, &a.wrong).cmp(&(b.line, b.column, &b.key, &b.wrong))
+            (a.line, a.column, &a.key, &a.message).cmp(&(b.line, b.column, &b.key, &b.message))
         });
         findings
     }
--- a/hawthornkeel_config/src/load.rs
+++ b/hawthornkeel_config/src/load.rs
@@ -14,8 +14,8 @@
 use crate::findings::Severity;
 use crate::reader::Reader;
 use crate::schema::Key;
-use crate::schema::document::DOCUMENT;
-use crate::schema::settings::SETTINGS;
+use crate::schema::document::DOCUMENT_KEYS;
+use crate::schema::settings::SETTINGS_KEYS;
 use crate::settings::Settings;
 
 /// Value read from a file, with the findings about the file.
@@ -48,12 +48,12 @@
 
 impl FileKind {
     /// Tells which kind a text is by the keys that it holds.
-    pub fn of(text: &str) -> Self {
+    pub fn detect(text: &str) -> Self {
         let (root, _) = toml::de::DeTable::parse_recoverable(text);
         let known = |keys: &[Key]| {
             root.get_ref().keys().filter(|n| keys.iter().any(|k| k.name == n.get_ref())).count()
         };
-        if known(SETTINGS) > known(DOCUMENT) { Self::Settings } else { Self::Document }
+        if known(SETTINGS_KEYS) > known(DOCUMENT_KEYS) { Self::Settings } else { Self::Document }
     }
 }
 
@@ -74,7 +74,7 @@
 /// Reads and checks settings; `file` is the name shown in findings.
 pub fn check_settings(file: &str, text: &str) -> Checked<Settings> {
     let mut reader = Reader::new(file, text, Severity::Warning);
-    let settings: Option<Settings> = reader.read(text, SETTINGS);
+    let settings: Option<Settings> = reader.read(text, SETTINGS_KEYS);
     let value = match settings {
         Some(settings) => {
             checks::settings::check(&mut reader, &settings);
@@ -96,7 +96,7 @@
 /// Reads and checks an environment document; `file` is the name shown in findings.
 pub fn check_document(file: &str, text: &str) -> Checked<Document> {
     let mut reader = Reader::new(file, text, Severity::Error);
-    let document: Option<Document> = reader.read(text, DOCUMENT);
+    let document: Option<Document> = reader.read(text, DOCUMENT_KEYS);
     let value = match document {
         Some(mut document) => {
             checks::document::complete(&reader, &mut document);
--- a/hawthornkeel_config/src/reader.rs
+++ b/hawthornkeel_config/src/reader.rs
@@ -19,7 +19,7 @@
 use crate::findings::Severity;
 use crate::schema::Bounds;
 use crate::schema::Key;
-use crate::schema::Kind;
+use crate::schema::ValueKind;
 use crate::schema::is_digest;
 use crate::schema::is_host_name;
 use crate::schema::is_name;
@@ -145,15 +145,15 @@
     fn value(&mut self, key: &Key, value: &mut Spanned<DeValue<'_>>, path: &str) -> bool {
         let range = value.span();
         let wrong = match (&key.kind, value.get_mut()) {
-            (Kind::Section(keys), DeValue::Table(table)) => {
+            (ValueKind::Table(keys), DeValue::Table(table)) => {
                 self.table(table, range.clone(), path, keys);
                 None
             }
-            (Kind::List(keys), DeValue::Array(array)) => {
+            (ValueKind::TableArray(keys), DeValue::Array(array)) => {
                 self.list(array, path, keys);
                 None
             }
-            (Kind::Digests, DeValue::Table(table)) => {
+            (ValueKind::Digests, DeValue::Table(table)) => {
                 self.digests(table, path);
                 None
             }
@@ -190,9 +190,9 @@
                 let accepted = "the SHA-256 of a caller's key, 64 lower-case hexadecimal digits";
                 self.report_at(name.span(), &path, "not a digest", accepted);
             }
-            match wrong_scalar(&Kind::Name, value.get_ref()) {
+            match wrong_scalar(&ValueKind::Name, value.get_ref()) {
                 Some(wrong) => {
-                    let accepted = Kind::Name.to_string();
+                    let accepted = ValueKind::Name.to_string();
                     self.report_at(value.span(), &path, &wrong, &accepted);
                 }
                 None => {
@@ -215,8 +215,8 @@
 /// Returns the text that stands in for a required key that is missing or wrong.
 fn placeholder(key: &Key) -> Option<&'static str> {
     match key.kind {
-        Kind::Name | Kind::HostName => Some(""),
-        Kind::Address => Some(NO_ADDRESS),
+        ValueKind::Name | ValueKind::HostName => Some(""),
+        ValueKind::Address => Some(NO_ADDRESS),
         _ => None,
     }
 }
@@ -227,14 +227,16 @@
 }
 
 /// Returns what is wrong with a value that is no table or list of tables.
-fn wrong_scalar(kind: &Kind, value: &DeValue<'_>) -> Option<String> {
+fn wrong_scalar(kind: &ValueKind, value: &DeValue<'_>) -> Option<String> {
     let accepted = match (kind, value) {
-        (Kind::Flag, DeValue::Boolean(_)) => true,
-        (Kind::Number(bounds), DeValue::Integer(number)) => is_within(bounds, number),
-        (Kind::HostNames, DeValue::Array(names)) => names.iter().all(|n| is_host(n.get_ref())),
-        (Kind::Addresses, DeValue::Array(list)) => list.iter().all(|a| is_address(a.get_ref())),
-        (Kind::Decimal, DeValue::Integer(number)) => is_decimal(number.as_str()),
-        (Kind::Decimal, DeValue::Float(number)) => is_decimal(number.as_str()),
+        (ValueKind::Boolean, DeValue::Boolean(_)) => true,
+        (ValueKind::Integer(bounds), DeValue::Integer(number)) => is_within(bounds, number),
+        (ValueKind::HostNames, DeValue::Array(names)) => names.iter().all(|n| is_host(n.get_ref())),
+        (ValueKind::Addresses, DeValue::Array(list)) => {
+            list.iter().all(|a| is_address(a.get_ref()))
+        }
+        (ValueKind::Float, DeValue::Integer(number)) => is_decimal(number.as_str()),
+        (ValueKind::Float, DeValue::Float(number)) => is_decimal(number.as_str()),
         (kind, DeValue::String(text)) => match is_text(kind, text) {
             Some(accepted) => accepted,
             None => return Some("a string".to_owned()),
@@ -245,17 +247,17 @@
 }
 
 /// Tells whether a text is accepted, or `None` where the kind takes no text.
-fn is_text(kind: &Kind, text: &str) -> Option<bool> {
+fn is_text(kind: &ValueKind, text: &str) -> Option<bool> {
     match kind {
-        Kind::Text | Kind::File => Some(!text.trim().is_empty()),
-        Kind::Name => Some(is_name(text)),
-        Kind::HostName => Some(is_host_name(text)),
-        Kind::UrlPath => Some(is_url_path(text)),
-        Kind::Address => Some(text.parse::<SocketAddr>().is_ok()),
-        Kind::Choice(words) => Some(words.contains(&text)),
-        Kind::Flag | Kind::Number(_) | Kind::HostNames => None,
-        Kind::Addresses | Kind::Decimal => None,
-        Kind::Section(_) | Kind::List(_) | Kind::Digests => None,
+        ValueKind::Text | ValueKind::FilePath => Some(!text.trim().is_empty()),
+        ValueKind::Name => Some(is_name(text)),
+        ValueKind::HostName => Some(is_host_name(text)),
+        ValueKind::UrlPath => Some(is_url_path(text)),
+        ValueKind::Address => Some(text.parse::<SocketAddr>().is_ok()),
+        ValueKind::Choice(words) => Some(words.contains(&text)),
+        ValueKind::Boolean | ValueKind::Integer(_) | ValueKind::HostNames => None,
+        ValueKind::Addresses | ValueKind::Float => None,
+        ValueKind::Table(_) | ValueKind::TableArray(_) | ValueKind::Digests => None,
     }
 }
 
--- a/hawthornkeel_config/src/schema/document.rs
+++ b/hawthornkeel_config/src/schema/document.rs
@@ -1,7 +1,7 @@
 //! Keys of the environment document.
 
 use crate::schema::Key;
-use crate::schema::Kind;
+use crate::schema::ValueKind;
 
 /// Longest deadline of a pipeline, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 600_000;
@@ -19,47 +19,47 @@
 const MAX_TOKENS: u64 = 131_072;
 
 /// Keys of the environment document.
-pub const DOCUMENT: &[Key] = &[
-    Key::new("name", Kind::Text, ""),
-    Key::new("workspace", Kind::List(WORKSPACE), ""),
-    Key::new("pool", Kind::List(POOL), ""),
-    Key::new("pipeline", Kind::List(PIPELINE), ""),
+pub const DOCUMENT_KEYS: &[Key] = &[
+    Key::new("name", ValueKind::Text, ""),
+    Key::new("workspace", ValueKind::TableArray(WORKSPACE), ""),
+    Key::new("pool", ValueKind::TableArray(POOL), ""),
+    Key::new("pipeline", ValueKind::TableArray(PIPELINE), ""),
 ];
 
 /// Keys of a workspace.
 const WORKSPACE: &[Key] = &[
-    Key::required("name", Kind::Name),
-    Key::new("weight", Kind::number(1, 1_000, ""), "1"),
-    Key::new("priority", Kind::number(0, 255, ""), "0"),
-    Key::new("max_requests", Kind::number(1, MAX_AT_ONCE, "requests"), "1024"),
+    Key::required("name", ValueKind::Name),
+    Key::new("weight", ValueKind::integer(1, 1_000, ""), "1"),
+    Key::new("priority", ValueKind::integer(0, 255, ""), "0"),
+    Key::new("max_requests", ValueKind::integer(1, MAX_AT_ONCE, "requests"), "1024"),
 ];
 
 /// Keys of a pool.
 const POOL: &[Key] = &[
-    Key::required("name", Kind::Name),
-    Key::new("kind", Kind::Choice(&["service", "engine"]), "service"),
-    Key::new("model", Kind::Text, ""),
-    Key::new("warm_limit", Kind::number(1, MAX_AT_ONCE, "calls"), "16"),
-    Key::new("cold_limit", Kind::number(1, MAX_AT_ONCE, "calls"), "1"),
-    Key::new("warm_after", Kind::number(1, MAX_AT_ONCE, "answers"), "16"),
-    Key::new("fencing", Kind::Choice(&["ignored", "checked"]), "ignored"),
+    Key::required("name", ValueKind::Name),
+    Key::new("kind", ValueKind::Choice(&["service", "engine"]), "service"),
+    Key::new("model", ValueKind::Text, ""),
+    Key::new("warm_limit", ValueKind::integer(1, MAX_AT_ONCE, "calls"), "16"),
+    Key::new("cold_limit", ValueKind::integer(1, MAX_AT_ONCE, "calls"), "1"),
+    Key::new("warm_after", ValueKind::integer(1, MAX_AT_ONCE, "answers"), "16"),
+    Key::new("fencing", ValueKind::Choice(&["ignored", "checked"]), "ignored"),
 ];
 
 /// Keys of a pipeline.
 const PIPELINE: &[Key] = &[
-    Key::required("name", Kind::Name),
-    Key::new("deadline_ms", Kind::number(1, MAX_DEADLINE_MS, "milliseconds"), "8000"),
-    Key::new("max_body", Kind::number(1, MAX_BODY, "bytes"), "1048576"),
-    Key::new("stage", Kind::List(STAGE), ""),
+    Key::required("name", ValueKind::Name),
+    Key::new("deadline_ms", ValueKind::integer(1, MAX_DEADLINE_MS, "milliseconds"), "8000"),
+    Key::new("max_body", ValueKind::integer(1, MAX_BODY, "bytes"), "1048576"),
+    Key::new("stage", ValueKind::TableArray(STAGE), ""),
 ];
 
 /// Keys of a stage.
 const STAGE: &[Key] = &[
-    Key::required("name", Kind::Name),
-    Key::required("pool", Kind::Name),
-    Key::new("path", Kind::UrlPath, "/"),
-    Key::new("idempotent", Kind::Flag, "true"),
-    Key::new("floor_ms", Kind::number(1, MAX_DEADLINE_MS, "milliseconds"), "1"),
-    Key::new("max_attempts", Kind::number(1, MAX_ATTEMPTS, "attempts"), "3"),
-    Key::new("max_tokens", Kind::number(1, MAX_TOKENS, "tokens"), "256"),
+    Key::required("name", ValueKind::Name),
+    Key::required("pool", ValueKind::Name),
+    Key::new("path", ValueKind::UrlPath, "/"),
+    Key::new("idempotent", ValueKind::Boolean, "true"),
+    Key::new("floor_ms", ValueKind::integer(1, MAX_DEADLINE_MS, "milliseconds"), "1"),
+    Key::new("max_attempts", ValueKind::integer(1, MAX_ATTEMPTS, "attempts"), "3"),
+    Key::new("max_tokens", ValueKind::integer(1, MAX_TOKENS, "tokens"), "256"),
 ];
--- a/hawthornkeel_config/src/schema/mod.rs
+++ b/hawthornkeel_config/src/schema/mod.rs
@@ -11,7 +11,7 @@
     /// Name of the key.
     pub name: &'static str,
     /// Kind of value.
-    pub kind: Kind,
+    pub kind: ValueKind,
     /// Default as written in the file; empty where there is none.
     pub default: &'static str,
     /// Whether the key must be given.
@@ -20,14 +20,14 @@
 
 /// Kind of value that a key takes.
 #[derive(Clone, Copy, Debug)]
-pub enum Kind {
+pub enum ValueKind {
     /// Either `true` or `false`.
-    Flag,
+    Boolean,
     /// Whole number of a unit, between two bounds.
-    Number(Bounds),
+    Integer(Bounds),
     /// Text that is not empty.
     Text,
-    /// Name of up to [`MAX_NAME`] letters, digits, hyphens, underscores and dots.
+    /// Name of up to [`MAX_NAME_LENGTH`] letters, digits, hyphens, underscores and dots.
     Name,
     /// Name of an instance, as a certificate can carry it.
     HostName,
@@ -36,19 +36,19 @@
     /// Path of an HTTP request.
     UrlPath,
     /// Path of a file or folder.
-    File,
+    FilePath,
     /// IP address with a port.
     Address,
     /// List of IP addresses with ports.
     Addresses,
     /// Number that need not be whole, zero or higher.
-    Decimal,
+    Float,
     /// One of several words.
     Choice(&'static [&'static str]),
     /// Table with keys of its own.
-    Section(&'static [Key]),
+    Table(&'static [Key]),
     /// List of tables with keys of their own.
-    List(&'static [Key]),
+    TableArray(&'static [Key]),
     /// Table from SHA-256 digests to names.
     Digests,
 }
@@ -65,56 +65,58 @@
 }
 
 /// Longest name, in characters.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_LENGTH: usize = 64;
 
 /// Longest name of an instance, in characters: that of a DNS label.
-pub const MAX_HOST_NAME: usize = 63;
+pub const MAX_HOST_NAME_LENGTH: usize = 63;
 
 /// Length of a SHA-256 digest in hexadecimal, in characters.
 pub const DIGEST_LENGTH: usize = 64;
 
 impl Key {
     /// Creates a key that may be left out.
-    pub const fn new(name: &'static str, kind: Kind, default: &'static str) -> Self {
+    pub const fn new(name: &'static str, kind: ValueKind, default: &'static str) -> Self {
         Self { name, kind, default, required: false }
     }
 
     /// Creates a key that must be given.
-    pub const fn required(name: &'static str, kind: Kind) -> Self {
+    pub const fn required(name: &'static str, kind: ValueKind) -> Self {
         Self { name, kind, default: "", required: true }
     }
 }
 
-impl Kind {
+impl ValueKind {
     /// Creates a number between `min` and `max` of `unit`.
-    pub const fn number(min: u64, max: u64, unit: &'static str) -> Self {
-        Self::Number(Bounds { min, max, unit })
+    pub const fn integer(min: u64, max: u64, unit: &'static str) -> Self {
+        Self::Integer(Bounds { min, max, unit })
     }
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for ValueKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Flag => f.write_str("true or false"),
-            Self::Number(bounds) => bounds.fmt(f),
+            Self::Boolean => f.write_str("true or false"),
+            Self::Integer(bounds) => bounds.fmt(f),
             Self::Text => f.write_str("text that is not empty"),
             Self::Name => write!(
                 f,
-                "1 to {MAX_NAME} letters, digits, '-', '_' or '.', the first a letter or digit"
+                "1 to {MAX_NAME_LENGTH} letters, digits, '-', '_' or '.', the first a letter or \
+                 digit"
             ),
             Self::HostName => write!(
                 f,
-                "1 to {MAX_HOST_NAME} lower-case letters, digits or '-', the first and last not '-'"
+                "1 to {MAX_HOST_NAME_LENGTH} lower-case letters, digits or '-', the first and \
+                 last not '-'"
             ),
             Self::HostNames => f.write_str("a list of names of instances"),
             Self::UrlPath => f.write_str("a path that begins with '/' and holds no blanks"),
-            Self::File => f.write_str("the path of a file or folder"),
+            Self::FilePath => f.write_str("the path of a file or folder"),
             Self::Address => f.write_str("an IP address with a port, such as \"127.0.0.1:8080\""),
             Self::Addresses => f.write_str("a list of IP addresses with ports"),
-            Self::Decimal => f.write_str("a number from 0 on"),
+            Self::Float => f.write_str("a number from 0 on"),
             Self::Choice(words) => write_choice(f, words),
-            Self::Section(_) => f.write_str("a table"),
-            Self::List(_) => f.write_str("a list of tables"),
+            Self::Table(_) => f.write_str("a table"),
+            Self::TableArray(_) => f.write_str("a list of tables"),
             Self::Digests => f.write_str("a table from SHA-256 in hexadecimal to names"),
         }
     }
@@ -137,7 +139,7 @@
 
 /// Tells whether `text` is a name.
 pub fn is_name(text: &str) -> bool {
-    text.len() <= MAX_NAME
+    text.len() <= MAX_NAME_LENGTH
         && text.starts_with(|c: char| c.is_ascii_alphanumeric())
         && text.chars().all(|c| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.'))
 }
@@ -145,7 +147,7 @@
 /// Tells whether `text` is a name of an instance.
 pub fn is_host_name(text: &str) -> bool {
     !text.is_empty()
-        && text.len() <= MAX_HOST_NAME
+        && text.len() <= MAX_HOST_NAME_LENGTH
         && !text.starts_with('-')
         && !text.ends_with('-')
         && text.chars().all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-')
--- a/hawthornkeel_config/src/settings.rs
+++ b/hawthornkeel_config/src/settings.rs
@@ -159,7 +159,7 @@
 
 impl Peers {
     /// Returns the name of the instance at `address` where trust is by addresses.
-    pub fn name_of(address: SocketAddr) -> InstanceName {
+    pub fn name_from_address(address: SocketAddr) -> InstanceName {
         InstanceName::new(&address.ip().to_string())
     }
 }
@@ -168,7 +168,7 @@
     /// Returns the name that peers know this instance by.
     pub fn peer_name(&self) -> InstanceName {
         match (self.peers.trust, self.peers.listen) {
-            (Trust::Addresses, Some(listen)) => Peers::name_of(listen),
+            (Trust::Addresses, Some(listen)) => Peers::name_from_address(listen),
             _ => self.instance.name.clone(),
         }
     }
@@ -177,7 +177,9 @@
     pub fn founders(&self) -> Vec<InstanceName> {
         match self.peers.trust {
             Trust::Certificates => self.control.founders.clone(),
-            Trust::Addresses => self.peers.seeds.iter().map(|s| Peers::name_of(*s)).collect(),
+            Trust::Addresses => {
+                self.peers.seeds.iter().map(|s| Peers::name_from_address(*s)).collect()
+            }
         }
     }
 }
--- a/hawthornkeel_config/tests/document_findings.rs
+++ b/hawthornkeel_config/tests/document_findings.rs
@@ -47,7 +47,7 @@
 
 /// Returns the place, key and fault of each finding.
 fn shown(findings: &[Finding]) -> Vec<String> {
-    let line = |f: &Finding| format!("{}:{} {}: {}", f.line, f.column, f.key, f.wrong);
+    let line = |f: &Finding| format!("{}:{} {}: {}", f.line, f.column, f.key, f.message);
     findings.iter().map(line).collect()
 }
 
--- a/hawthornkeel_config/tests/documented_keys.rs
+++ b/hawthornkeel_config/tests/documented_keys.rs
@@ -3,9 +3,9 @@
 use std::fs;
 
 use hawthornkeel_config::schema::Key;
-use hawthornkeel_config::schema::Kind;
-use hawthornkeel_config::schema::document::DOCUMENT;
-use hawthornkeel_config::schema::settings::SETTINGS;
+use hawthornkeel_config::schema::ValueKind;
+use hawthornkeel_config::schema::document::DOCUMENT_KEYS;
+use hawthornkeel_config::schema::settings::SETTINGS_KEYS;
 use hawthornkeel_core::state::claims;
 use hawthornkeel_core::state::clock;
 use hawthornkeel_core::state::history;
@@ -24,13 +24,13 @@
             (false, default) => format!("`{default}`"),
         };
         rows.push(match key.kind {
-            Kind::Number(bounds) => {
+            ValueKind::Integer(bounds) => {
                 let (min, max, unit) = (bounds.min, bounds.max, bounds.unit);
                 format!("| `{path}` | {unit} | {default} | {min} to {max} | ")
             }
             _ => format!("| `{path}` |  | {default} | "),
         });
-        if let Kind::Section(keys) | Kind::List(keys) = key.kind {
+        if let ValueKind::Table(keys) | ValueKind::TableArray(keys) = key.kind {
             rows.extend(self::rows(keys, &path));
         }
     }
@@ -40,7 +40,7 @@
 #[test]
 fn page_has_every_key_and_no_other() {
     let page = fs::read_to_string(PAGE).expect("the page is there");
-    let expected = [rows(DOCUMENT, ""), rows(SETTINGS, "")].concat();
+    let expected = [rows(DOCUMENT_KEYS, ""), rows(SETTINGS_KEYS, "")].concat();
     for row in &expected {
         let found: Vec<&str> = page.lines().filter(|line| line.starts_with(row)).collect();
         assert!(!found.is_empty(), "no row starts with {row:?}");
--- a/hawthornkeel_config/tests/schema_keys.rs
+++ b/hawthornkeel_config/tests/schema_keys.rs
@@ -3,9 +3,9 @@
 use hawthornkeel_config::check_document;
 use hawthornkeel_config::check_settings;
 use hawthornkeel_config::schema::Key;
-use hawthornkeel_config::schema::Kind;
-use hawthornkeel_config::schema::document::DOCUMENT;
-use hawthornkeel_config::schema::settings::SETTINGS;
+use hawthornkeel_config::schema::ValueKind;
+use hawthornkeel_config::schema::document::DOCUMENT_KEYS;
+use hawthornkeel_config::schema::settings::SETTINGS_KEYS;
 use hawthornkeel_config::settings::Peer;
 use hawthornkeel_config::settings::Settings;
 use hawthornkeel_core::document::Document;
@@ -29,11 +29,11 @@
     for key in keys {
         let path = format!("{path}.{}", key.name);
         match (&key.kind, &table[key.name]) {
-            (Kind::Section(keys), Value::Table(table)) => compare(keys, table, &path),
-            (Kind::List(keys), Value::Array(list)) => {
+            (ValueKind::Table(keys), Value::Table(table)) => compare(keys, table, &path),
+            (ValueKind::TableArray(keys), Value::Array(list)) => {
                 compare(keys, list[0].as_table().expect("a list of tables"), &path);
             }
-            (Kind::Digests, _) => {}
+            (ValueKind::Digests, _) => {}
             (_, value) if !key.default.is_empty() => {
                 let shown = value.as_str().map_or_else(|| value.to_string(), str::to_owned);
                 assert_eq!(key.default, shown, "default of {path}");
@@ -51,7 +51,7 @@
         pipelines: vec![Pipeline { stages: vec![Stage::default()], ..Pipeline::default() }],
         ..Document::default()
     };
-    compare(DOCUMENT, &Table::try_from(document).expect("a document is a table"), "");
+    compare(DOCUMENT_KEYS, &Table::try_from(document).expect("a document is a table"), "");
 }
 
 #[test]
@@ -75,12 +75,12 @@
         control: false,
         entry: true,
     });
-    compare(SETTINGS, &Table::try_from(settings).expect("settings are a table"), "");
+    compare(SETTINGS_KEYS, &Table::try_from(settings).expect("settings are a table"), "");
 }
 
 #[test]
 fn lowest_and_highest_numbers_are_read() {
-    for (keys, path) in [(DOCUMENT, "document"), (SETTINGS, "settings")] {
+    for (keys, path) in [(DOCUMENT_KEYS, "document"), (SETTINGS_KEYS, "settings")] {
         for high in [false, true] {
             let text = write(keys, "", high);
             let findings = match path {
@@ -101,14 +101,14 @@
         let path =
             if path.is_empty() { key.name.to_owned() } else { format!("{path}.{}", key.name) };
         match key.kind {
-            Kind::Number(bounds) => {
+            ValueKind::Integer(bounds) => {
                 let number = if high { bounds.max } else { bounds.min };
                 text.push_str(&format!("{} = {number}\n", key.name));
             }
-            Kind::Section(keys) => {
+            ValueKind::Table(keys) => {
                 tables.push_str(&format!("[{path}]\n{}", write(keys, &path, high)));
             }
-            Kind::List(keys) => {
+            ValueKind::TableArray(keys) => {
                 tables.push_str(&format!("[[{path}]]\n{}", write(keys, &path, high)));
             }
             _ => {}
--- a/hawthornkeel_config/tests/settings_findings.rs
+++ b/hawthornkeel_config/tests/settings_findings.rs
@@ -150,7 +150,7 @@
 fn one_fault(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let shown: Vec<String> = findings(from, to)
         .iter()
-        .map(|f| format!("{}:{} {}: {}", f.line, f.column, f.key, f.wrong))
+        .map(|f| format!("{}:{} {}: {}", f.line, f.column, f.key, f.message))
         .collect();
     assert_eq!(shown, [expected]);
 }
@@ -167,13 +167,13 @@
     let text = VALID.replace("enabled = true", "enabled = false");
     let findings = check_settings("entry.toml", &text).findings;
     assert_eq!(findings.list().len(), 1);
-    assert_eq!(findings.list()[0].wrong, "the instance has no role");
+    assert_eq!(findings.list()[0].message, "the instance has no role");
 }
 
 #[test]
 fn bad_digest_is_a_fault() {
     let findings = findings("[keys]", "[keys]\nplain-secret = \"kumamoto\"");
-    assert_eq!(findings[0].wrong, "not a digest");
+    assert_eq!(findings[0].message, "not a digest");
 }
 
 #[test]
