--- a/hawthornkeel/src/forward/access.rs
+++ b/hawthornkeel/src/forward/access.rs
@@ -62,6 +62,6 @@
     AccessRequest {
         host: head.header(HOST.as_str()).unwrap_or_default(),
         path: &head.path,
-        key: head.header(AUTHORIZATION.as_str()).and_then(fields::key),
+        key: head.header(AUTHORIZATION.as_str()).and_then(fields::api_key),
     }
 }
--- a/hawthornkeel/src/forward/discovery_server.rs
+++ b/hawthornkeel/src/forward/discovery_server.rs
@@ -15,7 +15,7 @@
 use hawthornkeel_core::fleet::TargetList;
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::InstanceName;
-use hawthornkeel_platform::listing;
+use hawthornkeel_platform::target_list;
 use indexmap::IndexMap;
 
 use crate::control::directory::ControlDirectory;
@@ -285,7 +285,7 @@
 
     async fn poll_platform(&self) {
         let mut targets = Vec::new();
-        let mut path = listing::PATH.to_owned();
+        let mut path = target_list::PATH.to_owned();
         for _ in 0..MAX_PAGES {
             let deadline = Instant::now() + PAGE_TIMEOUT;
             let address = self.inner.list_address;
@@ -296,12 +296,12 @@
                 Ok(response) => return self.log_unread(&format!("status {}", response.status)),
                 Err(error) => return self.log_unread(&error.to_string()),
             };
-            let page = match listing::decode(&response.body) {
+            let page = match target_list::decode_page(&response.body) {
                 Ok(page) => page,
                 Err(error) => return self.log_unread(&error.to_string()),
             };
-            if page.unreadable > 0 {
-                tracing::debug!(event = "list-entries-skipped", count = page.unreadable);
+            if page.skipped > 0 {
+                tracing::debug!(event = "list-entries-skipped", count = page.skipped);
             }
             targets.extend(page.targets);
             match page.next {
@@ -309,7 +309,7 @@
                 None => break,
             }
         }
-        self.set_target_list(listing::join(targets));
+        self.set_target_list(target_list::merge_pages(targets));
         self.inner.list_time.set(Some(Instant::now()));
     }
 
--- a/hawthornkeel/src/forward/plan.rs
+++ b/hawthornkeel/src/forward/plan.rs
@@ -255,7 +255,7 @@
         let slack = due_ms.saturating_sub(millis(self.exclusive_time(index)));
         if input_bytes >= LOCALITY_BYTES {
             let balancer = self.context.balancer.borrow();
-            let holder = inputs.iter().find_map(|i| pieces::keeper(i))?;
+            let holder = inputs.iter().find_map(|i| pieces::target_of_result(i))?;
             let centre = balancer.centre_at(holder)?.clone();
             return Some(Locality { centre, wait_ms: slack / INPUT_WAIT_DIVISOR });
         }
--- a/hawthornkeel/src/forward/relay.rs
+++ b/hawthornkeel/src/forward/relay.rs
@@ -67,7 +67,7 @@
         self.buffer.extend_from_slice(chunk);
         let end = self.buffer.windows(2).rposition(|w| w == b"\n\n")? + 2;
         let events = self.buffer.split_to(end).freeze();
-        if let Some(last_id) = fields::last_event(&events) {
+        if let Some(last_id) = fields::last_event_id(&events) {
             self.last_id = Some(last_id.to_owned());
         }
         Some(events)
@@ -175,7 +175,8 @@
             self.progress.tried.push(failed.clone());
         }
         self.progress.possible_runs += 1;
-        let last = last.or_else(|| self.request.head.header(fields::LAST_EVENT)).map(str::to_owned);
+        let last =
+            last.or_else(|| self.request.head.header(fields::LAST_EVENT_ID)).map(str::to_owned);
         loop {
             let max_attempts = self.request.route.max_attempts;
             let allowed = self.progress.possible_runs < max_attempts
--- a/hawthornkeel/src/forward/schedulers/batches.rs
+++ b/hawthornkeel/src/forward/schedulers/batches.rs
@@ -13,7 +13,7 @@
 use hawthornkeel_core::stages::scheduler::PieceOutcome;
 use hawthornkeel_platform::fields;
 use hawthornkeel_platform::pieces;
-use hawthornkeel_platform::pieces::Done;
+use hawthornkeel_platform::pieces::PieceReply;
 
 use crate::forward::http_client::ExchangeError;
 use crate::forward::internal_request;
@@ -38,7 +38,7 @@
         let count = items.len();
         let response = self.send_batch(&worker, &items, started + timeout).await;
         let input = match &response {
-            Ok(response) if response.status == 200 => match pieces::done(&response.body) {
+            Ok(response) if response.status == 200 => match pieces::decode_run(&response.body) {
                 Ok(results) => {
                     Input::Answered(number, results.into_iter().map(piece_outcome).collect())
                 }
@@ -88,12 +88,13 @@
         let address = self.inner.context.balancer.borrow().address(worker);
         let address = address.ok_or_else(|| ExchangeError::NotSent("not listed".to_owned()))?;
         let pieces: Vec<pieces::Piece<'_>> = items.iter().map(wire_piece).collect();
-        let body = pieces::run(&pieces).map_err(|e| ExchangeError::NotSent(e.to_string()))?;
+        let body =
+            pieces::encode_run(&pieces).map_err(|e| ExchangeError::NotSent(e.to_string()))?;
         let request = InternalRequest {
             address,
             path: pieces::RUN_PATH,
             body: Some(&body),
-            fields: &[(fields::TARGET, worker.as_str())],
+            fields: &[(fields::EXPECTED_TARGET, worker.as_str())],
             deadline,
         };
         internal_request::send(&self.inner.context.http_client, &request).await
@@ -101,12 +102,12 @@
 
     pub(super) async fn free_results(self, worker: TargetName, results: Vec<Handle>) {
         let Some(address) = self.inner.context.balancer.borrow().address(&worker) else { return };
-        let Ok(body) = pieces::free(&results) else { return };
+        let Ok(body) = pieces::encode_free(&results) else { return };
         let request = InternalRequest {
             address,
             path: pieces::FREE_PATH,
             body: Some(&body),
-            fields: &[(fields::TARGET, worker.as_str())],
+            fields: &[(fields::EXPECTED_TARGET, worker.as_str())],
             deadline: Instant::now() + FREE_TIMEOUT,
         };
         if let Err(error) = internal_request::send(&self.inner.context.http_client, &request).await
@@ -121,13 +122,13 @@
     }
 }
 
-fn piece_outcome(result: Done) -> PieceOutcome {
+fn piece_outcome(result: PieceReply) -> PieceOutcome {
     match result {
-        Done::Result(handle) => PieceOutcome::Done(handle),
-        Done::Late => PieceOutcome::Late,
-        Done::Gone => PieceOutcome::Gone,
-        Done::Room => PieceOutcome::OutOfMemory,
-        Done::Failed => PieceOutcome::Failed,
+        PieceReply::Result(handle) => PieceOutcome::Done(handle),
+        PieceReply::Late => PieceOutcome::Late,
+        PieceReply::Gone => PieceOutcome::Gone,
+        PieceReply::OutOfMemory => PieceOutcome::OutOfMemory,
+        PieceReply::Failed => PieceOutcome::Failed,
     }
 }
 
