--- a/hawthornkeel_config/src/checks/document.rs
+++ b/hawthornkeel_config/src/checks/document.rs
@@ -8,42 +8,48 @@
 use hawthornkeel_core::document::PoolKind;
 use hawthornkeel_core::document::Stage;
 
-use crate::checks::unique;
+use crate::checks::report_duplicates;
 use crate::reader::Reader;
 
-/// Gives the defaults that depend on another key: a stage that may not run again has one attempt.
-pub(crate) fn complete(reader: &Reader<'_>, document: &mut Document) {
-    for (number, pipeline) in document.pipelines.iter_mut().enumerate() {
-        for (step, stage) in pipeline.stages.iter_mut().enumerate() {
-            let key = format!("{}.max_attempts", stage_path(number, step));
-            if !stage.idempotent && !reader.is_given(&key) {
+/// Sets defaults that depend on other keys: a stage that is not idempotent gets one attempt.
+pub(crate) fn set_derived_defaults(reader: &Reader<'_>, document: &mut Document) {
+    for (index, pipeline) in document.pipelines.iter_mut().enumerate() {
+        for (stage_index, stage) in pipeline.stages.iter_mut().enumerate() {
+            let key = format!("{}.max_attempts", stage_path(index, stage_index));
+            if !stage.idempotent && !reader.is_set(&key) {
                 stage.max_attempts = 1;
             }
         }
     }
 }
 
-/// Checks what the keys of the document say together.
+/// Checks conditions that involve several keys of the document.
 pub(crate) fn check(reader: &mut Reader<'_>, document: &Document) {
-    check_present(reader, document);
+    check_lists_present(reader, document);
     let workspaces = document.workspaces.iter().map(|w| w.name.as_str());
-    unique(reader, workspaces.enumerate().map(|(n, name)| (format!("workspace[{n}].name"), name)));
+    report_duplicates(
+        reader,
+        workspaces.enumerate().map(|(n, name)| (format!("workspace[{n}].name"), name)),
+    );
     let pools = document.pools.iter().map(|p| p.name.as_str());
-    unique(reader, pools.enumerate().map(|(n, name)| (format!("pool[{n}].name"), name)));
+    report_duplicates(reader, pools.enumerate().map(|(n, name)| (format!("pool[{n}].name"), name)));
     let pipelines = document.pipelines.iter().map(|p| p.name.as_str());
-    unique(reader, pipelines.enumerate().map(|(n, name)| (format!("pipeline[{n}].name"), name)));
-    for (number, pool) in document.pools.iter().enumerate() {
-        check_pool(reader, &format!("pool[{number}]"), pool);
+    report_duplicates(
+        reader,
+        pipelines.enumerate().map(|(n, name)| (format!("pipeline[{n}].name"), name)),
+    );
+    for (index, pool) in document.pools.iter().enumerate() {
+        check_pool(reader, &format!("pool[{index}]"), pool);
     }
-    for (number, pipeline) in document.pipelines.iter().enumerate() {
-        check_pipeline(reader, number, pipeline);
-        for (step, stage) in pipeline.stages.iter().enumerate() {
-            check_stage(reader, &stage_path(number, step), stage, document);
+    for (index, pipeline) in document.pipelines.iter().enumerate() {
+        check_pipeline(reader, index, pipeline);
+        for (stage_index, stage) in pipeline.stages.iter().enumerate() {
+            check_stage(reader, &stage_path(index, stage_index), stage, document);
         }
     }
 }
 
-fn check_present(reader: &mut Reader<'_>, document: &Document) {
+fn check_lists_present(reader: &mut Reader<'_>, document: &Document) {
     let lists = [
         ("workspace", document.workspaces.is_empty()),
         ("pool", document.pools.is_empty()),
@@ -57,61 +63,57 @@
 }
 
 fn check_pool(reader: &mut Reader<'_>, path: &str, pool: &Pool) {
-    if pool.cold_limit > pool.warm_limit && reader.is_sound(&format!("{path}.warm_limit")) {
+    if pool.cold_limit > pool.warm_limit && reader.is_valid(&format!("{path}.warm_limit")) {
         let message = format!("{} is above warm_limit, {}", pool.cold_limit, pool.warm_limit);
         let accepted = format!("1 to {}", pool.warm_limit);
         reader.report(&format!("{path}.cold_limit"), message, &accepted);
     }
-    if !reader.is_sound(&format!("{path}.kind")) {
+    if !reader.is_valid(&format!("{path}.kind")) {
         return;
     }
     match (pool.kind, &pool.model) {
         (PoolKind::Engine, None) => {
-            let accepted = "the name of the model that the engines serve";
+            let accepted = "name of the model that the engines serve";
             reader.report(&format!("{path}.model"), "missing".to_owned(), accepted);
         }
         (PoolKind::Service, Some(_)) => {
-            let message = "a pool of plain services has no model".to_owned();
-            reader.report(
-                &format!("{path}.model"),
-                message,
-                "a model only where kind = \"engine\"",
-            );
+            let message = "a pool of kind \"service\" has no model".to_owned();
+            reader.report(&format!("{path}.model"), message, "a model only with kind = \"engine\"");
         }
         (PoolKind::Engine, Some(_)) | (PoolKind::Service, None) => {}
     }
 }
 
-fn check_pipeline(reader: &mut Reader<'_>, number: usize, pipeline: &Pipeline) {
-    let path = format!("pipeline[{number}]");
+fn check_pipeline(reader: &mut Reader<'_>, index: usize, pipeline: &Pipeline) {
+    let path = format!("pipeline[{index}]");
     if pipeline.stages.is_empty() {
         let accepted = "at least one [[pipeline.stage]]";
         reader.report(&format!("{path}.stage"), "no stage".to_owned(), accepted);
     }
     let stages = pipeline.stages.iter().map(|s| s.name.as_str());
     let names = stages.enumerate().map(|(n, name)| (format!("{path}.stage[{n}].name"), name));
-    unique(reader, names);
-    let floors: Duration = pipeline.stages.iter().map(Stage::floor).sum();
-    if pipeline.deadline() < floors {
-        let floors = floors.as_millis();
+    report_duplicates(reader, names);
+    let total_floor: Duration = pipeline.stages.iter().map(Stage::floor).sum();
+    if pipeline.deadline() < total_floor {
+        let total_floor = total_floor.as_millis();
         let message = format!(
-            "{} ms is shorter than the floors of the stages together, {floors} ms",
+            "{} ms is less than the sum of the stages' floor_ms, {total_floor} ms",
             pipeline.deadline_ms
         );
-        reader.report(&format!("{path}.deadline_ms"), message, &format!("at least {floors}"));
+        reader.report(&format!("{path}.deadline_ms"), message, &format!("at least {total_floor}"));
     }
 }
 
 fn check_stage(reader: &mut Reader<'_>, path: &str, stage: &Stage, document: &Document) {
     if !stage.pool.as_str().is_empty() && document.pool(stage.pool.as_str()).is_none() {
         let names: Vec<&str> = document.pools.iter().map(|p| p.name.as_str()).collect();
-        let message = format!("no pool is called {:?}", stage.pool.as_str());
-        let accepted = format!("the name of a [[pool]]: {}", names.join(", "));
+        let message = format!("unknown pool {:?}", stage.pool.as_str());
+        let accepted = format!("name of a [[pool]]: {}", names.join(", "));
         reader.report(&format!("{path}.pool"), message, &accepted);
     }
     if !stage.idempotent && stage.max_attempts > 1 {
-        let message = format!("{} attempts at a stage that is not idempotent", stage.max_attempts);
-        let accepted = "1, or idempotent = true where the stage may run again";
+        let message = format!("{} attempts for a stage that is not idempotent", stage.max_attempts);
+        let accepted = "1, or idempotent = true if the stage may run more than once";
         reader.report(&format!("{path}.max_attempts"), message, accepted);
     }
 }
--- a/hawthornkeel_config/src/findings.rs
+++ b/hawthornkeel_config/src/findings.rs
@@ -1,15 +1,15 @@
-//! Findings: what is wrong in a file, where, and what would be accepted.
+//! Findings: problems in a configuration file with their position and the accepted values.
 
 use std::error::Error;
 use std::fmt;
 use std::ops::Range;
 
-/// Whether a finding stops the file from being used.
+/// Severity of a finding.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Severity {
     /// The file can't be used.
     Error,
-    /// The file can be used; part of it has no effect.
+    /// The file can be used, but part of it has no effect.
     Warning,
 }
 
@@ -22,22 +22,22 @@
     }
 }
 
-/// What is wrong at one place of a file.
+/// Problem at one position of a file.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finding {
-    /// Whether the finding stops the file from being used.
+    /// Whether the problem prevents the file from being used.
     pub severity: Severity,
     /// Name of the file.
     pub file: String,
-    /// Line, from one; zero where the file couldn't be read.
+    /// Line number, starting at 1; 0 if the file can't be read.
     pub line: usize,
-    /// Column in characters, from one; zero where the file couldn't be read.
+    /// Column in characters, starting at 1; 0 if the file can't be read.
     pub column: usize,
-    /// Path of the key, such as `pipeline[0].deadline_ms`; empty for the whole file.
+    /// Path of the key, such as `pipeline[0].deadline_ms`; empty if the whole file is affected.
     pub key: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
-    /// What would be accepted.
+    /// Description of the accepted values.
     pub accepted: String,
 }
 
@@ -51,29 +51,29 @@
     }
 }
 
-/// All findings about a file, sorted by place.
+/// All findings about a file, sorted by position.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Findings {
     list: Vec<Finding>,
 }
 
 impl Findings {
-    /// Returns the findings.
+    /// Returns the findings as a slice.
     pub fn list(&self) -> &[Finding] {
         &self.list
     }
 
-    /// Tells whether there is none.
+    /// Returns whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// Tells whether any finding stops the file from being used.
+    /// Returns whether any finding is an error.
     pub fn has_errors(&self) -> bool {
         self.list.iter().any(|f| f.severity == Severity::Error)
     }
 
-    /// Creates the findings about a file that can't be read.
+    /// Creates the finding for a file that can't be read.
     pub fn unreadable(file: &str, message: String) -> Self {
         let finding = Finding {
             severity: Severity::Error,
@@ -82,7 +82,7 @@
             column: 0,
             key: String::new(),
             message,
-            accepted: "a readable file in UTF-8".to_owned(),
+            accepted: "a readable UTF-8 file".to_owned(),
         };
         Self { list: vec![finding] }
     }
@@ -90,8 +90,8 @@
 
 impl fmt::Display for Findings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (number, finding) in self.list.iter().enumerate() {
-            if number > 0 {
+        for (index, finding) in self.list.iter().enumerate() {
+            if index > 0 {
                 f.write_str("\n")?;
             }
             finding.fmt(f)?;
@@ -102,7 +102,7 @@
 
 impl Error for Findings {}
 
-/// Collector of the findings about one file.
+/// Collects the findings about one file.
 #[derive(Debug)]
 pub(crate) struct Collector<'a> {
     file: &'a str,
@@ -115,7 +115,7 @@
         Self { file, text, findings: Findings::default() }
     }
 
-    /// Adds a finding at a range of bytes of the text.
+    /// Adds a finding at a byte range of the text.
     pub(crate) fn add(
         &mut self,
         severity: Severity,
@@ -124,7 +124,7 @@
         message: String,
         accepted: &str,
     ) {
-        let (line, column) = place(self.text, range.start);
+        let (line, column) = line_and_column(self.text, range.start);
         self.findings.list.push(Finding {
             severity,
             file: self.file.to_owned(),
@@ -136,12 +136,12 @@
         });
     }
 
-    /// Tells whether a finding about `key` was added.
+    /// Returns whether there is a finding about `key`.
     pub(crate) fn has(&self, key: &str) -> bool {
         self.findings.list.iter().any(|f| f.key == key)
     }
 
-    /// Returns the findings sorted by place.
+    /// Returns the findings, sorted by position.
     pub(crate) fn finish(self) -> Findings {
         let mut findings = self.findings;
         findings.list.sort_by(|a, b| {
@@ -151,8 +151,8 @@
     }
 }
 
-/// Returns the line and column, from one, of the byte at `offset`.
-fn place(text: &str, offset: usize) -> (usize, usize) {
+/// Returns the line and column, both starting at 1, of the byte at `offset`.
+fn line_and_column(text: &str, offset: usize) -> (usize, usize) {
     let before = text.get(..offset).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
     let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
--- a/hawthornkeel_config/src/lib.rs
+++ b/hawthornkeel_config/src/lib.rs
@@ -1,4 +1,5 @@
-//! Settings and the environment document of hawthornkeel: types, defaults, checks, findings.
+//! Configuration files of hawthornkeel: schema, defaults and validation of process settings and
+//! environment documents.
 
 #![deny(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing)]
 
--- a/hawthornkeel_config/src/schema/document.rs
+++ b/hawthornkeel_config/src/schema/document.rs
@@ -1,21 +1,21 @@
-//! Keys of the environment document.
+//! Schema of the environment document.
 
 use crate::schema::Key;
 use crate::schema::ValueKind;
 
-/// Longest deadline of a pipeline, in milliseconds.
+/// Maximum deadline of a pipeline, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// Largest request body, in bytes.
-const MAX_BODY: u64 = 64 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: u64 = 64 << 20;
 
-/// Most calls or requests at once.
-const MAX_AT_ONCE: u64 = 65_536;
+/// Maximum number of concurrent calls or requests.
+const MAX_CONCURRENCY: u64 = 65_536;
 
-/// Most attempts at a stage.
+/// Maximum number of attempts per stage.
 const MAX_ATTEMPTS: u64 = 10;
 
-/// Most tokens that an engine generates for a stage.
+/// Maximum number of tokens that an engine generates for a stage.
 const MAX_TOKENS: u64 = 131_072;
 
 /// Keys of the environment document.
@@ -31,7 +31,7 @@
     Key::required("name", ValueKind::Name),
     Key::new("weight", ValueKind::integer(1, 1_000, ""), "1"),
     Key::new("priority", ValueKind::integer(0, 255, ""), "0"),
-    Key::new("max_requests", ValueKind::integer(1, MAX_AT_ONCE, "requests"), "1024"),
+    Key::new("max_requests", ValueKind::integer(1, MAX_CONCURRENCY, "requests"), "1024"),
 ];
 
 /// Keys of a pool.
@@ -39,9 +39,9 @@
     Key::required("name", ValueKind::Name),
     Key::new("kind", ValueKind::Choice(&["service", "engine"]), "service"),
     Key::new("model", ValueKind::Text, ""),
-    Key::new("warm_limit", ValueKind::integer(1, MAX_AT_ONCE, "calls"), "16"),
-    Key::new("cold_limit", ValueKind::integer(1, MAX_AT_ONCE, "calls"), "1"),
-    Key::new("warm_after", ValueKind::integer(1, MAX_AT_ONCE, "answers"), "16"),
+    Key::new("warm_limit", ValueKind::integer(1, MAX_CONCURRENCY, "calls"), "16"),
+    Key::new("cold_limit", ValueKind::integer(1, MAX_CONCURRENCY, "calls"), "1"),
+    Key::new("warm_after", ValueKind::integer(1, MAX_CONCURRENCY, "answers"), "16"),
     Key::new("fencing", ValueKind::Choice(&["ignored", "checked"]), "ignored"),
 ];
 
@@ -49,7 +49,7 @@
 const PIPELINE: &[Key] = &[
     Key::required("name", ValueKind::Name),
     Key::new("deadline_ms", ValueKind::integer(1, MAX_DEADLINE_MS, "milliseconds"), "8000"),
-    Key::new("max_body", ValueKind::integer(1, MAX_BODY, "bytes"), "1048576"),
+    Key::new("max_body", ValueKind::integer(1, MAX_BODY_BYTES, "bytes"), "1048576"),
     Key::new("stage", ValueKind::TableArray(STAGE), ""),
 ];
 
--- a/hawthornkeel_config/src/schema/mod.rs
+++ b/hawthornkeel_config/src/schema/mod.rs
@@ -1,4 +1,4 @@
-//! Keys that the files may hold, with kind, unit, default and bounds.
+//! Schema of the configuration files: keys with their kind of value, unit, default and bounds.
 
 pub mod document;
 pub mod settings;
@@ -12,81 +12,81 @@
     pub name: &'static str,
     /// Kind of value.
     pub kind: ValueKind,
-    /// Default as written in the file; empty where there is none.
+    /// Default as written in the file; empty if there is none.
     pub default: &'static str,
-    /// Whether the key must be given.
+    /// Whether the key must be set.
     pub required: bool,
 }
 
-/// Kind of value that a key takes.
+/// Kind of value that a key accepts.
 #[derive(Clone, Copy, Debug)]
 pub enum ValueKind {
-    /// Either `true` or `false`.
+    /// `true` or `false`.
     Boolean,
-    /// Whole number of a unit, between two bounds.
+    /// Integer within bounds.
     Integer(Bounds),
-    /// Text that is not empty.
+    /// Non-empty string.
     Text,
     /// Name of up to [`MAX_NAME_LENGTH`] letters, digits, hyphens, underscores and dots.
     Name,
-    /// Name of an instance, as a certificate can carry it.
+    /// Name of an instance: a DNS label, so that it can be a host name in a certificate.
     HostName,
-    /// List of names of instances.
+    /// List of instance names.
     HostNames,
     /// Path of an HTTP request.
     UrlPath,
     /// Path of a file or folder.
     FilePath,
-    /// IP address with a port.
+    /// IP address and port.
     Address,
-    /// List of IP addresses with ports.
+    /// List of IP addresses and ports.
     Addresses,
-    /// Number that need not be whole, zero or higher.
+    /// Integer or floating-point number of at least 0.
     Float,
     /// One of several words.
     Choice(&'static [&'static str]),
-    /// Table with keys of its own.
+    /// Table with its own keys.
     Table(&'static [Key]),
-    /// List of tables with keys of their own.
+    /// List of tables with the same keys.
     TableArray(&'static [Key]),
-    /// Table from SHA-256 digests to names.
+    /// Table that maps SHA-256 digests to names.
     Digests,
 }
 
-/// Bounds of a number.
+/// Bounds of an integer.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Lowest number accepted.
+    /// Minimum, inclusive.
     pub min: u64,
-    /// Highest number accepted.
+    /// Maximum, inclusive.
     pub max: u64,
-    /// Unit; empty for a count.
+    /// Unit; empty for a plain number.
     pub unit: &'static str,
 }
 
-/// Longest name, in characters.
+/// Maximum length of a name, in characters.
 pub const MAX_NAME_LENGTH: usize = 64;
 
-/// Longest name of an instance, in characters: that of a DNS label.
+/// Maximum length of an instance name, in characters: that of a DNS label.
 pub const MAX_HOST_NAME_LENGTH: usize = 63;
 
 /// Length of a SHA-256 digest in hexadecimal, in characters.
 pub const DIGEST_LENGTH: usize = 64;
 
 impl Key {
-    /// Creates a key that may be left out.
+    /// Creates an optional key.
     pub const fn new(name: &'static str, kind: ValueKind, default: &'static str) -> Self {
         Self { name, kind, default, required: false }
     }
 
-    /// Creates a key that must be given.
+    /// Creates a required key.
     pub const fn required(name: &'static str, kind: ValueKind) -> Self {
         Self { name, kind, default: "", required: true }
     }
 }
 
 impl ValueKind {
-    /// Creates a number between `min` and `max` of `unit`.
+    /// Creates the kind of an integer from `min` to `max`, in `unit`.
     pub const fn integer(min: u64, max: u64, unit: &'static str) -> Self {
         Self::Integer(Bounds { min, max, unit })
     }
@@ -97,7 +97,7 @@
         match self {
             Self::Boolean => f.write_str("true or false"),
             Self::Integer(bounds) => bounds.fmt(f),
-            Self::Text => f.write_str("text that is not empty"),
+            Self::Text => f.write_str("a non-empty string"),
             Self::Name => write!(
                 f,
                 "1 to {MAX_NAME_LENGTH} letters, digits, '-', '_' or '.', the first a letter or \
@@ -108,16 +108,16 @@
                 "1 to {MAX_HOST_NAME_LENGTH} lower-case letters, digits or '-', the first and \
                  last not '-'"
             ),
-            Self::HostNames => f.write_str("a list of names of instances"),
-            Self::UrlPath => f.write_str("a path that begins with '/' and holds no blanks"),
-            Self::FilePath => f.write_str("the path of a file or folder"),
-            Self::Address => f.write_str("an IP address with a port, such as \"127.0.0.1:8080\""),
-            Self::Addresses => f.write_str("a list of IP addresses with ports"),
-            Self::Float => f.write_str("a number from 0 on"),
+            Self::HostNames => f.write_str("a list of instance names"),
+            Self::UrlPath => f.write_str("a path that starts with '/' and contains no spaces"),
+            Self::FilePath => f.write_str("path of a file or folder"),
+            Self::Address => f.write_str("an IP address and port, such as \"127.0.0.1:8080\""),
+            Self::Addresses => f.write_str("a list of IP addresses and ports"),
+            Self::Float => f.write_str("a number of at least 0"),
             Self::Choice(words) => write_choice(f, words),
             Self::Table(_) => f.write_str("a table"),
             Self::TableArray(_) => f.write_str("a list of tables"),
-            Self::Digests => f.write_str("a table from SHA-256 in hexadecimal to names"),
+            Self::Digests => f.write_str("a table of names by SHA-256 digest in hexadecimal"),
         }
     }
 }
@@ -130,21 +130,21 @@
 }
 
 fn write_choice(f: &mut fmt::Formatter<'_>, words: &[&str]) -> fmt::Result {
-    for (number, word) in words.iter().enumerate() {
-        let separator = if number > 0 { " or " } else { "" };
+    for (index, word) in words.iter().enumerate() {
+        let separator = if index > 0 { " or " } else { "" };
         write!(f, "{separator}\"{word}\"")?;
     }
     Ok(())
 }
 
-/// Tells whether `text` is a name.
+/// Returns whether `text` is a valid name.
 pub fn is_name(text: &str) -> bool {
     text.len() <= MAX_NAME_LENGTH
         && text.starts_with(|c: char| c.is_ascii_alphanumeric())
         && text.chars().all(|c| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.'))
 }
 
-/// Tells whether `text` is a name of an instance.
+/// Returns whether `text` is a valid instance name.
 pub fn is_host_name(text: &str) -> bool {
     !text.is_empty()
         && text.len() <= MAX_HOST_NAME_LENGTH
@@ -153,12 +153,12 @@
         && text.chars().all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-')
 }
 
-/// Tells whether `text` is a path of an HTTP request.
+/// Returns whether `text` is a valid path of an HTTP request.
 pub fn is_url_path(text: &str) -> bool {
     text.starts_with('/') && text.chars().all(|c| c.is_ascii_graphic())
 }
 
-/// Tells whether `text` is a SHA-256 digest in lower-case hexadecimal.
+/// Returns whether `text` is a SHA-256 digest in lower-case hexadecimal.
 pub fn is_digest(text: &str) -> bool {
     text.len() == DIGEST_LENGTH && text.chars().all(|c| matches!(c, '0'..='9' | 'a'..='f'))
 }
--- a/hawthornkeel_config/src/schema/settings.rs
+++ b/hawthornkeel_config/src/schema/settings.rs
@@ -1,10 +1,10 @@
-//! Keys of the settings of one process.
+//! Schema of the settings of one process.
 
 use crate::schema::Key;
 use crate::schema::ValueKind;
 
-/// Longest time of a setting, in milliseconds.
-const MAX_TIME_MS: u64 = 600_000;
+/// Maximum of settings that are durations, in milliseconds.
+const MAX_DURATION_MS: u64 = 600_000;
 
 /// Keys of the settings.
 pub const SETTINGS_KEYS: &[Key] = &[
@@ -18,7 +18,7 @@
     Key::new("log", ValueKind::Table(LOG), ""),
 ];
 
-/// Keys of the instance.
+/// Keys that identify the instance.
 const INSTANCE: &[Key] = &[
     Key::required("name", ValueKind::HostName),
     Key::required("data_centre", ValueKind::Name),
@@ -31,10 +31,10 @@
     Key::new("listen", ValueKind::Address, ""),
     Key::new("max_head", ValueKind::integer(1_024, 1 << 20, "bytes"), "16384"),
     Key::new("max_connections", ValueKind::integer(1, 65_536, "connections"), "4096"),
-    Key::new("receive_ms", ValueKind::integer(1, MAX_TIME_MS, "milliseconds"), "10000"),
-    Key::new("grant_ms", ValueKind::integer(1, MAX_TIME_MS, "milliseconds"), "9000"),
-    Key::new("drain_ms", ValueKind::integer(0, MAX_TIME_MS, "milliseconds"), "5000"),
-    Key::new("stop_ms", ValueKind::integer(1, MAX_TIME_MS, "milliseconds"), "30000"),
+    Key::new("receive_ms", ValueKind::integer(1, MAX_DURATION_MS, "milliseconds"), "10000"),
+    Key::new("grant_ms", ValueKind::integer(1, MAX_DURATION_MS, "milliseconds"), "9000"),
+    Key::new("drain_ms", ValueKind::integer(0, MAX_DURATION_MS, "milliseconds"), "5000"),
+    Key::new("stop_ms", ValueKind::integer(1, MAX_DURATION_MS, "milliseconds"), "30000"),
 ];
 
 /// Keys of the control role.
@@ -45,8 +45,8 @@
     Key::new("operators", ValueKind::Address, ""),
     Key::new("found", ValueKind::Boolean, "true"),
     Key::new("lost_disks", ValueKind::integer(0, 10, "disks"), "1"),
-    Key::new("election_ms", ValueKind::integer(50, MAX_TIME_MS, "milliseconds"), "600"),
-    Key::new("heartbeat_ms", ValueKind::integer(10, MAX_TIME_MS, "milliseconds"), "100"),
+    Key::new("election_ms", ValueKind::integer(50, MAX_DURATION_MS, "milliseconds"), "600"),
+    Key::new("heartbeat_ms", ValueKind::integer(10, MAX_DURATION_MS, "milliseconds"), "100"),
     Key::new("snapshot_entries", ValueKind::integer(100, 10_000_000, "entries"), "20000"),
 ];
 
@@ -61,7 +61,7 @@
     Key::new("peer", ValueKind::TableArray(PEER), ""),
 ];
 
-/// Keys of another instance.
+/// Keys of a peer.
 const PEER: &[Key] = &[
     Key::required("name", ValueKind::HostName),
     Key::required("address", ValueKind::Address),
@@ -70,12 +70,12 @@
     Key::new("entry", ValueKind::Boolean, "true"),
 ];
 
-/// Keys of the forwarding of routes.
+/// Keys of route forwarding.
 const FORWARD: &[Key] = &[
     Key::new("listen", ValueKind::Address, ""),
     Key::new("ready", ValueKind::Address, ""),
     Key::new("max_connections", ValueKind::integer(1, 65_536, "connections"), "1500"),
-    Key::new("confirm_ms", ValueKind::integer(100, MAX_TIME_MS, "milliseconds"), "5000"),
+    Key::new("confirm_ms", ValueKind::integer(100, MAX_DURATION_MS, "milliseconds"), "5000"),
     Key::new("grace_s", ValueKind::Float, "30.0"),
     Key::new("retry_ratio", ValueKind::Float, "0.2"),
     Key::new("retry_slack", ValueKind::Float, "10.0"),
@@ -83,11 +83,11 @@
     Key::new("memory_mb", ValueKind::integer(16, 1_000_000, "megabytes"), "256"),
 ];
 
-/// Keys of the platform's list.
+/// Keys of the platform's list of instances.
 const PLATFORM: &[Key] = &[
     Key::new("address", ValueKind::Address, ""),
     Key::new("path", ValueKind::UrlPath, "/instances"),
-    Key::new("poll_ms", ValueKind::integer(10, MAX_TIME_MS, "milliseconds"), "1000"),
+    Key::new("poll_ms", ValueKind::integer(10, MAX_DURATION_MS, "milliseconds"), "1000"),
 ];
 
 /// Keys of log output.
--- a/hawthornkeel_config/src/settings.rs
+++ b/hawthornkeel_config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one process, one struct a section.
+//! Settings of one process, with one struct per section.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,25 +14,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Settings {
-    /// Who this instance is.
+    /// Identity of this instance.
     pub instance: Instance,
-    /// Entry role: serves callers.
+    /// Entry role, which serves callers.
     pub entry: Entry,
-    /// Control role: keeps the replicated state.
+    /// Control role, which keeps the replicated state.
     pub control: Control,
     /// Connections between instances.
     pub peers: Peers,
-    /// Forwarding of routes, for entries behind a platform's balancer.
+    /// Route forwarding, for entries behind a platform's load balancer.
     pub forward: Forward,
     /// The platform's list of instances.
     pub platform: Platform,
-    /// Workspace of each caller's key, by the key's SHA-256 in hexadecimal.
+    /// Workspaces by the SHA-256 digest, in hexadecimal, of a caller's key.
     pub keys: IndexMap<String, WorkspaceName>,
     /// Log output.
     pub log: Log,
 }
 
-/// Who this instance is.
+/// Identity of this instance.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Instance {
@@ -40,31 +40,32 @@
     pub name: InstanceName,
     /// Data centre that the instance runs in.
     pub data_centre: CentreName,
-    /// Address of the operators' and metrics endpoint.
+    /// Address of the endpoint for operators and metrics.
     pub admin: Option<SocketAddr>,
 }
 
-/// Entry role: serves callers.
+/// Settings of the entry role, which serves callers.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Entry {
     /// Whether the instance has this role.
     pub enabled: bool,
-    /// Address that callers reach through the balancer.
+    /// Address for callers' connections, reached through the load balancer.
     pub listen: Option<SocketAddr>,
-    /// Request head, in bytes at most.
+    /// Maximum size of a request head, in bytes.
     pub max_head: usize,
-    /// Open caller connections, at most.
+    /// Maximum number of open connections from callers.
     pub max_connections: usize,
-    /// Time for a caller to send a whole request, in milliseconds.
+    /// Timeout for receiving a complete request from a caller, in milliseconds.
     pub receive_ms: u64,
-    /// Longest call to a cold target, in milliseconds.
+    /// Maximum duration of a call to a cold target, in milliseconds.
     ///
-    /// A new issuer of grants waits this long, so that no call of an earlier one still runs.
+    /// A new issuer of grants waits this long, so that no call granted by its predecessor still
+    /// runs.
     pub grant_ms: u64,
-    /// Time that a planned stop waits for the balancer to notice, in milliseconds.
+    /// Time that a planned stop waits for the load balancer to react, in milliseconds.
     pub drain_ms: u64,
-    /// Time after which a planned stop ends what still runs, in milliseconds.
+    /// Time after which a planned stop aborts open requests, in milliseconds.
     pub stop_ms: u64,
 }
 
@@ -83,7 +84,7 @@
     }
 }
 
-/// Control role: keeps the replicated state.
+/// Settings of the control role, which keeps the replicated state.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Control {
@@ -93,17 +94,19 @@
     pub data: PathBuf,
     /// Names of the instances that form the first group of voters.
     pub founders: Vec<InstanceName>,
-    /// Address for the platform's operators, over HTTP.
+    /// Address of the HTTP endpoint for the platform's operators.
     pub operators: Option<SocketAddr>,
-    /// Whether the founders may form the first group: not where a disk may have been lost.
+    /// Whether the founders may form the first group; `false` if a disk may have been lost, since a
+    /// group may exist already.
     pub found: bool,
-    /// Disks that may be lost at once, where trust is by addresses; decides the number of voters.
+    /// Number of disks that may be lost at once; determines the number of voters with
+    /// [`Trust::Addresses`].
     pub lost_disks: usize,
-    /// Shortest time without a leader before an election, in milliseconds.
+    /// Minimum election timeout, in milliseconds.
     pub election_ms: u64,
-    /// Time between the leader's heartbeats, in milliseconds.
+    /// Interval between the leader's heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Log entries between snapshots.
+    /// Number of log entries between snapshots.
     pub snapshot_entries: u64,
 }
 
@@ -127,45 +130,45 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Peers {
-    /// Address of this instance for its peers, over UDP.
+    /// UDP address of this instance for its peers.
     pub listen: Option<SocketAddr>,
-    /// What proves who a peer is.
+    /// How peers are authenticated.
     pub trust: Trust,
-    /// Addresses of control instances to begin with, where trust is by addresses.
+    /// Addresses of control instances to contact first, with [`Trust::Addresses`].
     ///
-    /// Only the IP addresses count: all instances listen for peers on the same port.
+    /// Only the IP addresses are used: all instances listen for peers on the same port.
     pub seeds: Vec<SocketAddr>,
     /// File of this instance's certificate, in PEM.
     pub certificate: Option<PathBuf>,
     /// File of this instance's private key, in PEM.
     pub key: Option<PathBuf>,
-    /// File of the certificates that sign peers' certificates, in PEM.
+    /// File of the certificate authorities that sign peers' certificates, in PEM.
     pub authority: Option<PathBuf>,
-    /// The other instances.
+    /// Other instances.
     #[serde(rename = "peer")]
     pub peers: Vec<Peer>,
 }
 
-/// What proves who a peer is.
+/// How peers are authenticated.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Trust {
-    /// Its certificate, which carries its name.
+    /// By certificate, which contains the peer's name.
     #[default]
     Certificates,
-    /// Its IP address, which is its name: the network is trusted not to forge addresses.
+    /// By IP address, which is also the peer's name; the network must not allow address spoofing.
     Addresses,
 }
 
 impl Peers {
-    /// Returns the name of the instance at `address` where trust is by addresses.
+    /// Returns the name of the instance at `address` with [`Trust::Addresses`].
     pub fn name_from_address(address: SocketAddr) -> InstanceName {
         InstanceName::new(&address.ip().to_string())
     }
 }
 
 impl Settings {
-    /// Returns the name that peers know this instance by.
+    /// Returns the name of this instance among its peers.
     pub fn peer_name(&self) -> InstanceName {
         match (self.peers.trust, self.peers.listen) {
             (Trust::Addresses, Some(listen)) => Peers::name_from_address(listen),
@@ -184,27 +187,28 @@
     }
 }
 
-/// Forwarding of routes, for entries behind a platform's balancer.
+/// Settings of route forwarding, for entries behind a platform's load balancer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Forward {
-    /// Address that the balancer forwards callers' connections to; absent where none are served.
+    /// Address for callers' connections from the load balancer; `None` if routes are not served.
     pub listen: Option<SocketAddr>,
-    /// Address of the balancer's readiness checks.
+    /// Address for the load balancer's readiness checks.
     pub ready: Option<SocketAddr>,
-    /// Open caller connections, at most.
+    /// Maximum number of open connections from callers.
     pub max_connections: usize,
-    /// Longest time that keys of a document not confirmed by control are accepted, in milliseconds.
+    /// Maximum time for which keys are accepted while the control instances do not confirm the
+    /// document, in milliseconds.
     pub confirm_ms: u64,
-    /// Time from the request to stop until the process is killed, in seconds.
+    /// Grace period between the request to stop and the kill of the process, in seconds.
     pub grace_s: f64,
-    /// Repeats that all entries may send to a pool, as a share of its requests.
+    /// Retries that all entries together may send to a pool, as a ratio of its requests.
     pub retry_ratio: f64,
-    /// Repeats that all entries may send to a pool beyond that share in each window.
+    /// Retries that all entries together may send to a pool in each window beyond that ratio.
     pub retry_slack: f64,
-    /// Window over which repeats are counted, in seconds.
+    /// Window in which retries are counted, in seconds.
     pub retry_window_s: f64,
-    /// Memory of the process, in megabytes.
+    /// Memory available to the process, in megabytes.
     pub memory_mb: u64,
 }
 
@@ -224,12 +228,12 @@
     }
 }
 
-/// Another instance.
+/// Peer: another instance.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Name, which its certificate carries too.
+    /// Name, also contained in its certificate.
     pub name: InstanceName,
-    /// Address over UDP.
+    /// UDP address.
     pub address: SocketAddr,
     /// Data centre that it runs in.
     pub data_centre: CentreName,
@@ -241,20 +245,20 @@
     pub entry: bool,
 }
 
-/// Returns the default of [`Peer::entry`]: today every instance is an entry.
+/// Returns the default of [`Peer::entry`]: every instance has the entry role.
 fn serves_callers() -> bool {
     true
 }
 
-/// The platform's list of instances.
+/// Settings of the platform's list of instances.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Platform {
-    /// Address of the list's HTTP endpoint.
+    /// Address of the HTTP endpoint of the list.
     pub address: Option<SocketAddr>,
     /// Path of the list.
     pub path: String,
-    /// Time between polls, in milliseconds.
+    /// Interval between polls, in milliseconds.
     pub poll_ms: u64,
 }
 
@@ -264,7 +268,7 @@
     }
 }
 
-/// Log output.
+/// Settings of log output.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Log {
--- a/hawthornkeel_config/tests/document_findings.rs
+++ b/hawthornkeel_config/tests/document_findings.rs
@@ -1,4 +1,4 @@
-//! Findings about the environment document: place, key and what would be accepted.
+//! Findings about environment documents: position, key and accepted values.
 
 use hawthornkeel_config::Finding;
 use hawthornkeel_config::check_document;
@@ -41,20 +41,20 @@
 
 /// Returns the findings about the valid document with one part replaced.
 fn findings(from: &str, to: &str) -> Vec<Finding> {
-    assert_eq!(VALID.matches(from).count(), 1, "{from:?} must stand once");
+    assert_eq!(VALID.matches(from).count(), 1, "{from:?} must occur once");
     check_document("env.toml", &VALID.replace(from, to)).findings.list().to_vec()
 }
 
-/// Returns the place, key and fault of each finding.
-fn shown(findings: &[Finding]) -> Vec<String> {
+/// Formats the position, key and message of each finding.
+fn format_findings(findings: &[Finding]) -> Vec<String> {
     let line = |f: &Finding| format!("{}:{} {}: {}", f.line, f.column, f.key, f.message);
     findings.iter().map(line).collect()
 }
 
 #[test]
-fn valid_document_has_none() {
+fn valid_document_passes() {
     let document = parse_document("env.toml", VALID).expect("the document is valid");
-    assert_eq!(document.pipelines[0].stages[1].max_attempts, 1, "it may not run again");
+    assert_eq!(document.pipelines[0].stages[1].max_attempts, 1, "a stage that is not idempotent");
     assert_eq!(document.pipelines[0].stages[0].max_attempts, 3);
     assert_eq!(document.pools[1].model.as_ref().map(|m| m.as_str()), Some("draft-7b"));
     assert_eq!(document.workspaces[1].weight, 4);
@@ -67,8 +67,8 @@
     "[pol]\n[[pool]]\nname = \"readers\"",
     "10:2 pol: unknown key"
 )]
-#[case::wrong_type("weight = 4", "weight = \"4\"", "8:10 workspace[1].weight: a string")]
-#[case::float("weight = 4", "weight = 4.5", "8:10 workspace[1].weight: a float")]
+#[case::wrong_type("weight = 4", "weight = \"4\"", "8:10 workspace[1].weight: found a string")]
+#[case::float("weight = 4", "weight = 4.5", "8:10 workspace[1].weight: found a float")]
 #[case::zero_weight("weight = 4", "weight = 0", "8:10 workspace[1].weight: 0 is not accepted")]
 #[case::negative("weight = 4", "weight = -4", "8:10 workspace[1].weight: -4 is not accepted")]
 #[case::zero_limit(
@@ -81,7 +81,7 @@
     "cold_limit = 9",
     "18:14 pool[1].cold_limit: 9 is above warm_limit, 8"
 )]
-#[case::other_word(
+#[case::unknown_kind(
     "kind = \"engine\"",
     "kind = \"motor\"",
     "15:8 pool[1].kind: \"motor\" is not accepted"
@@ -90,22 +90,22 @@
 #[case::service_model(
     "kind = \"engine\"\n",
     "",
-    "15:9 pool[1].model: a pool of plain services has no model"
+    "15:9 pool[1].model: a pool of kind \"service\" has no model"
 )]
 #[case::duplicate_workspace(
     "name = \"kagoshima\"",
     "name = \"kumamoto\"",
-    "7:8 workspace[1].name: the name \"kumamoto\" stands twice"
+    "7:8 workspace[1].name: duplicate name \"kumamoto\""
 )]
 #[case::duplicate_stage(
     "name = \"sign\"",
     "name = \"read\"",
-    "30:8 pipeline[0].stage[1].name: the name \"read\" stands twice"
+    "30:8 pipeline[0].stage[1].name: duplicate name \"read\""
 )]
 #[case::duplicate_pool(
     "name = \"engines\"",
     "name = \"readers\"",
-    "14:8 pool[1].name: the name \"readers\" stands twice"
+    "14:8 pool[1].name: duplicate name \"readers\""
 )]
 #[case::bad_name(
     "name = \"kagoshima\"",
@@ -113,37 +113,37 @@
     "7:8 workspace[1].name: \"kago shima\" is not accepted"
 )]
 #[case::no_name("name = \"sign\"\n", "", "29:1 pipeline[0].stage[1].name: missing")]
-#[case::absent_pool(
+#[case::unknown_pool(
     "pool = \"readers\"\nidempotent",
     "pool = \"reader\"\nidempotent",
-    "31:8 pipeline[0].stage[1].pool: no pool is called \"reader\""
+    "31:8 pipeline[0].stage[1].pool: unknown pool \"reader\""
 )]
 #[case::short_deadline(
     "deadline_ms = 8000",
     "deadline_ms = 100",
-    "22:15 pipeline[0].deadline_ms: 100 ms is shorter than the floors of the stages together, 101 ms"
+    "22:15 pipeline[0].deadline_ms: 100 ms is less than the sum of the stages' floor_ms, 101 ms"
 )]
-#[case::repeated(
+#[case::too_many_attempts(
     "idempotent = false",
     "idempotent = false\nmax_attempts = 2",
-    "33:16 pipeline[0].stage[1].max_attempts: 2 attempts at a stage that is not idempotent"
+    "33:16 pipeline[0].stage[1].max_attempts: 2 attempts for a stage that is not idempotent"
 )]
 #[case::bad_path(
     "idempotent = false",
     "idempotent = false\npath = \"sign\"",
     "33:8 pipeline[0].stage[1].path: \"sign\" is not accepted"
 )]
-#[case::address(
+#[case::target_address(
     "name = \"readers\"",
     "name = \"readers\"\naddress = \"127.0.0.1:80\"",
     "12:1 pool[0].address: unknown key"
 )]
-fn one_fault(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
-    assert_eq!(shown(&findings(from, to)), [expected]);
+fn reports_finding(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
+    assert_eq!(format_findings(&findings(from, to)), [expected]);
 }
 
 #[test]
-fn all_faults_are_reported_in_order() {
+fn findings_are_sorted() {
     let text = VALID
         .replace("weight = 4", "weight = 0")
         .replace("cold_limit = 2", "cold_limit = 9\nspeed = 1")
@@ -153,15 +153,14 @@
         "8:10 workspace[1].weight: 0 is not accepted",
         "18:14 pool[1].cold_limit: 9 is above warm_limit, 8",
         "19:1 pool[1].speed: unknown key",
-        "23:15 pipeline[0].deadline_ms: 8000 ms is shorter than the floors of the stages together, \
-         9001 ms",
-        "27:8 pipeline[0].stage[0].pool: an integer",
+        "23:15 pipeline[0].deadline_ms: 8000 ms is less than the sum of the stages' floor_ms, 9001 ms",
+        "27:8 pipeline[0].stage[0].pool: found an integer",
     ];
-    assert_eq!(shown(findings.list()), expected);
+    assert_eq!(format_findings(findings.list()), expected);
 }
 
 #[test]
-fn finding_is_one_line() {
+fn finding_format() {
     let findings = findings("weight = 4", "weight = 0");
     let expected = "env.toml:8:10: error: workspace[1].weight: 0 is not accepted; accepted: a \
                     whole number from 1 to 1000";
@@ -180,27 +179,27 @@
 #[case::deadline("deadline_ms = 8000", "deadline_ms = 101")]
 #[case::cold_limit("cold_limit = 2", "cold_limit = 8")]
 #[case::one_attempt("idempotent = false", "idempotent = false\nmax_attempts = 1")]
-fn limit_itself_is_accepted(#[case] from: &str, #[case] to: &str) {
-    assert_eq!(shown(&findings(from, to)), Vec::<String>::new());
+fn bounds_are_inclusive(#[case] from: &str, #[case] to: &str) {
+    assert_eq!(format_findings(&findings(from, to)), Vec::<String>::new());
 }
 
 #[test]
-fn one_fault_draws_no_other() {
+fn no_follow_up_findings() {
     let findings = findings("warm_limit = 8\ncold_limit = 2", "warm_limit = 0\ncold_limit = 99");
-    assert_eq!(shown(&findings), ["17:14 pool[1].warm_limit: 0 is not accepted"]);
+    assert_eq!(format_findings(&findings), ["17:14 pool[1].warm_limit: 0 is not accepted"]);
 }
 
 #[rstest]
 #[case::unclosed("name = \"kagoshima\"", "name = \"kagoshima")]
-#[case::key_twice("weight = 4", "weight = 4\nweight = 5")]
-fn syntax_fault_has_a_place(#[case] from: &str, #[case] to: &str) {
+#[case::duplicate_key("weight = 4", "weight = 4\nweight = 5")]
+fn syntax_error_position(#[case] from: &str, #[case] to: &str) {
     let findings = findings(from, to);
     assert!(!findings.is_empty());
     assert!(findings.iter().all(|f| f.line >= 7 && f.line <= 9 && f.accepted == "TOML"));
 }
 
 #[test]
-fn empty_document_names_what_is_missing() {
+fn empty_document_findings() {
     let findings = check_document("env.toml", "").findings;
     let keys: Vec<&str> = findings.list().iter().map(|f| f.key.as_str()).collect();
     assert_eq!(keys, ["pipeline", "pool", "workspace"]);
--- a/hawthornkeel_config/tests/documented_keys.rs
+++ b/hawthornkeel_config/tests/documented_keys.rs
@@ -1,4 +1,4 @@
-//! Every key stands in docs/CONFIGURATION.md with its unit, default and bounds.
+//! docs/CONFIGURATION.md documents every key with its unit, default and bounds.
 
 use std::fs;
 
@@ -12,7 +12,7 @@
 
 const PAGE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../docs/CONFIGURATION.md");
 
-/// Returns the start of the row of each key, up to the meaning.
+/// Returns the start of each key's table row, up to the meaning.
 fn rows(keys: &[Key], path: &str) -> Vec<String> {
     let mut rows = Vec::new();
     for key in keys {
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn page_has_every_key_and_no_other() {
-    let page = fs::read_to_string(PAGE).expect("the page is there");
+fn all_keys_are_documented() {
+    let page = fs::read_to_string(PAGE).expect("docs/CONFIGURATION.md is readable");
     let expected = [rows(DOCUMENT_KEYS, ""), rows(SETTINGS_KEYS, "")].concat();
     for row in &expected {
         let found: Vec<&str> = page.lines().filter(|line| line.starts_with(row)).collect();
@@ -47,13 +47,13 @@
         let meaning = found[0].trim_end_matches(" |").rsplit(" | ").next().unwrap_or_default();
         assert!(meaning.ends_with('.'), "no meaning in {:?}", found[0]);
     }
-    let shown = page.lines().filter(|line| line.starts_with("| `")).count();
-    assert_eq!(shown, expected.len(), "rows of keys on the page");
+    let documented = page.lines().filter(|line| line.starts_with("| `")).count();
+    assert_eq!(documented, expected.len(), "rows of keys on the page");
 }
 
 #[test]
-fn page_has_the_fixed_limits() {
-    let page = fs::read_to_string(PAGE).expect("the page is there");
+fn limits_are_documented() {
+    let page = fs::read_to_string(PAGE).expect("docs/CONFIGURATION.md is readable");
     let hours = |duration: std::time::Duration| duration.as_secs() / 3600;
     let window = hours(claims::CLAIM_WINDOW);
     let limits = [
--- a/hawthornkeel_config/tests/schema_keys.rs
+++ b/hawthornkeel_config/tests/schema_keys.rs
@@ -1,4 +1,4 @@
-//! The keys that are accepted are those of the types, with the same defaults.
+//! The schema has the same keys and defaults as the types.
 
 use hawthornkeel_config::check_document;
 use hawthornkeel_config::check_settings;
@@ -19,24 +19,26 @@
 use toml::Table;
 use toml::Value;
 
-/// Compares the keys of `table` with those of the schema, and the defaults of both.
-fn compare(keys: &[Key], table: &Table, path: &str) {
-    let mut known: Vec<&str> = keys.iter().map(|k| k.name).collect();
-    known.sort_unstable();
-    let mut typed: Vec<&str> = table.keys().map(String::as_str).collect();
-    typed.sort_unstable();
-    assert_eq!(known, typed, "keys of {path:?}");
+/// Asserts that `table` has the keys and defaults of the schema.
+fn assert_schema_matches(keys: &[Key], table: &Table, path: &str) {
+    let mut expected: Vec<&str> = keys.iter().map(|k| k.name).collect();
+    expected.sort_unstable();
+    let mut actual: Vec<&str> = table.keys().map(String::as_str).collect();
+    actual.sort_unstable();
+    assert_eq!(expected, actual, "keys of {path:?}");
     for key in keys {
         let path = format!("{path}.{}", key.name);
         match (&key.kind, &table[key.name]) {
-            (ValueKind::Table(keys), Value::Table(table)) => compare(keys, table, &path),
+            (ValueKind::Table(keys), Value::Table(table)) => {
+                assert_schema_matches(keys, table, &path)
+            }
             (ValueKind::TableArray(keys), Value::Array(list)) => {
-                compare(keys, list[0].as_table().expect("a list of tables"), &path);
+                assert_schema_matches(keys, list[0].as_table().expect("a list of tables"), &path);
             }
             (ValueKind::Digests, _) => {}
             (_, value) if !key.default.is_empty() => {
-                let shown = value.as_str().map_or_else(|| value.to_string(), str::to_owned);
-                assert_eq!(key.default, shown, "default of {path}");
+                let default = value.as_str().map_or_else(|| value.to_string(), str::to_owned);
+                assert_eq!(key.default, default, "default of {path}");
             }
             _ => {}
         }
@@ -51,7 +53,11 @@
         pipelines: vec![Pipeline { stages: vec![Stage::default()], ..Pipeline::default() }],
         ..Document::default()
     };
-    compare(DOCUMENT_KEYS, &Table::try_from(document).expect("a document is a table"), "");
+    assert_schema_matches(
+        DOCUMENT_KEYS,
+        &Table::try_from(document).expect("a document is a table"),
+        "",
+    );
 }
 
 #[test]
@@ -75,14 +81,18 @@
         control: false,
         entry: true,
     });
-    compare(SETTINGS_KEYS, &Table::try_from(settings).expect("settings are a table"), "");
+    assert_schema_matches(
+        SETTINGS_KEYS,
+        &Table::try_from(settings).expect("settings are a table"),
+        "",
+    );
 }
 
 #[test]
-fn lowest_and_highest_numbers_are_read() {
+fn bounds_can_be_parsed() {
     for (keys, path) in [(DOCUMENT_KEYS, "document"), (SETTINGS_KEYS, "settings")] {
         for high in [false, true] {
-            let text = write(keys, "", high);
+            let text = generate_file(keys, "", high);
             let findings = match path {
                 "document" => check_document(path, &text).findings,
                 _ => check_settings(path, &text).findings,
@@ -93,8 +103,8 @@
     }
 }
 
-/// Writes a file with every number at its lowest or highest value.
-fn write(keys: &[Key], path: &str, high: bool) -> String {
+/// Returns a file with every integer at its minimum or maximum.
+fn generate_file(keys: &[Key], path: &str, high: bool) -> String {
     let mut text = String::new();
     let mut tables = String::new();
     for key in keys {
@@ -106,10 +116,10 @@
                 text.push_str(&format!("{} = {number}\n", key.name));
             }
             ValueKind::Table(keys) => {
-                tables.push_str(&format!("[{path}]\n{}", write(keys, &path, high)));
+                tables.push_str(&format!("[{path}]\n{}", generate_file(keys, &path, high)));
             }
             ValueKind::TableArray(keys) => {
-                tables.push_str(&format!("[[{path}]]\n{}", write(keys, &path, high)));
+                tables.push_str(&format!("[[{path}]]\n{}", generate_file(keys, &path, high)));
             }
             _ => {}
         }
--- a/hawthornkeel_config/tests/settings_findings.rs
+++ b/hawthornkeel_config/tests/settings_findings.rs
@@ -1,4 +1,4 @@
-//! Findings about the settings of a process.
+//! Findings about the settings of one process.
 
 use std::path::Path;
 
@@ -47,12 +47,12 @@
 
 /// Returns the findings about the valid settings with one part replaced.
 fn findings(from: &str, to: &str) -> Vec<Finding> {
-    assert_eq!(VALID.matches(from).count(), 1, "{from:?} must stand once");
+    assert_eq!(VALID.matches(from).count(), 1, "{from:?} must occur once");
     check_settings("entry.toml", &VALID.replace(from, to)).findings.list().to_vec()
 }
 
 #[test]
-fn valid_settings_have_none() {
+fn valid_settings_pass() {
     let checked = check_settings("entry.toml", VALID);
     assert!(checked.findings.is_empty(), "{}", checked.findings);
     assert_eq!(checked.value.peers.peers.len(), 2);
@@ -75,7 +75,7 @@
 #[case::same_address(
     "admin = \"127.0.0.1:9901\"",
     "admin = \"127.0.0.1:8080\"",
-    "4:9 instance.admin: this is entry.listen too"
+    "4:9 instance.admin: same address as entry.listen"
 )]
 #[case::stop_below_drain(
     "[control]",
@@ -90,22 +90,22 @@
 #[case::no_keys(
     "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08 = \"kumamoto\"\n",
     "",
-    "34:1 keys: no caller has a key"
+    "34:1 keys: no caller keys are configured"
 )]
 #[case::no_founders(
     "founders = [\"entry-1\", \"entry-2\"]\n",
     "",
     "10:1 control.founders: no founders"
 )]
-#[case::absent_founder(
+#[case::unknown_founder(
     "founders = [\"entry-1\", \"entry-2\"]",
     "founders = [\"entry-9\"]",
     "12:12 control.founders: \"entry-9\" is neither a peer nor this instance"
 )]
-#[case::founder_twice(
+#[case::duplicate_founder(
     "founders = [\"entry-1\", \"entry-2\"]",
     "founders = [\"entry-1\", \"entry-1\"]",
-    "12:12 control.founders: the name \"entry-1\" stands twice"
+    "12:12 control.founders: duplicate name \"entry-1\""
 )]
 #[case::founder_without_control(
     "founders = [\"entry-1\", \"entry-2\"]",
@@ -120,9 +120,9 @@
 #[case::no_certificate(
     "certificate = \"keys/entry-1.pem\"\n",
     "",
-    "14:1 peers.certificate: missing while there are peers"
+    "14:1 peers.certificate: missing, required with peers"
 )]
-#[case::own_peer(
+#[case::peer_is_itself(
     "name = \"entry-3\"",
     "name = \"entry-1\"",
     "27:8 peers.peer[1].name: the instance is its own peer"
@@ -130,40 +130,40 @@
 #[case::duplicate_peer(
     "name = \"entry-3\"",
     "name = \"entry-2\"",
-    "27:8 peers.peer[1].name: the name \"entry-2\" stands twice"
+    "27:8 peers.peer[1].name: duplicate name \"entry-2\""
 )]
 #[case::shared_address(
     "127.0.0.3:7070",
     "127.0.0.2:7070",
-    "28:11 peers.peer[1].address: this is the address of \"entry-2\" too"
+    "28:11 peers.peer[1].address: same address as peer \"entry-2\""
 )]
 #[case::own_address(
     "127.0.0.3:7070",
     "127.0.0.1:7070",
-    "28:11 peers.peer[1].address: this is the address of the instance itself"
+    "28:11 peers.peer[1].address: same address as peers.listen"
 )]
 #[case::no_peer_address(
     "address = \"127.0.0.3:7070\"\n",
     "",
     "26:1 peers.peer[1].address: missing"
 )]
-fn one_fault(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
-    let shown: Vec<String> = findings(from, to)
+fn reports_finding(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
+    let formatted: Vec<String> = findings(from, to)
         .iter()
         .map(|f| format!("{}:{} {}: {}", f.line, f.column, f.key, f.message))
         .collect();
-    assert_eq!(shown, [expected]);
+    assert_eq!(formatted, [expected]);
 }
 
 #[rstest]
 #[case::stop("[control]", "drain_ms = 900\nstop_ms = 900\n[control]")]
 #[case::election("[peers]\nlisten", "election_ms = 300\n[peers]\nlisten")]
-fn limit_itself_is_accepted(#[case] from: &str, #[case] to: &str) {
+fn bounds_are_inclusive(#[case] from: &str, #[case] to: &str) {
     assert!(findings(from, to).is_empty());
 }
 
 #[test]
-fn no_role_is_a_fault() {
+fn missing_role() {
     let text = VALID.replace("enabled = true", "enabled = false");
     let findings = check_settings("entry.toml", &text).findings;
     assert_eq!(findings.list().len(), 1);
@@ -171,9 +171,9 @@
 }
 
 #[test]
-fn bad_digest_is_a_fault() {
+fn invalid_digest() {
     let findings = findings("[keys]", "[keys]\nplain-secret = \"kumamoto\"");
-    assert_eq!(findings[0].message, "not a digest");
+    assert_eq!(findings[0].message, "not a SHA-256 digest");
 }
 
 #[test]
@@ -187,19 +187,19 @@
 }
 
 #[test]
-fn paths_start_at_the_folder_of_the_file() {
+fn relative_paths_are_resolved() {
     let folder = std::env::temp_dir().join(format!("hawthornkeel-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder is made");
+    std::fs::create_dir_all(&folder).expect("can create a folder");
     let file = folder.join("entry.toml");
-    std::fs::write(&file, VALID).expect("a file is written");
+    std::fs::write(&file, VALID).expect("can write the file");
     let settings = load_settings(&file).expect("the settings are valid");
-    std::fs::remove_dir_all(&folder).expect("the folder is removed");
+    std::fs::remove_dir_all(&folder).expect("can remove the folder");
     assert_eq!(settings.control.data, folder.join("data"));
     assert_eq!(settings.peers.key, Some(folder.join("keys/entry-1.key")));
 }
 
 #[test]
-fn unreadable_file_is_a_finding() {
+fn unreadable_file() {
     let findings = load_settings(Path::new("/nonexistent/entry.toml")).expect_err("no such file");
     assert_eq!(findings.list().len(), 1);
     assert!(findings.to_string().starts_with("/nonexistent/entry.toml:0:0: error: "));
