--- a/hawthornkeel/src/control/actions.rs
+++ b/hawthornkeel/src/control/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions of the replica.
+//! Executes the actions requested by the replica.
 
 use std::collections::VecDeque;
 
@@ -25,8 +25,8 @@
 use crate::peer::frame::Proposed;
 
 impl ControlNode {
-    /// Carries out one action; inputs that follow from it are added to `inputs`.
-    pub(super) fn carry_out(
+    /// Executes one action, and appends the inputs that result from it to `inputs`.
+    pub(super) fn execute(
         &self,
         action: Action,
         inputs: &mut VecDeque<Input>,
@@ -37,18 +37,18 @@
             Action::Apply(entries) => self.apply(entries)?,
             Action::Restore(snapshot) => self.restore(&snapshot)?,
             Action::TakeSnapshot => inputs.push_back(self.take_snapshot()?),
-            Action::ProposalRejected { id, reason } => self.refused(id, reason),
-            Action::OutcomeUnknown { id } => self.ended(id, &Proposed::Unknown),
-            Action::ReadReady { id } => self.answer_read(id, true),
-            Action::ReadRejected { id, .. } => self.answer_read(id, false),
-            Action::StatusChanged(status) => self.changed(&status),
+            Action::ProposalRejected { id, reason } => self.reject_proposal(id, reason),
+            Action::OutcomeUnknown { id } => self.fail_proposal(id, &Proposed::Unknown),
+            Action::ReadReady { id } => self.complete_read(id, true),
+            Action::ReadRejected { id, .. } => self.complete_read(id, false),
+            Action::StatusChanged(status) => self.update_status(&status),
         }
         Ok(())
     }
 
     fn save(&self, seq: SaveSeq, save: Save) {
-        if let Some(saver) = &*self.inner.saver.borrow() {
-            saver.save(seq, save);
+        if let Some(storage) = &*self.inner.storage.borrow() {
+            storage.save(seq, save);
         }
     }
 
@@ -59,29 +59,29 @@
     }
 
     fn apply(&self, entries: Vec<CommittedEntry>) -> Result<(), ControlFailure> {
-        let before = self.inner.state.borrow().published().index;
+        let previous = self.inner.state.borrow().published().index;
         for CommittedEntry { entry, proposal } in entries {
             self.inner.applied.set(entry.index);
             let Payload::Command(data) = &entry.payload else { continue };
-            let failure = |e| ControlFailure::Entry(entry.index, e);
-            let commands = codec::decode(data).map_err(failure)?;
+            let to_failure = |e| ControlFailure::Entry(entry.index, e);
+            let commands = codec::decode_commands(data).map_err(to_failure)?;
             let mut state = self.inner.state.borrow_mut();
             let outcomes = commands.iter().map(|c| state.apply(entry.index, c)).collect();
             drop(state);
             if let Some(id) = proposal {
-                self.inner.pending.borrow_mut().applied(id, outcomes);
+                self.inner.proposals.borrow_mut().complete(id, outcomes);
                 self.schedule_flush();
             }
         }
-        if self.inner.state.borrow().published().index > before {
+        if self.inner.state.borrow().published().index > previous {
             self.inner.published.notify();
         }
         Ok(())
     }
 
     fn restore(&self, snapshot: &Snapshot) -> Result<(), ControlFailure> {
-        let failure = |e| ControlFailure::Snapshot(snapshot.index, e);
-        let state = codec::decode_state(&snapshot.data).map_err(failure)?;
+        let to_failure = |e| ControlFailure::Snapshot(snapshot.index, e);
+        let state = codec::decode_state(&snapshot.data).map_err(to_failure)?;
         *self.inner.state.borrow_mut() = state;
         self.inner.applied.set(snapshot.index);
         tracing::info!(event = "snapshot-restored", index = %snapshot.index);
@@ -91,39 +91,39 @@
 
     fn take_snapshot(&self) -> Result<Input, ControlFailure> {
         let index = self.inner.applied.get();
-        let failure = |e: CodecError| ControlFailure::Snapshot(index, e);
-        let data = codec::encode_state(&self.inner.state.borrow()).map_err(failure)?;
+        let to_failure = |e: CodecError| ControlFailure::Snapshot(index, e);
+        let data = codec::encode_state(&self.inner.state.borrow()).map_err(to_failure)?;
         tracing::info!(event = "snapshot-taken", %index, bytes = data.len());
         Ok(Input::Snapshot { index, data })
     }
 
-    fn refused(&self, id: ProposalId, reason: RejectReason) {
+    fn reject_proposal(&self, id: ProposalId, reason: RejectReason) {
         let leader = match reason {
             RejectReason::NotLeader(leader) => leader.map(|n| n.name),
             RejectReason::Busy | RejectReason::NoLease | RejectReason::ChangeNotAllowed => None,
         };
-        self.ended(id, &Proposed::NotProposed { leader });
+        self.fail_proposal(id, &Proposed::NotProposed { leader });
     }
 
-    fn ended(&self, id: ProposalId, answer: &Proposed) {
-        self.inner.pending.borrow_mut().ended(id, answer);
+    fn fail_proposal(&self, id: ProposalId, reply: &Proposed) {
+        self.inner.proposals.borrow_mut().fail(id, reply);
         self.schedule_flush();
     }
 
-    fn answer_read(&self, id: ReadId, ready: bool) {
-        if let Some(reader) = self.inner.reads.borrow_mut().swap_remove(&id) {
-            let _ = reader.send(ready);
+    fn complete_read(&self, id: ReadId, ready: bool) {
+        if let Some(sender) = self.inner.reads.borrow_mut().swap_remove(&id) {
+            let _ = sender.send(ready);
         }
     }
 
-    fn changed(&self, status: &Status) {
+    fn update_status(&self, status: &Status) {
         let leader = status.leader.as_ref().map_or("", |n| n.name.as_str());
         let (role, term) = (status.role, status.term);
         let voters = status.members.voters().map(|n| n.name.as_str()).collect::<Vec<_>>().join(",");
         tracing::info!(event = "control-role", ?role, %term, leader, voters);
         if status.role != Role::Leader {
-            let answer = Proposed::NotProposed { leader: status.leader.clone().map(|n| n.name) };
-            self.inner.pending.borrow_mut().refuse_waiting(&answer);
+            let reply = Proposed::NotProposed { leader: status.leader.clone().map(|n| n.name) };
+            self.inner.proposals.borrow_mut().reject_queued(&reply);
         }
     }
 }
--- a/hawthornkeel/src/control/admin.rs
+++ b/hawthornkeel/src/control/admin.rs
@@ -1,4 +1,4 @@
-//! Requests of operators, as typed requests and responses.
+//! Admin requests of operators: documents, orders about data centres and status.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,17 +31,17 @@
 use crate::peer::Frame;
 use crate::peer::frame::InstanceStatus;
 
-/// Time for an order to be decided.
-const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for an instance to report its status.
+/// Timeout for a command to be committed.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout for an instance to report its status.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Submission of an environment document.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct SubmitRequest {
-    /// Who submits.
+    /// Operator that submits.
     pub operator: OperatorName,
-    /// Operation number, chosen by the operator.
+    /// Operation number, chosen by the operator; makes resends idempotent.
     pub operation: OperationNumber,
     /// Version that the document replaces.
     pub expected: Version,
@@ -53,27 +53,27 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
 pub enum SubmitResponse {
-    /// The document is accepted and stored by a quorum.
+    /// The document is accepted and committed.
     Accepted {
-        /// Version that it has.
+        /// Version assigned to it.
         version: Version,
     },
-    /// Another document came first.
+    /// Another submission was accepted first.
     Conflict(AcceptedSubmission),
-    /// No quorum could be reached: the document is not accepted.
+    /// No quorum was reachable: the document is not accepted.
     NotAccepted,
-    /// The outcome is not known: the same submission, sent again, gets it.
+    /// The outcome is unknown; resending the same submission returns it.
     Unknown,
 }
 
 /// Order about a data centre.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct CentreRequest {
-    /// Who orders.
+    /// Operator that sends the order.
     pub operator: OperatorName,
-    /// Operation number, chosen by the operator.
+    /// Operation number, chosen by the operator; makes resends idempotent.
     pub operation: OperationNumber,
-    /// Data centre concerned.
+    /// Data centre to take out or bring back.
     pub centre: CentreName,
 }
 
@@ -81,50 +81,50 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
 pub enum CentreResponse {
-    /// The order is in the log.
+    /// The order is committed to the log.
     Logged(CentreRecord),
-    /// The order to take out holds at the instances that can be reached, and is not logged so far.
+    /// The take-out is in force at the reachable instances, but not committed yet.
     Held,
-    /// The operation number was used before, for this order.
+    /// The operation number was already used, for this order.
     Conflict(CentreRecord),
-    /// No quorum could be reached: the order to bring back is not taken.
+    /// No quorum was reachable: the data centre is not brought back.
     NotAccepted,
-    /// The outcome is not known: the same order, sent again, gets it.
+    /// The outcome is unknown; resending the same order returns it.
     Unknown,
-    /// Too many orders are not logged: the order is not taken.
+    /// Too many orders are uncommitted: the order is rejected.
     Full,
 }
 
 /// Status of all instances.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct StatusResponse {
-    /// Instances that answered.
+    /// Status of the instances that replied.
     pub instances: Vec<InstanceStatus>,
-    /// Instances that did not.
+    /// Instances that did not reply in time.
     pub silent: Vec<InstanceName>,
 }
 
-/// Handlers of operators' requests; clones share them.
+/// Handles admin requests of operators; clones share the state.
 #[derive(Clone)]
 pub struct AdminService {
     /// Endpoint of this instance.
     pub endpoint: Endpoint,
-    /// State in force at this instance.
+    /// Published state at this instance.
     pub follower: StateFollower,
-    /// Way to the control instances.
+    /// Client of the control instances.
     pub client: ControlClient,
-    /// Spreads orders to take data centres out.
+    /// Disseminates take-out orders.
     pub gossip: Gossip,
 }
 
 impl AdminService {
-    /// Submits an environment document, which the caller has checked.
+    /// Submits an environment document, which the caller has validated.
     pub async fn submit(&self, request: SubmitRequest) -> SubmitResponse {
         let SubmitRequest { operator, operation, expected, text } = request;
         let hash = Arc::from(content_hash(&text));
         let submit = Submit { operator, operation, expected, text, hash };
         tracing::info!(event = "submit", operator = %submit.operator, %operation, %expected);
-        match self.client.propose(Command::Submit(submit), ORDER_TIMEOUT).await {
+        match self.client.propose(Command::Submit(submit), COMMIT_TIMEOUT).await {
             Ok(Outcome::Submit(SubmitOutcome::Accepted(version))) => {
                 SubmitResponse::Accepted { version }
             }
@@ -136,59 +136,62 @@
         }
     }
 
-    /// Takes a data centre out, at once and whether or not the log can be reached.
+    /// Takes a data centre out at once, with or without a quorum.
     pub async fn take_out(&self, request: CentreRequest) -> CentreResponse {
-        let order = order(request, CentreState::TakenOut);
+        let order = centre_order(request, CentreState::TakenOut);
         if self.gossip.take_out(&order) == MergeOutcome::Full {
             return CentreResponse::Full;
         }
         match self.gossip.log(&order).await {
-            Ok(outcome) => response(outcome),
+            Ok(outcome) => centre_response(outcome),
             Err(_) => CentreResponse::Held,
         }
     }
 
-    /// Brings a data centre back, which needs the log.
+    /// Brings a data centre back, which requires a quorum.
     pub async fn bring_back(&self, request: CentreRequest) -> CentreResponse {
-        let order = order(request, CentreState::InService);
-        // Orders to take it out that are known here must stand in the log before the return.
-        for hold in self.follower.watch().unlogged() {
-            if hold.order.centre == order.centre && self.gossip.log(&hold.order).await.is_err() {
+        let order = centre_order(request, CentreState::InService);
+        // Commits the known take-out orders first, so that they precede the return in the log.
+        for take_out in self.follower.watch().unlogged() {
+            if take_out.order.centre == order.centre
+                && self.gossip.log(&take_out.order).await.is_err()
+            {
                 return CentreResponse::NotAccepted;
             }
         }
         let command = Command::Centre(order);
-        match self.client.propose(command, ORDER_TIMEOUT).await {
-            Ok(Outcome::Centre(outcome)) => response(outcome),
+        match self.client.propose(command, COMMIT_TIMEOUT).await {
+            Ok(Outcome::Centre(outcome)) => centre_response(outcome),
             Err(ProposeError::NoQuorum) => CentreResponse::NotAccepted,
             Ok(_) | Err(ProposeError::Unknown) => CentreResponse::Unknown,
         }
     }
 
-    /// Returns what is in force at each instance.
+    /// Collects the status of all instances.
     pub async fn status(&self) -> StatusResponse {
         let peers: Vec<_> = self.endpoint.peers().map(|p| p.name.clone()).collect();
-        let never = |_: &Frame| false;
-        let answers = call_all(&self.endpoint, &peers, &Frame::Status, STATUS_TIMEOUT, never).await;
+        let wait_for_all = |_: &Frame| false;
+        let replies =
+            call_all(&self.endpoint, &peers, &Frame::Status, STATUS_TIMEOUT, wait_for_all).await;
         let mut instances = vec![self.follower.status()];
-        instances.extend(answers.into_iter().filter_map(|(_, frame)| match frame {
+        instances.extend(replies.into_iter().filter_map(|(_, frame)| match frame {
             Frame::StatusReply(status) => Some(status),
             _ => None,
         }));
         instances.sort_by(|a, b| a.name.cmp(&b.name));
-        let heard = |name: &InstanceName| instances.iter().any(|i| i.name == *name);
-        let silent = peers.into_iter().filter(|p| !heard(p)).collect();
+        let replied = |name: &InstanceName| instances.iter().any(|i| i.name == *name);
+        let silent = peers.into_iter().filter(|p| !replied(p)).collect();
         StatusResponse { instances, silent }
     }
 }
 
-fn order(request: CentreRequest, state: CentreState) -> CentreOrder {
+fn centre_order(request: CentreRequest, state: CentreState) -> CentreOrder {
     let CentreRequest { operator, operation, centre } = request;
     tracing::info!(event = "centre-order", %operator, %operation, %centre, ?state);
     CentreOrder { operator, operation, centre, state }
 }
 
-fn response(outcome: CentreOutcome) -> CentreResponse {
+fn centre_response(outcome: CentreOutcome) -> CentreResponse {
     match outcome {
         CentreOutcome::Recorded(record) => CentreResponse::Logged(record),
         CentreOutcome::Conflict(record) => CentreResponse::Conflict(record),
--- a/hawthornkeel/src/control/client.rs
+++ b/hawthornkeel/src/control/client.rs
@@ -1,4 +1,4 @@
-//! Calls from an instance to the control instances.
+//! Client for proposing commands to the control instances.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -19,26 +19,26 @@
 use crate::peer::frame::Lead;
 use crate::peer::frame::Proposed;
 
-/// Time for one control instance to answer a proposal before another is tried.
-const ATTEMPT: Duration = Duration::from_millis(700);
-/// Time without a leader after which proposals are refused at once.
-const LEADERLESS: Duration = Duration::from_millis(1_500);
-/// Pause after no control instance knew a leader.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Pause between looks for a leader while proposals are refused.
-const PROBE_PAUSE: Duration = Duration::from_millis(200);
+/// Timeout of a proposal to one control instance, after which the next one is tried.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time without a leader after which proposals fail fast.
+const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delay before the next round when no control instance knew a leader.
+const ROUND_DELAY: Duration = Duration::from_millis(50);
+/// Interval of probes for a leader while proposals fail fast.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Why a proposal has no outcome.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProposeError {
-    /// No control instance took the command: it is not in the log and never will be.
+    /// No control instance accepted the command: it is not in the log and never will be.
     NoQuorum,
-    /// A control instance may have taken the command; its outcome is not known.
+    /// A control instance may have accepted the command; its outcome is unknown.
     Unknown,
 }
 
 impl ProposeError {
-    /// Tells whether the command is certainly not in the log.
+    /// Returns whether the command is certain not to enter the log.
     pub fn not_proposed(&self) -> bool {
         match self {
             Self::NoQuorum => true,
@@ -51,14 +51,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoQuorum => f.write_str("no quorum of control instances can be reached"),
-            Self::Unknown => f.write_str("the outcome is not known"),
+            Self::Unknown => f.write_str("the outcome is unknown"),
         }
     }
 }
 
 impl std::error::Error for ProposeError {}
 
-/// Client of the control instances; clones share it.
+/// Client of the control instances; clones share the state.
 #[derive(Clone)]
 pub struct ControlClient {
     inner: Rc<Inner>,
@@ -69,14 +69,14 @@
     control: Option<ControlNode>,
     directory: ControlDirectory,
     leader: RefCell<Option<InstanceName>>,
-    /// Since when no control instance was known to lead.
-    leaderless: Cell<Option<Instant>>,
-    /// Whether proposals are refused until a leader is found.
-    refusing: Cell<bool>,
+    /// Time since which no control instance was known to lead.
+    leaderless_since: Cell<Option<Instant>>,
+    /// Whether proposals fail fast until a leader is found.
+    failing_fast: Cell<bool>,
 }
 
 impl ControlClient {
-    /// Creates a client; `control` is this instance's own role, if any.
+    /// Creates a client; `control` is the control role of this instance, if it has one.
     pub fn new(
         endpoint: &Endpoint,
         control: Option<ControlNode>,
@@ -88,62 +88,67 @@
                 control,
                 directory,
                 leader: RefCell::default(),
-                leaderless: Cell::default(),
-                refusing: Cell::new(false),
+                leaderless_since: Cell::default(),
+                failing_fast: Cell::new(false),
             }),
         }
     }
 
-    /// Tells whether proposals are refused at once, since no leader can be reached.
+    /// Returns whether proposals fail fast because no leader is reachable.
     pub fn is_refusing(&self) -> bool {
-        self.inner.refusing.get()
+        self.inner.failing_fast.get()
     }
 
     /// Proposes `command` and waits for its outcome.
     ///
-    /// The command may be proposed more than once, which the replicated state recognises.
+    /// The command may be proposed more than once: commands are idempotent in the replicated state.
     ///
     /// # Errors
     ///
-    /// Fails where no outcome is known within `timeout`;
-    /// [`ProposeError::not_proposed`] tells whether it may come about all the same.
+    /// Returns an error if the outcome is not known within `timeout`.
+    /// [`ProposeError::not_proposed`] tells whether the command may still be committed.
     pub async fn propose(
         &self,
         command: Command,
         timeout: Duration,
     ) -> Result<Outcome, ProposeError> {
-        if self.inner.refusing.get() {
+        if self.inner.failing_fast.get() {
             return Err(ProposeError::NoQuorum);
         }
         let deadline = Instant::now() + timeout;
         let frame = Frame::Propose(command);
         let mut search = Search::default();
         while let Some(remaining) = remaining(deadline) {
-            if search.at >= self.inner.directory.instances().len() {
-                if self.is_leaderless() {
+            if search.next >= self.inner.directory.instances().len() {
+                if self.check_leaderless() {
                     break;
                 }
-                search.at = 0;
-                monoio::time::sleep(PAUSE.min(remaining)).await;
+                search.next = 0;
+                monoio::time::sleep(ROUND_DELAY.min(remaining)).await;
                 continue;
             }
-            let Some(instance) = self.choose(&mut search) else { continue };
-            let answer = self.attempt(&instance, &frame, ATTEMPT.min(remaining)).await;
-            if let Some(outcome) = self.take_answer(&instance, answer, &mut search) {
+            let Some(instance) = self.next_instance(&mut search) else { continue };
+            let reply = self.attempt(&instance, &frame, ATTEMPT_TIMEOUT.min(remaining)).await;
+            if let Some(outcome) = self.handle_reply(&instance, reply, &mut search) {
                 return Ok(outcome);
             }
         }
-        if self.inner.leaderless.get().is_some_and(|since| since.elapsed() > LEADERLESS) {
-            self.refuse_until_led();
+        if self
+            .inner
+            .leaderless_since
+            .get()
+            .is_some_and(|since| since.elapsed() > LEADERLESS_TIMEOUT)
+        {
+            self.fail_fast();
         }
-        match search.sent {
+        match search.maybe_proposed {
             true => Err(ProposeError::Unknown),
             false => Err(ProposeError::NoQuorum),
         }
     }
 
-    /// Returns the instance to try next: the leader once, then the others in turn.
-    fn choose(&self, search: &mut Search) -> Option<InstanceName> {
+    /// Returns the next instance to try: the known leader, else the next one in order.
+    fn next_instance(&self, search: &mut Search) -> Option<InstanceName> {
         let instances = self.inner.directory.instances();
         let leader = self.inner.leader.borrow().clone();
         if let Some(leader) = leader
@@ -151,74 +156,74 @@
         {
             return Some(leader);
         }
-        let instance = instances.get(search.at).cloned();
-        search.at += 1;
+        let instance = instances.get(search.next).cloned();
+        search.next += 1;
         instance
     }
 
-    async fn attempt(&self, to: &InstanceName, frame: &Frame, timeout: Duration) -> Answer {
+    async fn attempt(&self, to: &InstanceName, frame: &Frame, timeout: Duration) -> Reply {
         if let (Some(control), Frame::Propose(command)) = (&self.inner.control, frame)
             && to == self.inner.endpoint.name()
         {
             let proposal = control.propose(command.clone());
             return match monoio::time::timeout(timeout, proposal).await {
-                Ok(proposed) => Answer::Proposed(proposed),
-                Err(_) => Answer::Lost,
+                Ok(proposed) => Reply::Proposed(proposed),
+                Err(_) => Reply::Missing,
             };
         }
         match self.inner.endpoint.call(to, frame, timeout).await {
-            Ok(Frame::Proposed(proposed)) => Answer::Proposed(proposed),
-            Ok(_) => Answer::Unsent,
+            Ok(Frame::Proposed(proposed)) => Reply::Proposed(proposed),
+            Ok(_) => Reply::Unsent,
             Err(error) => {
                 tracing::debug!(event = "propose-failed", peer = %to, %error);
-                if error.may_have_run() { Answer::Lost } else { Answer::Unsent }
+                if error.may_have_run() { Reply::Missing } else { Reply::Unsent }
             }
         }
     }
 
-    /// Takes in an answer; returns the outcome if it is one.
-    fn take_answer(
+    /// Handles a reply, and returns the outcome if the reply has one.
+    fn handle_reply(
         &self,
         from: &InstanceName,
-        answer: Answer,
+        reply: Reply,
         search: &mut Search,
     ) -> Option<Outcome> {
-        let hint = match answer {
-            Answer::Proposed(Proposed::Outcome(outcome)) => {
-                self.led_by(from);
+        let hint = match reply {
+            Reply::Proposed(Proposed::Outcome(outcome)) => {
+                self.set_leader(from);
                 return Some(outcome);
             }
-            Answer::Proposed(Proposed::NotProposed { leader }) => leader,
-            Answer::Proposed(Proposed::Unknown) | Answer::Lost => {
-                search.sent = true;
+            Reply::Proposed(Proposed::NotProposed { leader }) => leader,
+            Reply::Proposed(Proposed::Unknown) | Reply::Missing => {
+                search.maybe_proposed = true;
                 None
             }
-            Answer::Unsent => None,
+            Reply::Unsent => None,
         };
-        // A hint is followed once a round; two instances may each think that the other leads.
-        let hint = hint.filter(|l| l != from && search.hinted != Some(search.at));
+        // A leader hint is followed once per position: two instances may each name the other.
+        let hint = hint.filter(|l| l != from && search.hint_position != Some(search.next));
         if hint.is_some() {
-            search.hinted = Some(search.at);
+            search.hint_position = Some(search.next);
         }
         *self.inner.leader.borrow_mut() = hint;
         None
     }
 
-    fn led_by(&self, leader: &InstanceName) {
-        self.inner.leaderless.set(None);
+    fn set_leader(&self, leader: &InstanceName) {
+        self.inner.leaderless_since.set(None);
         *self.inner.leader.borrow_mut() = Some(leader.clone());
     }
 
-    /// Tells whether no control instance has led for long, after a round in which none did.
-    fn is_leaderless(&self) -> bool {
-        let since = self.inner.leaderless.get().unwrap_or_else(Instant::now);
-        self.inner.leaderless.set(Some(since));
-        since.elapsed() > LEADERLESS
+    /// Records a round without a leader, and returns whether the timeout has passed.
+    fn check_leaderless(&self) -> bool {
+        let since = self.inner.leaderless_since.get().unwrap_or_else(Instant::now);
+        self.inner.leaderless_since.set(Some(since));
+        since.elapsed() > LEADERLESS_TIMEOUT
     }
 
-    /// Refuses proposals at once until a control instance leads.
-    fn refuse_until_led(&self) {
-        if self.inner.refusing.replace(true) {
+    /// Lets proposals fail fast until a control instance leads.
+    fn fail_fast(&self) {
+        if self.inner.failing_fast.replace(true) {
             return;
         }
         tracing::warn!(event = "quorum-lost");
@@ -226,45 +231,46 @@
         monoio::spawn(async move {
             loop {
                 if let Some(leader) = client.find_leader().await {
-                    client.led_by(&leader);
-                    client.inner.refusing.set(false);
+                    client.set_leader(&leader);
+                    client.inner.failing_fast.set(false);
                     tracing::info!(event = "quorum-found", %leader);
                     return;
                 }
-                monoio::time::sleep(PROBE_PAUSE).await;
+                monoio::time::sleep(PROBE_INTERVAL).await;
             }
         });
     }
 
-    /// Returns the control instance that leads with its lease, if one can be reached.
+    /// Returns the control instance that holds the leader lease, if it is reachable.
     async fn find_leader(&self) -> Option<InstanceName> {
         let own = self.inner.endpoint.name();
         if self.inner.control.as_ref().is_some_and(|c| c.lead().own) {
             return Some(own.clone());
         }
         let peers = self.inner.directory.peers();
-        let leads = |f: &Frame| matches!(f, Frame::LeadReply(Lead { own: true, .. }));
-        let answers = call_all(&self.inner.endpoint, &peers, &Frame::Lead, ATTEMPT, leads).await;
-        answers.into_iter().find(|(_, f)| leads(f)).map(|(name, _)| name)
+        let is_leader = |f: &Frame| matches!(f, Frame::LeadReply(Lead { own: true, .. }));
+        let replies =
+            call_all(&self.inner.endpoint, &peers, &Frame::Lead, ATTEMPT_TIMEOUT, is_leader).await;
+        replies.into_iter().find(|(_, f)| is_leader(f)).map(|(name, _)| name)
     }
 }
 
-/// Course of one proposal.
+/// Progress of one proposal through the control instances.
 #[derive(Default)]
 struct Search {
     /// Position of the next instance to try.
-    at: usize,
-    /// Position at which a hint was followed last.
-    hinted: Option<usize>,
+    next: usize,
+    /// Position at which a leader hint was last followed.
+    hint_position: Option<usize>,
     /// Whether the command may be in the log.
-    sent: bool,
+    maybe_proposed: bool,
 }
 
-enum Answer {
+enum Reply {
     Proposed(Proposed),
-    /// Sent, without an answer.
-    Lost,
-    /// Not sent, or not taken.
+    /// Sent, but no reply arrived in time.
+    Missing,
+    /// Not sent, or not accepted.
     Unsent,
 }
 
--- a/hawthornkeel/src/control/codec.rs
+++ b/hawthornkeel/src/control/codec.rs
@@ -1,4 +1,6 @@
-//! Commands as they stand in log entries, and the state as it stands in snapshots.
+//! Encoding of commands in log entries and of the state in snapshots.
+//!
+//! A format version precedes the value in `postcard` encoding.
 
 use bytes::Bytes;
 use hawthornkeel_core::state::State;
@@ -8,15 +10,15 @@
 
 use crate::control::error::CodecError;
 
-/// Version of the encoding of entries and snapshots.
-pub const VERSION: u8 = 1;
+/// Format version of entries and snapshots.
+pub const FORMAT_VERSION: u8 = 1;
 
 /// Encodes the commands of one log entry.
 ///
 /// # Errors
 ///
-/// Fails where the codec fails.
-pub fn encode(commands: &[TimestampedCommand]) -> Result<Bytes, CodecError> {
+/// Returns an error if a value can't be serialized.
+pub fn encode_commands(commands: &[TimestampedCommand]) -> Result<Bytes, CodecError> {
     encode_value(commands)
 }
 
@@ -24,8 +26,8 @@
 ///
 /// # Errors
 ///
-/// Fails where the entry has an unknown version or is malformed.
-pub fn decode(data: &[u8]) -> Result<Vec<TimestampedCommand>, CodecError> {
+/// Returns an error if the entry has an unknown format version or is malformed.
+pub fn decode_commands(data: &[u8]) -> Result<Vec<TimestampedCommand>, CodecError> {
     decode_value(data)
 }
 
@@ -33,7 +35,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the codec fails.
+/// Returns an error if a value can't be serialized.
 pub fn encode_state(state: &State) -> Result<Bytes, CodecError> {
     encode_value(state)
 }
@@ -42,18 +44,18 @@
 ///
 /// # Errors
 ///
-/// Fails where the snapshot has an unknown version or is malformed.
+/// Returns an error if the snapshot has an unknown format version or is malformed.
 pub fn decode_state(data: &[u8]) -> Result<State, CodecError> {
     decode_value(data)
 }
 
 fn encode_value<T: Serialize + ?Sized>(value: &T) -> Result<Bytes, CodecError> {
-    Ok(Bytes::from(postcard::to_extend(value, vec![VERSION])?))
+    Ok(Bytes::from(postcard::to_extend(value, vec![FORMAT_VERSION])?))
 }
 
 fn decode_value<T: DeserializeOwned>(data: &[u8]) -> Result<T, CodecError> {
     match data.split_first() {
-        Some((&VERSION, body)) => Ok(postcard::from_bytes(body)?),
+        Some((&FORMAT_VERSION, body)) => Ok(postcard::from_bytes(body)?),
         Some((&version, _)) => Err(CodecError::Version(version)),
         None => Err(CodecError::Empty),
     }
--- a/hawthornkeel/src/control/directory.rs
+++ b/hawthornkeel/src/control/directory.rs
@@ -1,4 +1,4 @@
-//! Control instances that an instance knows of.
+//! Known control instances.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,10 +9,10 @@
 
 use crate::control::sources::control_peers;
 
-/// Control instances that an instance knows of; clones share them.
+/// Known control instances; clones share the list.
 ///
-/// Where trust is by certificates the settings name them all. Otherwise the settings name some to
-/// begin with, and the others are learned from whichever answers.
+/// With trust by certificates the settings list all of them. With trust by addresses the settings
+/// list the founders, and the members are discovered from the replies of control instances.
 #[derive(Clone)]
 pub struct ControlDirectory {
     inner: Rc<Inner>,
@@ -20,40 +20,42 @@
 
 struct Inner {
     own: Option<InstanceName>,
-    first: Vec<InstanceName>,
-    learned: RefCell<Vec<InstanceName>>,
+    configured: Vec<InstanceName>,
+    discovered: RefCell<Vec<InstanceName>>,
 }
 
 impl ControlDirectory {
     /// Creates the directory of the instance with these `settings`.
     pub fn new(settings: &Settings) -> Self {
-        let first = match settings.peers.trust {
+        let configured = match settings.peers.trust {
             Trust::Certificates => control_peers(settings),
             Trust::Addresses => settings.founders(),
         };
         let own = settings.peer_name();
-        let first = first.into_iter().filter(|n| *n != own).collect();
+        let configured = configured.into_iter().filter(|n| *n != own).collect();
         let own = settings.control.enabled.then_some(own);
-        Self { inner: Rc::new(Inner { own, first, learned: RefCell::default() }) }
+        Self { inner: Rc::new(Inner { own, configured, discovered: RefCell::default() }) }
     }
 
-    /// Takes in the members of the group, as one of them knows them.
+    /// Updates the members of the group from the reply of a control instance.
+    ///
+    /// An empty list is ignored.
     pub fn update(&self, members: Vec<InstanceName>) {
-        if members.is_empty() || *self.inner.learned.borrow() == members {
+        if members.is_empty() || *self.inner.discovered.borrow() == members {
             return;
         }
         let names = members.iter().map(InstanceName::as_str).collect::<Vec<_>>().join(",");
         tracing::info!(event = "controls-learned", names);
-        *self.inner.learned.borrow_mut() = members;
+        *self.inner.discovered.borrow_mut() = members;
     }
 
-    /// Returns the control instances, with this one first if it has the role.
+    /// Returns the control instances, starting with this one if it has the control role.
     ///
-    /// Those that were learned come before those of the settings, which may be gone.
+    /// Discovered instances precede the configured ones, which may no longer exist.
     pub fn instances(&self) -> Vec<InstanceName> {
         let mut names: Vec<InstanceName> = self.inner.own.iter().cloned().collect();
-        let learned = self.inner.learned.borrow();
-        for name in learned.iter().chain(&self.inner.first) {
+        let discovered = self.inner.discovered.borrow();
+        for name in discovered.iter().chain(&self.inner.configured) {
             if !names.contains(name) {
                 names.push(name.clone());
             }
@@ -61,7 +63,7 @@
         names
     }
 
-    /// Returns the other control instances.
+    /// Returns the control instances other than this one.
     pub fn peers(&self) -> Vec<InstanceName> {
         let own = self.inner.own.as_ref();
         self.instances().into_iter().filter(|n| Some(n) != own).collect()
--- a/hawthornkeel/src/control/error.rs
+++ b/hawthornkeel/src/control/error.rs
@@ -7,10 +7,10 @@
 
 use crate::control::codec;
 
-/// Entry or snapshot that can't be encoded or decoded.
+/// Why an entry or snapshot can't be encoded or decoded.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CodecError {
-    /// Another build wrote it, under this version.
+    /// It has an unknown format version.
     Version(u8),
     /// It is empty.
     Empty,
@@ -22,7 +22,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Version(found) => {
-                write!(f, "unknown version {found}, this build reads {}", codec::VERSION)
+                write!(
+                    f,
+                    "unknown format version {found}, this build reads version {}",
+                    codec::FORMAT_VERSION
+                )
             }
             Self::Empty => f.write_str("no data"),
             Self::Malformed(e) => write!(f, "malformed: {e}"),
@@ -38,18 +42,18 @@
     }
 }
 
-/// Why the control role has ended, and the process with it.
+/// Why the control role ended, which ends the process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ControlFailure {
-    /// A planned stop.
+    /// It was stopped as planned.
     Stopped,
-    /// The disk failed.
+    /// A write or sync of the data folder failed.
     Disk(String),
-    /// The log on the disk can't be used.
+    /// The persisted log can't be recovered.
     Recover(RecoverError),
     /// A committed entry can't be applied.
     Entry(LogIndex, CodecError),
-    /// A snapshot can't be used.
+    /// A snapshot can't be encoded or decoded.
     Snapshot(LogIndex, CodecError),
 }
 
--- a/hawthornkeel/src/control/fan_out.rs
+++ b/hawthornkeel/src/control/fan_out.rs
@@ -1,4 +1,4 @@
-//! Calls to several peers at once.
+//! Concurrent calls to several peers.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -12,15 +12,15 @@
 use crate::peer::signal::Signal;
 
 #[derive(Default)]
-struct Gathered {
-    answers: RefCell<Vec<(InstanceName, Frame)>>,
-    open: Cell<usize>,
+struct Replies {
+    received: RefCell<Vec<(InstanceName, Frame)>>,
+    pending: Cell<usize>,
     changed: Signal,
 }
 
-/// Calls all of `peers` with `frame` and returns the answers that came within `timeout`.
+/// Calls all `peers` with `frame` and returns the replies that arrive within `timeout`.
 ///
-/// Returns early once `enough` is satisfied by an answer.
+/// Returns early once `enough` holds for a reply. Failed calls are left out.
 pub async fn call_all(
     endpoint: &Endpoint,
     peers: &[InstanceName],
@@ -28,24 +28,24 @@
     timeout: Duration,
     enough: impl Fn(&Frame) -> bool,
 ) -> Vec<(InstanceName, Frame)> {
-    let gathered = Rc::new(Gathered { open: Cell::new(peers.len()), ..Gathered::default() });
+    let replies = Rc::new(Replies { pending: Cell::new(peers.len()), ..Replies::default() });
     for peer in peers {
         let (endpoint, peer, frame) = (endpoint.clone(), peer.clone(), frame.clone());
-        let gathered = gathered.clone();
+        let replies = replies.clone();
         monoio::spawn(async move {
-            if let Ok(answer) = endpoint.call(&peer, &frame, timeout).await {
-                gathered.answers.borrow_mut().push((peer, answer));
+            if let Ok(reply) = endpoint.call(&peer, &frame, timeout).await {
+                replies.received.borrow_mut().push((peer, reply));
             }
-            gathered.open.set(gathered.open.get().saturating_sub(1));
-            gathered.changed.notify();
+            replies.pending.set(replies.pending.get().saturating_sub(1));
+            replies.changed.notify();
         });
     }
     loop {
-        let seen = gathered.changed.count();
-        let satisfied = gathered.answers.borrow().iter().any(|(_, f)| enough(f));
-        if satisfied || gathered.open.get() == 0 {
-            return gathered.answers.take();
+        let seen = replies.changed.count();
+        let satisfied = replies.received.borrow().iter().any(|(_, f)| enough(f));
+        if satisfied || replies.pending.get() == 0 {
+            return replies.received.take();
         }
-        gathered.changed.after(seen).await;
+        replies.changed.after(seen).await;
     }
 }
--- a/hawthornkeel/src/control/follow.rs
+++ b/hawthornkeel/src/control/follow.rs
@@ -1,8 +1,8 @@
-//! Follows the published state, and serves those that follow this instance.
+//! Follows the published state, and serves it to the followers of this instance.
 //!
-//! After a start, an instance takes the state that a leader confirms to hold everything acknowledged
-//! so far, so that it never serves a version lower than one that it served before the start. Where
-//! no leader answers, it takes the newest state that any peer has.
+//! After a start, an instance adopts a state that a leader confirms to include all acknowledged
+//! changes, so that it never serves a lower version than before the restart. If no leader replies,
+//! it adopts the newest state of any peer.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -25,22 +25,24 @@
 use crate::peer::frame::FrameKind;
 use crate::peer::frame::InstanceStatus;
 
-/// Time after a start during which only a leader's state is taken.
-const LEADER_WAIT: Duration = Duration::from_secs(3);
-/// Time for a peer to answer at once.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time for which a source holds a call while there is nothing newer, in milliseconds.
-const HOLD_MS: u32 = 700;
-/// Longest hold that this instance grants to a caller, in milliseconds.
-const MAX_HOLD_MS: u32 = 5_000;
-/// Age from which on a source counts as cut off: longer than four holds, one behind the other.
-const MAX_AGE: Duration = Duration::from_millis(3_500);
-/// Time after which a better source is tried again.
-const RETURN_AFTER: Duration = Duration::from_secs(15);
-/// Pause after all sources failed.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Time after a start during which only the state of a leader is adopted.
+const LEADER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout of a call that the peer answers without holding it.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time for which a source holds a long poll without a newer state, in milliseconds.
+const POLL_WAIT_MS: u32 = 700;
+/// Maximum time for which this instance holds a long poll, in milliseconds.
+const MAX_POLL_WAIT_MS: u32 = 5_000;
+/// Age of a source's state above which the source counts as isolated.
+///
+/// Longer than four consecutive long polls.
+const MAX_STATE_AGE: Duration = Duration::from_millis(3_500);
+/// Time after which a preferred source is tried again.
+const FAILBACK_INTERVAL: Duration = Duration::from_secs(15);
+/// Delay before a retry after all sources failed.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Follows the published state on behalf of one instance.
+/// Follows the published state for this instance; clones share the state.
 #[derive(Clone)]
 pub struct StateFollower {
     endpoint: Endpoint,
@@ -51,7 +53,9 @@
 }
 
 impl StateFollower {
-    /// Starts to follow, and to serve followers; `control` is this instance's own role, if any.
+    /// Starts to follow the state and to serve followers.
+    ///
+    /// `control` is the control role of this instance, if it has one.
     pub fn start(settings: &Settings, endpoint: &Endpoint, control: Option<ControlNode>) -> Self {
         let follower = Self {
             endpoint: endpoint.clone(),
@@ -65,7 +69,7 @@
         follower
     }
 
-    /// Returns the published state in force at this instance.
+    /// Returns the published state at this instance.
     pub fn watch(&self) -> &Watch {
         &self.watch
     }
@@ -78,7 +82,7 @@
                 match frame {
                     Frame::Follow(Follow::Latest) => Frame::Followed(follower.latest().await),
                     Frame::Follow(Follow::Newer { after, wait_ms }) => {
-                        let wait = Duration::from_millis(wait_ms.min(MAX_HOLD_MS).into());
+                        let wait = Duration::from_millis(wait_ms.min(MAX_POLL_WAIT_MS).into());
                         Frame::Followed(follower.newer(after, wait).await)
                     }
                     other => other,
@@ -92,26 +96,26 @@
         });
     }
 
-    /// Returns what is in force at this instance.
+    /// Returns the status of this instance.
     pub fn status(&self) -> InstanceStatus {
         let control = self.control.as_ref().map(ControlNode::status);
         InstanceStatus { control, ..self.watch.status(self.endpoint.name()) }
     }
 
-    /// Returns the state that holds everything acknowledged so far, if this instance leads.
+    /// Returns a state that includes all acknowledged changes, if this instance leads.
     pub async fn linearizable_state(&self) -> Option<PublishedState> {
         let control = self.control.as_ref()?;
         control.read_barrier().await.then(|| control.published())
     }
 
-    /// Answers with the state that holds everything acknowledged so far, if this instance leads.
+    /// Replies with a state that includes all acknowledged changes, if this instance leads.
     async fn latest(&self) -> Followed {
         let Some(published) = self.linearizable_state().await else { return Followed::default() };
         let holds = self.watch.reply_after(None).holds;
         Followed { published: Some(published), holds, age_ms: Some(0) }
     }
 
-    /// Returns the state in force here once it is newer than `after`, or nothing after `wait`.
+    /// Replies with the state once it is newer than `after`, or without a state after `wait`.
     async fn newer(&self, after: Option<LogIndex>, wait: Duration) -> Followed {
         let deadline = monoio::time::Instant::now() + wait;
         loop {
@@ -127,92 +131,93 @@
     }
 
     async fn run(self) {
-        self.find_first().await;
-        let mut at = 0;
-        let mut moved = Instant::now();
+        self.load_initial_state().await;
+        let mut position = 0;
+        let mut switched_at = Instant::now();
         loop {
-            let Some(source) = self.sources.get(at) else {
-                at = 0;
-                monoio::time::sleep(PAUSE).await;
+            let Some(source) = self.sources.get(position) else {
+                position = 0;
+                monoio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
-            // A source must show at once that it isn't cut off; only then may it hold the call.
-            if self.ask(source, 0).await.is_fresh() {
-                while self.ask(source, HOLD_MS).await.is_fresh() {
-                    if at > 0 && moved.elapsed() > RETURN_AFTER {
+            // The first call isn't held, so that an isolated source is detected without delay.
+            if self.poll(source, 0).await.is_fresh() {
+                while self.poll(source, POLL_WAIT_MS).await.is_fresh() {
+                    if position > 0 && switched_at.elapsed() > FAILBACK_INTERVAL {
                         break;
                     }
                 }
-                moved = Instant::now();
-                at = if at > 0 { 0 } else { 1 };
+                switched_at = Instant::now();
+                position = if position > 0 { 0 } else { 1 };
             } else {
-                at += 1;
+                position += 1;
             }
         }
     }
 
-    /// Takes the first state: a leader's, or else the newest that any peer has.
-    async fn find_first(&self) {
+    /// Adopts an initial state: that of a leader, else the newest state of any peer.
+    async fn load_initial_state(&self) {
         let start = Instant::now();
         let peers: Vec<_> = self.endpoint.peers().map(|p| p.name.clone()).collect();
         while self.watch.index().is_none() {
             let latest = Frame::Follow(Follow::Latest);
-            self.absorb_all(&self.controls, &latest).await;
+            self.merge_from_all(&self.controls, &latest).await;
             if self.control.is_some() {
                 self.watch.merge(self.latest().await);
             }
-            if self.watch.index().is_none() && start.elapsed() > LEADER_WAIT {
+            if self.watch.index().is_none() && start.elapsed() > LEADER_TIMEOUT {
                 let newest = Frame::Follow(Follow::Newer { after: None, wait_ms: 0 });
-                self.absorb_all(&peers, &newest).await;
+                self.merge_from_all(&peers, &newest).await;
                 if let Some(control) = &self.control {
                     self.watch.update(control.published());
                 }
             }
             if self.watch.index().is_none() {
-                monoio::time::sleep(PAUSE).await;
+                monoio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 
-    async fn absorb_all(&self, peers: &[InstanceName], frame: &Frame) {
+    async fn merge_from_all(&self, peers: &[InstanceName], frame: &Frame) {
         let latest = matches!(frame, Frame::Follow(Follow::Latest));
-        let enough = |f: &Frame| latest && matches!(f, Frame::Followed(f) if f.published.is_some());
-        let answers = call_all(&self.endpoint, peers, frame, ANSWER_TIMEOUT, enough).await;
-        let mut answers: Vec<_> = answers
+        let is_enough =
+            |f: &Frame| latest && matches!(f, Frame::Followed(f) if f.published.is_some());
+        let replies = call_all(&self.endpoint, peers, frame, REPLY_TIMEOUT, is_enough).await;
+        let mut replies: Vec<_> = replies
             .into_iter()
             .filter_map(|(_, frame)| match frame {
                 Frame::Followed(followed) => Some(followed),
                 _ => None,
             })
             .collect();
-        // The newest goes first, so that none of the older ones comes into force in between.
-        answers.sort_by_key(|f| std::cmp::Reverse(f.published.as_ref().map(|p| p.index)));
-        for followed in answers {
+        // Merges the newest state first, so that no older one is put in force before it.
+        replies.sort_by_key(|f| std::cmp::Reverse(f.published.as_ref().map(|p| p.index)));
+        for followed in replies {
             self.watch.merge(followed);
         }
     }
 
-    async fn ask(&self, source: &Source, wait_ms: u32) -> Freshness {
+    async fn poll(&self, source: &Source, wait_ms: u32) -> Freshness {
         let after = self.watch.index();
         let followed = match source {
-            Source::Own => self.own(after, wait_ms).await,
-            Source::Peer(name) => self.ask_peer(name, Follow::Newer { after, wait_ms }).await,
+            Source::Own => self.poll_control(after, wait_ms).await,
+            Source::Peer(name) => self.poll_peer(name, Follow::Newer { after, wait_ms }).await,
         };
-        let Some(followed) = followed else { return Freshness::CutOff };
+        let Some(followed) = followed else { return Freshness::Stale };
         let age = followed.age_ms.map(Duration::from_millis);
         self.watch.merge(followed);
         match age {
-            Some(age) if age <= MAX_AGE => Freshness::Fresh,
-            _ => Freshness::CutOff,
+            Some(age) if age <= MAX_STATE_AGE => Freshness::Fresh,
+            _ => Freshness::Stale,
         }
     }
 
-    async fn ask_peer(&self, name: &InstanceName, follow: Follow) -> Option<Followed> {
-        let held = match follow {
+    async fn poll_peer(&self, name: &InstanceName, follow: Follow) -> Option<Followed> {
+        let poll_wait = match follow {
             Follow::Newer { wait_ms, .. } => Duration::from_millis(wait_ms.into()),
             Follow::Latest => Duration::ZERO,
         };
-        let timeout = ANSWER_TIMEOUT + held;
+        let timeout = REPLY_TIMEOUT + poll_wait;
         match self.endpoint.call(name, &Frame::Follow(follow), timeout).await {
             Ok(Frame::Followed(followed)) => Some(followed),
             Ok(_) => None,
@@ -223,11 +228,11 @@
         }
     }
 
-    /// Answers like a peer, from the own control role.
-    async fn own(&self, after: Option<LogIndex>, wait_ms: u32) -> Option<Followed> {
+    /// Polls the control role of this instance, which replies like a peer.
+    async fn poll_control(&self, after: Option<LogIndex>, wait_ms: u32) -> Option<Followed> {
         let control = self.control.as_ref()?;
         let seen = control.changes().count();
-        // After a freeze, what is known of a leader may be over.
+        // After a suspension of the process, the known leader may be outdated until a tick.
         control.tick();
         let mut published = control.published();
         if after.is_some_and(|a| published.index <= a) {
@@ -247,11 +252,11 @@
     }
 }
 
-/// Whether a source is in touch with a group that has a leader.
+/// Whether a source was recently in contact with a group that has a leader.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Freshness {
     Fresh,
-    CutOff,
+    Stale,
 }
 
 impl Freshness {
--- a/hawthornkeel/src/control/gossip.rs
+++ b/hawthornkeel/src/control/gossip.rs
@@ -1,4 +1,4 @@
-//! Spreads orders to take data centres out, and has them logged.
+//! Dissemination of orders to take data centres out, until they are committed to the log.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -21,14 +21,14 @@
 use crate::peer::Frame;
 use crate::peer::frame::FrameKind;
 
-/// Peers that an order is passed on to at once.
+/// Maximum number of peers that receive an order in one round.
 const FAN_OUT: usize = 16;
-/// Time between repetitions while an order is not logged.
-const REPEAT: Duration = Duration::from_secs(1);
-/// Time for the log to take an order.
-const LOG_TIMEOUT: Duration = Duration::from_secs(2);
+/// Minimum interval between rounds while an order is not committed.
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout for an order to be committed.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Spreads orders to take data centres out; clones share it.
+/// Disseminates orders to take data centres out; clones share the state.
 #[derive(Clone)]
 pub struct Gossip {
     inner: Rc<Inner>,
@@ -38,61 +38,61 @@
     endpoint: Endpoint,
     watch: Watch,
     client: ControlClient,
-    /// Whether the task that repeats orders runs.
-    repeating: Cell<bool>,
+    /// Whether the task that resends orders runs.
+    resending: Cell<bool>,
 }
 
 impl Gossip {
-    /// Starts to take in and pass on orders.
+    /// Starts to receive and forward orders.
     pub fn start(endpoint: &Endpoint, watch: &Watch, client: &ControlClient) -> Self {
         let gossip = Self {
             inner: Rc::new(Inner {
                 endpoint: endpoint.clone(),
                 watch: watch.clone(),
                 client: client.clone(),
-                repeating: Cell::new(false),
+                resending: Cell::new(false),
             }),
         };
-        let heard = gossip.clone();
+        let receiver = gossip.clone();
         endpoint.on_frame(FrameKind::TakeOuts, move |from, frame| {
-            if let Frame::TakeOuts(holds) = frame {
-                heard.hear(from, &holds);
+            if let Frame::TakeOuts(take_outs) = frame {
+                receiver.receive(from, &take_outs);
             }
         });
-        monoio::spawn(gossip.clone().watch_holds());
+        monoio::spawn(gossip.clone().watch_take_outs());
         gossip
     }
 
-    /// Takes an order in from an operator, and passes it on.
+    /// Applies a take-out order of an operator, and disseminates it.
     pub fn take_out(&self, order: &CentreOrder) -> MergeOutcome {
-        let hold = TakeOut { order: order.clone(), log_index: None };
-        let heard = self.inner.watch.merge_take_out(&hold);
-        if heard == MergeOutcome::New {
-            self.spread(&[hold], None);
-            self.repeat();
+        let take_out = TakeOut { order: order.clone(), log_index: None };
+        let merged = self.inner.watch.merge_take_out(&take_out);
+        if merged == MergeOutcome::New {
+            self.disseminate(&[take_out], None);
+            self.resend();
         }
-        heard
+        merged
     }
 
-    /// Has `order` logged and notes its place.
+    /// Commits `order` to the log, and records its position.
     ///
     /// # Errors
     ///
-    /// Fails like [`ControlClient::propose`].
+    /// Returns the errors of [`ControlClient::propose`].
     pub async fn log(&self, order: &CentreOrder) -> Result<CentreOutcome, ProposeError> {
         let command = Command::Centre(order.clone());
-        let outcome = match self.inner.client.propose(command, LOG_TIMEOUT).await? {
+        let outcome = match self.inner.client.propose(command, COMMIT_TIMEOUT).await? {
             Outcome::Centre(outcome) => outcome,
             _ => return Err(ProposeError::Unknown),
         };
-        let floor = match &outcome {
+        let log_index = match &outcome {
             CentreOutcome::Recorded(record) => record.index,
-            // The number was used before. What was taken out stays out until a later order.
+            // The operation number was used before. The data centre stays out until a later order.
             CentreOutcome::Conflict(_) => self.next_index(),
         };
-        self.inner.watch.mark_logged(order, floor);
-        if let Some(hold) = self.inner.watch.take_out(order) {
-            self.spread(&[hold], None);
+        self.inner.watch.mark_logged(order, log_index);
+        if let Some(take_out) = self.inner.watch.take_out(order) {
+            self.disseminate(&[take_out], None);
         }
         Ok(outcome)
     }
@@ -102,75 +102,75 @@
         LogIndex(index.0.saturating_add(1))
     }
 
-    fn hear(&self, from: &InstanceName, holds: &[TakeOut]) {
-        for hold in holds {
-            match self.inner.watch.merge_take_out(hold) {
+    fn receive(&self, from: &InstanceName, take_outs: &[TakeOut]) {
+        for take_out in take_outs {
+            match self.inner.watch.merge_take_out(take_out) {
                 MergeOutcome::New => {
-                    self.spread(std::slice::from_ref(hold), Some(from));
-                    self.repeat();
+                    self.disseminate(std::slice::from_ref(take_out), Some(from));
+                    self.resend();
                 }
-                MergeOutcome::Outdated => self.answer(from, &hold.order),
+                MergeOutcome::Outdated => self.send_current(from, &take_out.order),
                 MergeOutcome::Full => tracing::error!(event = "take-out-dropped", peer = %from),
                 MergeOutcome::Known | MergeOutcome::Ignored => {}
             }
         }
     }
 
-    /// Tells a peer what is known of an order.
-    fn answer(&self, to: &InstanceName, order: &CentreOrder) {
-        if let Some(hold) = self.inner.watch.take_out(order) {
-            self.send(to, &[hold]);
+    /// Sends a peer the current knowledge about an order.
+    fn send_current(&self, to: &InstanceName, order: &CentreOrder) {
+        if let Some(take_out) = self.inner.watch.take_out(order) {
+            self.send(to, &[take_out]);
         }
     }
 
-    /// Passes orders on to a few peers, all of them where there are few.
-    fn spread(&self, holds: &[TakeOut], except: Option<&InstanceName>) {
+    /// Sends orders to randomly chosen peers other than `except`.
+    fn disseminate(&self, take_outs: &[TakeOut], except: Option<&InstanceName>) {
         let peers: Vec<_> = self.inner.endpoint.peers().map(|p| &p.name).collect();
         let chosen: Vec<_> = peers.choose_multiple(&mut rand::rng(), FAN_OUT).collect();
         for peer in chosen {
             if Some(*peer) != except {
-                self.send(peer, holds);
+                self.send(peer, take_outs);
             }
         }
     }
 
-    fn send(&self, to: &InstanceName, holds: &[TakeOut]) {
-        if let Err(error) = self.inner.endpoint.send(to, &Frame::TakeOuts(holds.to_vec())) {
+    fn send(&self, to: &InstanceName, take_outs: &[TakeOut]) {
+        if let Err(error) = self.inner.endpoint.send(to, &Frame::TakeOuts(take_outs.to_vec())) {
             tracing::warn!(event = "take-out-unsent", peer = %to, %error);
         }
     }
 
-    /// Repeats orders that came in with the published state as well.
-    async fn watch_holds(self) {
+    /// Resends orders that arrived with the published state, too.
+    async fn watch_take_outs(self) {
         let changes = self.inner.watch.changes();
         loop {
             let seen = changes.count();
             if !self.inner.watch.unlogged().is_empty() {
-                self.repeat();
+                self.resend();
             }
             changes.after(seen).await;
         }
     }
 
-    /// Repeats orders and tries to have them logged, until all of them are.
-    fn repeat(&self) {
-        if self.inner.repeating.replace(true) {
+    /// Resends orders and proposes them until all of them are committed.
+    fn resend(&self) {
+        if self.inner.resending.replace(true) {
             return;
         }
         let gossip = self.clone();
         monoio::spawn(async move {
             loop {
-                // Instances that heard the order together don't all propose it together.
-                monoio::time::sleep(REPEAT.mul_f64(1.0 + rand::random::<f64>())).await;
-                let holds = gossip.inner.watch.unlogged();
-                if holds.is_empty() {
-                    gossip.inner.repeating.set(false);
+                // Random delay, so that instances don't all propose the same order at once.
+                monoio::time::sleep(ROUND_INTERVAL.mul_f64(1.0 + rand::random::<f64>())).await;
+                let take_outs = gossip.inner.watch.unlogged();
+                if take_outs.is_empty() {
+                    gossip.inner.resending.set(false);
                     return;
                 }
-                gossip.spread(&holds, None);
-                for hold in holds {
-                    if let Err(error) = gossip.log(&hold.order).await {
-                        let operation = hold.order.operation;
+                gossip.disseminate(&take_outs, None);
+                for take_out in take_outs {
+                    if let Err(error) = gossip.log(&take_out.order).await {
+                        let operation = take_out.order.operation;
                         tracing::debug!(event = "take-out-unlogged", %operation, %error);
                     }
                 }
--- a/hawthornkeel/src/control/mod.rs
+++ b/hawthornkeel/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! Control role: drives the replicated log and serves the other instances.
+//! Control plane: replicated log, published state and orders of operators.
 //!
-//! Every instance, whatever its roles, follows the published state and takes in orders to take data
-//! centres out; the control instances also keep the replicated state itself.
+//! Every instance follows the published state and accepts orders to take data centres out.
+//! Instances with the control role also replicate the log and hold the complete state.
 
 mod actions;
 pub mod admin;
--- a/hawthornkeel/src/control/node.rs
+++ b/hawthornkeel/src/control/node.rs
@@ -1,4 +1,4 @@
-//! Control instance: carries out what the replica of the log decides, and applies the log.
+//! Control role of an instance: drives its replica of the log, and applies committed entries.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -44,47 +44,47 @@
 use crate::peer::signal::Signal;
 use crate::peer::signal::yield_now;
 
-/// What a control instance is started with.
+/// Options of a control node.
 pub struct ControlOptions {
     /// Identity of the data folder and name of the instance.
     pub node: Node,
-    /// Settings of the log.
+    /// Settings of the replica.
     pub settings: ReplicaSettings,
-    /// Bounds of batches.
+    /// Limits of batches.
     pub batch: BatchLimits,
-    /// Randomness of elections.
+    /// Random number generator for election timeouts.
     pub rng: ChaCha8Rng,
-    /// What the disk holds.
-    pub stored: PersistedState,
+    /// State recovered from the data folder.
+    pub persisted: PersistedState,
 }
 
-/// Control instance; clones share it.
+/// Control role of an instance; clones share the state.
 #[derive(Clone)]
 pub struct ControlNode {
     pub(super) inner: Rc<Inner>,
 }
 
-/// State of a control instance.
+/// Shared state of a control node.
 pub(super) struct Inner {
     pub(super) endpoint: Endpoint,
-    /// Disk, until the role ends.
-    pub(super) saver: RefCell<Option<Box<dyn LogStorage>>>,
+    /// Storage of the log, until the role ends.
+    pub(super) storage: RefCell<Option<Box<dyn LogStorage>>>,
     pub(super) replica: RefCell<Replica>,
     pub(super) state: RefCell<State>,
-    /// Last entry that the state includes.
+    /// Index of the last applied entry.
     pub(super) applied: Cell<LogIndex>,
-    pub(super) pending: RefCell<ProposalQueue>,
-    /// Reads that wait for the lease, with where the answer goes.
+    pub(super) proposals: RefCell<ProposalQueue>,
+    /// Read barriers in progress, with the channels for their results.
     pub(super) reads: RefCell<IndexMap<ReadId, oneshot::Sender<bool>>>,
-    pub(super) next: Cell<u64>,
-    /// Whether a task is about to propose what waits.
-    pub(super) flushing: Cell<bool>,
-    /// When the timer task wakes up.
-    pub(super) armed: Cell<Instant>,
-    pub(super) rearmed: Signal,
+    pub(super) next_id: Cell<u64>,
+    /// Whether a task that proposes queued commands is scheduled.
+    pub(super) flush_scheduled: Cell<bool>,
+    /// Time at which the timer task wakes up.
+    pub(super) timer_deadline: Cell<Instant>,
+    pub(super) timer_changed: Signal,
     pub(super) published: Signal,
     pub(super) failure: RefCell<Option<ControlFailure>>,
-    pub(super) failed: Signal,
+    pub(super) ended: Signal,
 }
 
 impl ControlNode {
@@ -92,35 +92,35 @@
     ///
     /// # Errors
     ///
-    /// Fails where the log on the disk has a gap.
+    /// Returns an error if the persisted log has a gap.
     pub fn start(
         options: ControlOptions,
         endpoint: Endpoint,
-        saver: Box<dyn LogStorage>,
+        storage: Box<dyn LogStorage>,
     ) -> Result<Self, ControlFailure> {
-        let ControlOptions { node, settings, batch, rng, stored } = options;
-        let replica = Replica::recover(node, settings, rng, boot_now(), stored)?;
+        let ControlOptions { node, settings, batch, rng, persisted } = options;
+        let replica = Replica::recover(node, settings, rng, boot_now(), persisted)?;
         let control = Self {
             inner: Rc::new(Inner {
                 endpoint,
-                saver: RefCell::new(Some(saver)),
+                storage: RefCell::new(Some(storage)),
                 replica: RefCell::new(replica),
                 state: RefCell::default(),
                 applied: Cell::default(),
-                pending: RefCell::new(ProposalQueue::new(batch)),
+                proposals: RefCell::new(ProposalQueue::new(batch)),
                 reads: RefCell::default(),
-                next: Cell::new(0),
-                flushing: Cell::new(false),
-                armed: Cell::new(Instant::ZERO),
-                rearmed: Signal::default(),
+                next_id: Cell::new(0),
+                flush_scheduled: Cell::new(false),
+                timer_deadline: Cell::new(Instant::ZERO),
+                timer_changed: Signal::default(),
                 published: Signal::default(),
                 failure: RefCell::default(),
-                failed: Signal::default(),
+                ended: Signal::default(),
             }),
         };
         control.serve();
-        control.input(Input::Tick);
-        monoio::spawn(control.clone().keep_time());
+        control.handle(Input::Tick);
+        monoio::spawn(control.clone().run_timer());
         Ok(control)
     }
 
@@ -149,48 +149,48 @@
         });
     }
 
-    /// Takes in a message of the log, whose sender must be the authenticated peer.
+    /// Handles a replica message, whose sender must be the authenticated peer.
     fn receive(&self, from: &InstanceName, message: Message) {
         if message.from.name != *from {
             tracing::warn!(event = "replica-refused", peer = %from, claimed = %message.from.name);
             return;
         }
-        self.input(Input::Message(message));
+        self.handle(Input::Message(message));
     }
 
-    /// Proposes `command` and waits until its outcome is decided.
+    /// Proposes `command` and waits for its outcome.
     pub async fn propose(&self, command: Command) -> Proposed {
-        if !self.leads() {
+        if !self.is_leader() {
             return self.not_proposed();
         }
-        let (waiter, outcome) = oneshot::channel();
-        let refused = self.inner.pending.borrow_mut().push(command, waiter).is_some();
-        if refused {
+        let (sender, outcome) = oneshot::channel();
+        let rejected = self.inner.proposals.borrow_mut().push(command, sender).is_some();
+        if rejected {
             return Proposed::NotProposed { leader: None };
         }
         self.schedule_flush();
         outcome.await.unwrap_or(Proposed::Unknown)
     }
 
-    /// Waits until this instance's state is known to hold everything acknowledged so far.
+    /// Waits until the state of this instance includes all changes acknowledged before the call.
     ///
-    /// Returns whether that could be confirmed; only a leader with its lease can.
+    /// Returns whether that was confirmed, which only a leader with a valid lease can do.
     pub async fn read_barrier(&self) -> bool {
-        let id = ReadId(self.next_number());
-        let (sender, ready) = oneshot::channel();
+        let id = ReadId(self.next_id());
+        let (sender, result) = oneshot::channel();
         self.inner.reads.borrow_mut().insert(id, sender);
-        self.input(Input::Read(id));
-        ready.await.unwrap_or(false)
+        self.handle(Input::Read(id));
+        result.await.unwrap_or(false)
     }
 
-    /// Returns who leads, as known here.
+    /// Returns the leader known to this instance.
     pub fn lead(&self) -> Lead {
         let replica = self.inner.replica.borrow();
         let leader = replica.status().leader.as_ref().map(|n| n.name.clone());
         Lead { own: !self.has_ended() && replica.has_lease(boot_now()), leader }
     }
 
-    /// Returns the part that this instance plays in the log.
+    /// Returns the status of this instance's replica.
     pub fn status(&self) -> ControlStatus {
         let lead = self.lead();
         let replica = self.inner.replica.borrow();
@@ -198,72 +198,74 @@
         ControlStatus { lead, term, commit, members }
     }
 
-    /// Returns the published part of the state as applied here.
+    /// Returns the published part of the state applied at this instance.
     pub fn published(&self) -> PublishedState {
         self.inner.state.borrow().published()
     }
 
-    /// Returns the number of changes of the published part, to wait on.
+    /// Returns the signal for changes of the published part.
     pub fn changes(&self) -> &Signal {
         &self.inner.published
     }
 
-    /// Has the replica do what has become due.
+    /// Lets the replica handle expired timers.
     pub fn tick(&self) {
-        self.input(Input::Tick);
+        self.handle(Input::Tick);
     }
 
-    /// Notes that a save and all before it are on disk.
+    /// Notifies the replica that a save and all saves before it are durable.
     pub fn synced(&self, seq: SaveSeq) {
-        self.input(Input::Synced { seq });
+        self.handle(Input::Synced { seq });
     }
 
-    /// Ends the control role: nothing more is acknowledged or sent.
+    /// Ends the control role: nothing is acknowledged or sent afterwards.
+    ///
+    /// The first failure is kept.
     pub fn fail(&self, failure: ControlFailure) {
-        let mut first = self.inner.failure.borrow_mut();
-        if first.is_none() {
+        let mut recorded = self.inner.failure.borrow_mut();
+        if recorded.is_none() {
             match &failure {
                 ControlFailure::Stopped => tracing::info!(event = "control-stopped"),
                 error => tracing::error!(event = "control-failed", %error),
             }
-            *first = Some(failure);
+            *recorded = Some(failure);
         }
-        drop(first);
-        self.inner.pending.borrow_mut().end_all();
+        drop(recorded);
+        self.inner.proposals.borrow_mut().fail_all();
         self.inner.reads.borrow_mut().clear();
-        self.inner.failed.notify();
+        self.inner.ended.notify();
     }
 
-    /// Hands the lead over to another voter, as before a planned stop; nothing happens elsewhere.
+    /// Transfers leadership to another voter before a planned stop; has no effect on non-leaders.
     pub fn transfer_leadership(&self) {
-        self.input(Input::TransferLeadership);
+        self.handle(Input::TransferLeadership);
     }
 
-    /// Ends the control role of a planned stop: what was handed to the disk is written first.
+    /// Stops the control role as planned, after queued saves have been written.
     pub fn stop(&self) {
         self.fail(ControlFailure::Stopped);
-        self.inner.saver.borrow_mut().take();
+        self.inner.storage.borrow_mut().take();
     }
 
     fn has_ended(&self) -> bool {
         self.inner.failure.borrow().is_some()
     }
 
-    /// Waits until the control role has failed; the process is to end then.
+    /// Waits until the control role has ended; the process must exit then.
     pub fn failed(&self) -> impl Future<Output = ControlFailure> + use<> {
         let inner = self.inner.clone();
         async move {
             loop {
-                let seen = inner.failed.count();
+                let seen = inner.ended.count();
                 if let Some(failure) = inner.failure.borrow().clone() {
                     return failure;
                 }
-                inner.failed.after(seen).await;
+                inner.ended.after(seen).await;
             }
         }
     }
 
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         !self.has_ended() && self.inner.replica.borrow().status().role == Role::Leader
     }
 
@@ -274,48 +276,48 @@
         Proposed::NotProposed { leader: leader.filter(|l| l != own) }
     }
 
-    fn next_number(&self) -> u64 {
-        let number = self.inner.next.get();
-        self.inner.next.set(number.wrapping_add(1));
-        number
+    fn next_id(&self) -> u64 {
+        let id = self.inner.next_id.get();
+        self.inner.next_id.set(id.wrapping_add(1));
+        id
     }
 
-    /// Proposes what waits once the other tasks had their turn, so that their commands join.
+    /// Schedules a flush after the other ready tasks have run, so that their commands are batched.
     pub(super) fn schedule_flush(&self) {
-        if self.inner.flushing.replace(true) {
+        if self.inner.flush_scheduled.replace(true) {
             return;
         }
         let control = self.clone();
         monoio::spawn(async move {
             yield_now().await;
-            control.inner.flushing.set(false);
+            control.inner.flush_scheduled.set(false);
             control.flush();
         });
     }
 
     fn flush(&self) {
-        if !self.leads() {
-            let answer = self.not_proposed();
-            self.inner.pending.borrow_mut().refuse_waiting(&answer);
+        if !self.is_leader() {
+            let reply = self.not_proposed();
+            self.inner.proposals.borrow_mut().reject_queued(&reply);
             return;
         }
         loop {
-            let id = ProposalId(self.next_number());
-            let batch = self.inner.pending.borrow_mut().take(id, wall_now());
+            let id = ProposalId(self.next_id());
+            let batch = self.inner.proposals.borrow_mut().next_batch(id, wall_now());
             let Some(batch) = batch else { return };
-            match codec::encode(&batch) {
-                Ok(data) => self.input(Input::Propose(vec![Proposal { id, data }])),
+            match codec::encode_commands(&batch) {
+                Ok(data) => self.handle(Input::Propose(vec![Proposal { id, data }])),
                 Err(error) => {
                     tracing::error!(event = "batch-refused", %error);
-                    let answer = Proposed::NotProposed { leader: None };
-                    self.inner.pending.borrow_mut().ended(id, &answer);
+                    let reply = Proposed::NotProposed { leader: None };
+                    self.inner.proposals.borrow_mut().fail(id, &reply);
                 }
             }
         }
     }
 
-    /// Hands `input` to the replica and carries out what follows.
-    fn input(&self, input: Input) {
+    /// Passes `input` to the replica and executes the resulting actions.
+    fn handle(&self, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             if self.has_ended() {
@@ -323,36 +325,36 @@
             }
             let actions = self.inner.replica.borrow_mut().handle(boot_now(), input);
             for action in actions {
-                if let Err(failure) = self.carry_out(action, &mut inputs) {
+                if let Err(failure) = self.execute(action, &mut inputs) {
                     self.fail(failure);
                     return;
                 }
             }
         }
         let deadline = self.inner.replica.borrow().next_tick();
-        if deadline < self.inner.armed.get() {
-            self.inner.rearmed.notify();
+        if deadline < self.inner.timer_deadline.get() {
+            self.inner.timer_changed.notify();
         }
     }
 
-    /// Wakes the replica up whenever it is due.
-    async fn keep_time(self) {
+    /// Ticks the replica whenever a timer expires.
+    async fn run_timer(self) {
         loop {
             if self.has_ended() {
                 return;
             }
-            let seen = self.inner.rearmed.count();
+            let seen = self.inner.timer_changed.count();
             let deadline = self.inner.replica.borrow().next_tick();
             let wait = deadline.since(boot_now());
             if wait.is_zero() {
-                self.input(Input::Tick);
+                self.handle(Input::Tick);
                 yield_now().await;
                 continue;
             }
-            self.inner.armed.set(deadline);
+            self.inner.timer_deadline.set(deadline);
             monoio::select! {
                 () = monoio::time::sleep(wait) => {}
-                () = self.inner.rearmed.after(seen) => {}
+                () = self.inner.timer_changed.after(seen) => {}
             }
         }
     }
--- a/hawthornkeel/src/control/open.rs
+++ b/hawthornkeel/src/control/open.rs
@@ -1,4 +1,4 @@
-//! Opens the control role on its data folder.
+//! Starts the control role from its data folder.
 
 use std::error::Error;
 use std::fmt;
@@ -30,17 +30,17 @@
 pub enum OpenError {
     /// The data folder can't be used.
     Disk(DiskError),
-    /// The thread that writes can't be started.
+    /// The writer thread can't be started.
     Thread(io::Error),
-    /// The log on the disk can't be followed.
+    /// The persisted log can't be recovered.
     Log(ControlFailure),
 }
 
 impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Disk(error) => write!(f, "can't use the data folder: {error}"),
-            Self::Thread(error) => write!(f, "can't start the disk's thread: {error}"),
+            Self::Disk(error) => write!(f, "can't open the data folder: {error}"),
+            Self::Thread(error) => write!(f, "can't start the disk writer thread: {error}"),
             Self::Log(error) => write!(f, "can't start the control role: {error}"),
         }
     }
@@ -66,38 +66,40 @@
     }
 }
 
-/// Bounds that decide how many commands share a sync.
+/// Limits on how many commands share a log entry and a sync.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Tuning {
-    /// Bounds of log entries.
+    /// Limits of command batches.
     pub batch: BatchLimits,
     /// Settings of the data folder.
     pub disk: DiskSettings,
 }
 
-/// Data folder as the control role's disk.
-struct FolderSaver {
+/// Log storage in a data folder.
+struct DiskStorage {
     writer: DiskWriter,
 }
 
-impl LogStorage for FolderSaver {
+impl LogStorage for DiskStorage {
     fn save(&self, seq: SaveSeq, save: Save) {
         self.writer.save(seq, save);
     }
 }
 
-/// Opens the data folder and starts the control role on it.
+/// Opens the data folder and starts the control role from it.
 ///
 /// # Errors
-/// Fails where the data folder is in use, damaged, or can't be read or written.
+///
+/// Returns an error if the data folder is in use or damaged, or can't be read or written.
 pub fn open_control(settings: &Settings, endpoint: &Endpoint) -> Result<ControlNode, OpenError> {
     open_with(settings, endpoint, Tuning::default())
 }
 
-/// Starts the control role like [`open_control`], with other bounds.
+/// Starts the control role like [`open_control`], with custom limits.
 ///
 /// # Errors
-/// Fails where the data folder is in use, damaged, or can't be read or written.
+///
+/// Returns an error if the data folder is in use or damaged, or can't be read or written.
 pub fn open_with(
     settings: &Settings,
     endpoint: &Endpoint,
@@ -107,26 +109,29 @@
     let replica = recovered.id;
     tracing::info!(event = "data-folder-opened", %replica, cut_bytes = recovered.truncated_bytes);
     let (sender, receiver) = mpsc::unbounded();
-    let writer = DiskWriter::start(disk, move |report| {
-        // The receiver is gone only once the process ends.
-        let _ = sender.unbounded_send(report);
+    let writer = DiskWriter::start(disk, move |event| {
+        // The receiver is dropped only when the process exits.
+        let _ = sender.unbounded_send(event);
     })?;
     let options = ControlOptions {
         node: Node { id: replica, name: endpoint.name().clone() },
         settings: start::replica_settings(settings),
         batch: tuning.batch,
         rng: ChaCha8Rng::seed_from_u64(rand::random()),
-        stored: recovered.state,
+        persisted: recovered.state,
     };
-    let control = ControlNode::start(options, endpoint.clone(), Box::new(FolderSaver { writer }))?;
-    monoio::spawn(take_reports(control.clone(), receiver));
+    let control = ControlNode::start(options, endpoint.clone(), Box::new(DiskStorage { writer }))?;
+    monoio::spawn(handle_writer_events(control.clone(), receiver));
     Ok(control)
 }
 
-/// Hands the disk's reports to the control role.
-async fn take_reports(control: ControlNode, mut receiver: mpsc::UnboundedReceiver<WriterEvent>) {
-    while let Ok(report) = receiver.recv().await {
-        match report {
+/// Passes events of the disk writer to the control role.
+async fn handle_writer_events(
+    control: ControlNode,
+    mut receiver: mpsc::UnboundedReceiver<WriterEvent>,
+) {
+    while let Ok(event) = receiver.recv().await {
+        match event {
             WriterEvent::Synced(seq) => control.synced(seq),
             WriterEvent::Failed(error) => control.fail(ControlFailure::Disk(error.to_string())),
         }
--- a/hawthornkeel/src/control/orders.rs
+++ b/hawthornkeel/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to targets, sent by the leader under fencing numbers from the log.
+//! Orders to targets, sent by the leader with fencing numbers from the log.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -29,15 +29,15 @@
 use crate::target::order::Order;
 use crate::target::order::OrderResult;
 
-/// Time between two looks at whether this instance leads.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which leadership of this instance is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Order of an operator to a target.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// Target ordered.
+    /// Target that receives the order.
     pub target: TargetName,
-    /// What it is to do.
+    /// Order.
     #[serde(flatten)]
     pub order: Order,
 }
@@ -46,21 +46,21 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
 pub enum OrderResponse {
-    /// The target took the order.
+    /// The target accepted the order.
     Accepted {
-        /// Number that the order carried.
+        /// Fencing number of the order.
         fencing: FencingNumber,
     },
-    /// The target has taken a later order.
+    /// The target has already accepted an order with a higher fencing number.
     RefusedOld,
-    /// The order may have been taken or not.
+    /// The order may or may not have been accepted.
     Unknown,
-    /// Nothing was sent, since this instance does not lead.
+    /// Nothing was sent because this instance isn't the leader.
     NotLeader {
-        /// Instance that leads, where known.
+        /// Leader, if known.
         leader: Option<InstanceName>,
     },
-    /// Nothing was sent: to be sent again after this time.
+    /// Nothing was sent; the order can be resent after this time.
     Wait {
         /// Time to wait, in milliseconds.
         millis: u64,
@@ -70,15 +70,15 @@
 /// Target of an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OrderTarget {
-    /// Name.
+    /// Name of the target.
     pub name: TargetName,
-    /// Address.
+    /// Address of the target.
     pub address: SocketAddr,
-    /// Whether it checks fencing numbers.
+    /// Whether the target checks fencing numbers.
     pub fencing: Fencing,
 }
 
-/// Sends orders while this instance leads; clones share it.
+/// Sends orders while this instance leads; clones share the state.
 #[derive(Clone)]
 pub struct OrderSender {
     control: ControlNode,
@@ -88,30 +88,32 @@
 }
 
 impl OrderSender {
-    /// Starts to watch whether `control` leads.
+    /// Starts to monitor whether `control` leads.
     pub fn start(control: ControlNode, client: Client, settings: OrderSettings) -> Self {
         let gate = Rc::new(RefCell::new(OrderGate::new(settings)));
         let orders = Self { control, client, settings, gate };
-        monoio::spawn(orders.clone().watch());
+        monoio::spawn(orders.clone().monitor_leadership());
         orders
     }
 
-    async fn watch(self) {
+    async fn monitor_leadership(self) {
         loop {
-            let leading = self.leading();
-            self.gate.borrow_mut().observe(boot_now(), leading);
-            monoio::time::sleep(LOOK).await;
+            let term = self.leader_term();
+            self.gate.borrow_mut().observe(boot_now(), term);
+            monoio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 
-    /// Sends an order, or tells why not.
+    /// Sends an order to a target, and returns the result.
+    ///
+    /// Nothing is sent if this instance isn't the leader or the order has to wait.
     pub async fn order(&self, target: &OrderTarget, order: Order) -> OrderResponse {
-        let begun = {
-            let leading = self.leading();
-            self.gate.borrow_mut().begin(boot_now(), leading, &target.name, target.fencing)
+        let permission = {
+            let term = self.leader_term();
+            self.gate.borrow_mut().begin(boot_now(), term, &target.name, target.fencing)
         };
-        if let Err(hold) = begun {
-            return self.held(hold);
+        if let Err(error) = permission {
+            return self.rejected(error);
         }
         let response = self.send(target, order).await;
         self.gate.borrow_mut().finish(&target.name);
@@ -124,8 +126,8 @@
         let Proposed::Outcome(Outcome::Fence(fencing)) = self.control.propose(command).await else {
             return self.not_leader();
         };
-        // The lease may have ended while the number was drawn.
-        if self.leading().is_none() {
+        // The lease may have expired while the fencing number was allocated.
+        if self.leader_term().is_none() {
             return self.not_leader();
         }
         let call = Call {
@@ -143,15 +145,15 @@
         }
     }
 
-    fn leading(&self) -> Option<Term> {
+    fn leader_term(&self) -> Option<Term> {
         self.control.lead().own.then(|| self.control.status().term)
     }
 
-    fn held(&self, hold: OrderError) -> OrderResponse {
-        match hold {
+    fn rejected(&self, error: OrderError) -> OrderResponse {
+        match error {
             OrderError::NotLeader => self.not_leader(),
-            OrderError::NotBefore(time) => wait(time.since(boot_now())),
-            OrderError::Busy => wait(self.settings.timeout),
+            OrderError::NotBefore(time) => wait_response(time.since(boot_now())),
+            OrderError::Busy => wait_response(self.settings.timeout),
         }
     }
 
@@ -160,6 +162,6 @@
     }
 }
 
-fn wait(time: Duration) -> OrderResponse {
+fn wait_response(time: Duration) -> OrderResponse {
     OrderResponse::Wait { millis: u64::try_from(time.as_millis()).unwrap_or(u64::MAX) }
 }
--- a/hawthornkeel/src/control/proposal_queue.rs
+++ b/hawthornkeel/src/control/proposal_queue.rs
@@ -1,4 +1,4 @@
-//! Commands on their way into the log, several to an entry.
+//! Queue of commands to propose, which are batched into log entries.
 
 use std::collections::VecDeque;
 
@@ -13,115 +13,119 @@
 
 use crate::peer::frame::Proposed;
 
-/// Size of a command without its text or answer, in bytes, roughly.
+/// Approximate size of a command without its text or answer, in bytes.
 const COMMAND_BYTES: usize = 128;
 
-/// Bounds of batches.
+/// Limits of command batches.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct BatchLimits {
-    /// Commands in one log entry, at most.
-    pub commands: usize,
-    /// Size of one log entry from which on no more commands are added, in bytes.
-    pub bytes: usize,
-    /// Entries on their way at once, at most: commands that come meanwhile share the next entry.
-    pub entries: usize,
-    /// Commands that wait, at most; further ones are refused.
-    pub waiting: usize,
+    /// Maximum number of commands in one log entry.
+    pub max_commands: usize,
+    /// Size of a log entry at which no more commands are added, in bytes.
+    pub target_bytes: usize,
+    /// Maximum number of entries in flight; commands that arrive meanwhile share the next one.
+    pub max_entries: usize,
+    /// Maximum number of queued commands; further ones are rejected.
+    pub max_queued: usize,
 }
 
 impl Default for BatchLimits {
     fn default() -> Self {
-        Self { commands: 1_024, bytes: 256 * 1024, entries: 2, waiting: 16_384 }
+        Self { max_commands: 1_024, target_bytes: 256 * 1024, max_entries: 2, max_queued: 16_384 }
     }
 }
 
 impl BatchLimits {
-    /// Returns limits under which each command gets an entry of its own.
+    /// Returns limits that disable batching: each command gets its own log entry.
     pub fn single() -> Self {
-        Self { commands: 1, entries: usize::MAX, ..Self::default() }
+        Self { max_commands: 1, max_entries: usize::MAX, ..Self::default() }
     }
 }
 
-/// Where the outcome of a command goes.
-pub type Waiter = Sender<Proposed>;
+/// Channel for the outcome of a command.
+pub type OutcomeSender = Sender<Proposed>;
 
-/// Commands on their way into the log.
+/// Queued and proposed commands.
 #[derive(Default)]
 pub struct ProposalQueue {
     limits: BatchLimits,
-    waiting: VecDeque<(Command, Waiter)>,
-    proposed: IndexMap<ProposalId, Vec<Waiter>>,
+    queued: VecDeque<(Command, OutcomeSender)>,
+    proposed: IndexMap<ProposalId, Vec<OutcomeSender>>,
 }
 
 impl ProposalQueue {
-    /// Creates an empty set under `limits`.
+    /// Creates an empty queue with `limits`.
     pub fn new(limits: BatchLimits) -> Self {
         Self { limits, ..Self::default() }
     }
 
-    /// Takes in a command; returns its waiter where too many wait.
-    pub fn push(&mut self, command: Command, waiter: Waiter) -> Option<Waiter> {
-        if self.waiting.len() >= self.limits.waiting {
-            return Some(waiter);
+    /// Queues a command; returns `sender` if the queue is full.
+    pub fn push(&mut self, command: Command, sender: OutcomeSender) -> Option<OutcomeSender> {
+        if self.queued.len() >= self.limits.max_queued {
+            return Some(sender);
         }
-        self.waiting.push_back((command, waiter));
+        self.queued.push_back((command, sender));
         None
     }
 
-    /// Takes the commands of the next entry out, to be proposed under `id`.
+    /// Removes the commands of the next entry from the queue, to be proposed under `id`.
     ///
-    /// Returns `None` where none wait or enough entries are on their way.
-    pub fn take(&mut self, id: ProposalId, at: WallTime) -> Option<Vec<TimestampedCommand>> {
-        if self.waiting.is_empty() || self.proposed.len() >= self.limits.entries {
+    /// Returns `None` if the queue is empty or too many entries are in flight.
+    pub fn next_batch(
+        &mut self,
+        id: ProposalId,
+        timestamp: WallTime,
+    ) -> Option<Vec<TimestampedCommand>> {
+        if self.queued.is_empty() || self.proposed.len() >= self.limits.max_entries {
             return None;
         }
-        let (mut batch, mut waiters, mut bytes) = (Vec::new(), Vec::new(), 0);
-        while batch.len() < self.limits.commands && bytes < self.limits.bytes {
-            let Some((command, waiter)) = self.waiting.pop_front() else { break };
-            bytes += size(&command);
-            batch.push(TimestampedCommand { timestamp: at, command });
-            waiters.push(waiter);
+        let (mut batch, mut senders, mut bytes) = (Vec::new(), Vec::new(), 0);
+        while batch.len() < self.limits.max_commands && bytes < self.limits.target_bytes {
+            let Some((command, sender)) = self.queued.pop_front() else { break };
+            bytes += approximate_size(&command);
+            batch.push(TimestampedCommand { timestamp, command });
+            senders.push(sender);
         }
-        self.proposed.insert(id, waiters);
+        self.proposed.insert(id, senders);
         Some(batch)
     }
 
-    /// Hands out the outcomes of an entry, in the order of its commands.
-    pub fn applied(&mut self, id: ProposalId, outcomes: Vec<Outcome>) {
-        let waiters = self.proposed.swap_remove(&id).unwrap_or_default();
-        for (waiter, outcome) in waiters.into_iter().zip(outcomes) {
-            // A caller that has gone asks again and then gets the same outcome.
-            let _ = waiter.send(Proposed::Outcome(outcome));
+    /// Sends the outcomes of an applied entry, in the order of its commands.
+    pub fn complete(&mut self, id: ProposalId, outcomes: Vec<Outcome>) {
+        let senders = self.proposed.swap_remove(&id).unwrap_or_default();
+        for (sender, outcome) in senders.into_iter().zip(outcomes) {
+            // A caller that gave up resends the command and gets the same outcome.
+            let _ = sender.send(Proposed::Outcome(outcome));
         }
     }
 
-    /// Tells the waiters of an entry how it ended without outcomes.
-    pub fn ended(&mut self, id: ProposalId, answer: &Proposed) {
-        for waiter in self.proposed.swap_remove(&id).unwrap_or_default() {
-            let _ = waiter.send(answer.clone());
+    /// Sends `reply` to the callers of an entry that ended without outcomes.
+    pub fn fail(&mut self, id: ProposalId, reply: &Proposed) {
+        for sender in self.proposed.swap_remove(&id).unwrap_or_default() {
+            let _ = sender.send(reply.clone());
         }
     }
 
-    /// Ends every command: those that are proposed may come about all the same.
-    pub fn end_all(&mut self) {
-        self.refuse_waiting(&Proposed::NotProposed { leader: None });
-        for (_, waiters) in self.proposed.drain(..) {
-            for waiter in waiters {
-                let _ = waiter.send(Proposed::Unknown);
+    /// Fails every command; those already proposed may still be committed.
+    pub fn fail_all(&mut self) {
+        self.reject_queued(&Proposed::NotProposed { leader: None });
+        for (_, senders) in self.proposed.drain(..) {
+            for sender in senders {
+                let _ = sender.send(Proposed::Unknown);
             }
         }
     }
 
-    /// Tells the waiters of all commands that are not proposed that they won't be.
-    pub fn refuse_waiting(&mut self, answer: &Proposed) {
-        for (_, waiter) in self.waiting.drain(..) {
-            let _ = waiter.send(answer.clone());
+    /// Sends `reply` to the callers of all commands that haven't been proposed.
+    pub fn reject_queued(&mut self, reply: &Proposed) {
+        for (_, sender) in self.queued.drain(..) {
+            let _ = sender.send(reply.clone());
         }
     }
 }
 
-/// Returns roughly the bytes that a command takes in the log.
-fn size(command: &Command) -> usize {
+/// Returns the approximate size of a command in the log, in bytes.
+fn approximate_size(command: &Command) -> usize {
     let text = match command {
         Command::Submit(submit) => submit.text.len(),
         Command::Replace(replace) => replace.text.len(),
--- a/hawthornkeel/src/control/sources.rs
+++ b/hawthornkeel/src/control/sources.rs
@@ -1,27 +1,27 @@
-//! Choice of the instances that an instance follows.
+//! Selection of the sources from which an instance follows the published state.
 
 use hawthornkeel_config::settings::Settings;
 use hawthornkeel_core::names::InstanceName;
 
-/// Instances of each data centre that follow the control instances directly.
+/// Instances of each data centre that follow control instances directly: roots of its tree.
 const ROOTS: usize = 2;
-/// Instances that follow one instance of their data centre, at most, while all of them answer.
+/// Maximum number of followers of an instance in its data centre while all instances reply.
 const FAN_OUT: usize = 6;
 
-/// Where an instance can learn the published state.
+/// Source of the published state.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Source {
-    /// From its own control role.
+    /// The control role of this instance.
     Own,
-    /// From a peer.
+    /// A peer.
     Peer(InstanceName),
 }
 
-/// Returns the sources of the instance with these `settings`, best first.
+/// Returns the sources of the instance with these `settings`, in order of preference.
 ///
-/// The instances of a data centre without the control role form a tree in the order of their names.
-/// So control instances answer a few followers a data centre and every other instance a bounded
-/// number, however many instances there are.
+/// The instances of a data centre without the control role form a tree, ordered by name. This
+/// bounds the followers of control instances per data centre, and the followers of any other
+/// instance, regardless of the number of instances.
 pub fn sources(settings: &Settings) -> Vec<Source> {
     let mut sources = Vec::new();
     if settings.control.enabled {
@@ -38,24 +38,24 @@
     sources
 }
 
-/// Returns the instances that the instance follows in its data centre: its parent and another.
+/// Returns the parent of the instance in the tree of its data centre, and an alternative.
 fn parents(settings: &Settings) -> Vec<InstanceName> {
     let own = &settings.instance;
-    let near = settings.peers.peers.iter();
-    let near = near.filter(|p| p.data_centre == own.data_centre && !p.control);
-    let mut names: Vec<_> = near.map(|p| &p.name).collect();
+    let local = settings.peers.peers.iter();
+    let local = local.filter(|p| p.data_centre == own.data_centre && !p.control);
+    let mut names: Vec<_> = local.map(|p| &p.name).collect();
     names.push(&own.name);
     names.sort();
     let rank = names.iter().position(|n| **n == own.name).unwrap_or_default();
-    let Some(below) = rank.checked_sub(ROOTS) else { return Vec::new() };
-    let parent = below / FAN_OUT;
-    // Both come before the instance itself, so that no two follow each other in a circle.
-    let other = if parent == 0 { 1 } else { parent - 1 };
-    let parents = [parent, other].into_iter().filter_map(|at| names.get(at));
+    let Some(offset) = rank.checked_sub(ROOTS) else { return Vec::new() };
+    let parent = offset / FAN_OUT;
+    // Both precede the instance in the order, so that no cycle can form.
+    let alternative = if parent == 0 { 1 } else { parent - 1 };
+    let parents = [parent, alternative].into_iter().filter_map(|rank| names.get(rank));
     parents.map(|name| (*name).clone()).collect()
 }
 
-/// Returns the control instances among the peers, those of the own data centre first.
+/// Returns the control instances among the peers, starting with those in the same data centre.
 pub fn control_peers(settings: &Settings) -> Vec<InstanceName> {
     let own = &settings.instance.data_centre;
     let mut peers: Vec<_> = settings.peers.peers.iter().filter(|p| p.control).collect();
--- a/hawthornkeel/src/control/start.rs
+++ b/hawthornkeel/src/control/start.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together that every instance has, with or without the control role.
+//! Starts the parts of the control plane that every instance has.
 
 use std::time::Duration;
 
@@ -16,33 +16,33 @@
 use crate::control::watch::Watch;
 use crate::peer::Endpoint;
 
-/// Share of the election time that the leader's lease leaves unused, as its divisor.
+/// Divisor of the election timeout that gives the assumed clock drift, by which leases are shorter.
 const DRIFT_DIVISOR: u32 = 10;
 
-/// Share of the entries between snapshots that stay in the log for slow followers, as its divisor.
+/// Divisor of the snapshot interval that gives the entries retained for slow followers.
 const RETAIN_DIVISOR: u64 = 10;
 
-/// Time without an answer after which another replica takes a voter's place.
+/// Time without a reply after which a voter is replaced by another replica.
 ///
-/// Longer than a restart, so that one doesn't change the members.
+/// Longer than a restart, so that a restart doesn't change the members.
 const REPLACE_AFTER: Duration = Duration::from_secs(6);
 
-/// What an instance has of the control plane.
+/// Handles of the control plane at an instance.
 #[derive(Clone)]
 pub struct ControlPlane {
-    /// Control role, if the instance has it.
+    /// Control role, if the instance has one.
     pub control: Option<ControlNode>,
-    /// Published state in force.
+    /// Published state at this instance.
     pub watch: Watch,
-    /// Way to the control instances.
+    /// Client of the control instances.
     pub client: ControlClient,
-    /// Control instances that are known.
+    /// Known control instances.
     pub directory: ControlDirectory,
-    /// Handlers of operators' requests.
+    /// Handler of admin requests.
     pub admin: AdminService,
 }
 
-/// Starts what every instance has; `control` is its own control role, if any.
+/// Starts the control plane of an instance; `control` is its control role, if it has one.
 pub fn start(
     settings: &Settings,
     endpoint: &Endpoint,
@@ -58,11 +58,11 @@
     ControlPlane { control, watch, client, directory, admin }
 }
 
-/// Returns which learners become voters by themselves.
+/// Returns the policy for promoting learners to voters.
 fn voter_policy(settings: &Settings) -> VoterPolicy {
     match settings.peers.trust {
         Trust::Certificates => VoterPolicy::Founders,
-        // A quorum of that many voters outlives the disks that may be lost.
+        // This number of voters keeps a quorum after the tolerated loss of disks.
         Trust::Addresses => VoterPolicy::Open {
             max_voters: 2 * settings.control.lost_disks + 1,
             replace_after: REPLACE_AFTER,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Returns the settings of the replicated log that `settings` call for.
+/// Returns the replica settings for an instance with these `settings`.
 pub fn replica_settings(settings: &Settings) -> ReplicaSettings {
     let control = &settings.control;
     let election_timeout = Duration::from_millis(control.election_ms);
--- a/hawthornkeel/src/control/watch.rs
+++ b/hawthornkeel/src/control/watch.rs
@@ -1,4 +1,4 @@
-//! Published state in force at this instance, and the data centres that take no new work.
+//! Published state at this instance, and the data centres that get no new work.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -20,7 +20,7 @@
 use crate::peer::frame::InstanceStatus;
 use crate::peer::signal::Signal;
 
-/// Published state in force at this instance; clones share it.
+/// Published state and take-out orders at this instance; clones share the state.
 #[derive(Clone, Default)]
 pub struct Watch {
     inner: Rc<Inner>,
@@ -29,18 +29,18 @@
 #[derive(Default)]
 struct Inner {
     published: RefCell<Option<Rc<PublishedState>>>,
-    holds: RefCell<TakeOuts>,
-    /// When the state was last known to be that of a group with a leader.
+    take_outs: RefCell<TakeOuts>,
+    /// Time at which the state was last confirmed by a group with a leader.
     ///
-    /// On the clock that goes on while the machine is suspended.
-    confirmed: Cell<Option<Instant>>,
+    /// On the boot clock, which advances while the machine is suspended.
+    confirmed_at: Cell<Option<Instant>>,
     changed: Signal,
 }
 
 impl Watch {
-    /// Puts `published` in force unless one with the same or a higher index is.
+    /// Replaces the state unless its index is at least that of `published`.
     ///
-    /// Returns whether it is in force now.
+    /// Returns whether the state was replaced.
     pub fn update(&self, published: PublishedState) -> bool {
         let current = self.index();
         if current.is_some_and(|index| published.index <= index) {
@@ -53,80 +53,82 @@
         true
     }
 
-    /// Returns the state in force, or `None` before the first.
+    /// Returns the current state, or `None` before the first one.
     pub fn current(&self) -> Option<Rc<PublishedState>> {
         self.inner.published.borrow().clone()
     }
 
-    /// Returns the log position of the state in force.
+    /// Returns the log index of the current state.
     pub fn index(&self) -> Option<LogIndex> {
         self.inner.published.borrow().as_ref().map(|p| p.index)
     }
 
-    /// Returns the data centres that take no new work.
+    /// Returns the data centres that get no new work.
     pub fn taken_out(&self) -> Vec<CentreName> {
         let published = self.current().unwrap_or_default();
-        self.inner.holds.borrow().taken_out(&published.centres)
+        self.inner.take_outs.borrow().taken_out(&published.centres)
     }
 
-    /// Returns the changes of the state in force and of the data centres, to wait on.
+    /// Returns the signal for changes of the state or of take-out orders.
     pub fn changes(&self) -> &Signal {
         &self.inner.changed
     }
 
-    /// Takes in an order to take a data centre out.
-    pub fn merge_take_out(&self, hold: &TakeOut) -> MergeOutcome {
-        let heard = self.inner.holds.borrow_mut().merge(hold);
-        if heard == MergeOutcome::New {
-            let CentreOrder { operator, operation, centre, .. } = &hold.order;
+    /// Merges an order to take a data centre out.
+    pub fn merge_take_out(&self, take_out: &TakeOut) -> MergeOutcome {
+        let outcome = self.inner.take_outs.borrow_mut().merge(take_out);
+        if outcome == MergeOutcome::New {
+            let CentreOrder { operator, operation, centre, .. } = &take_out.order;
             tracing::info!(event = "take-out-heard", %operator, %operation, %centre);
             self.inner.changed.notify();
         }
-        heard
+        outcome
     }
 
-    /// Notes that the log decides on `order` from `index` on.
+    /// Records that `order` is superseded by the log from `index` on.
     pub fn mark_logged(&self, order: &CentreOrder, index: LogIndex) {
-        self.inner.holds.borrow_mut().mark_logged(order, index);
+        self.inner.take_outs.borrow_mut().mark_logged(order, index);
         self.inner.changed.notify();
     }
 
-    /// Returns what is known of an order.
+    /// Returns the take-out of `order`, if it is known.
     pub fn take_out(&self, order: &CentreOrder) -> Option<TakeOut> {
-        self.inner.holds.borrow().get(order).cloned()
+        self.inner.take_outs.borrow().get(order).cloned()
     }
 
-    /// Returns the orders that are not logged as far as is known here.
+    /// Returns the take-outs that aren't known to be committed to the log.
     pub fn unlogged(&self) -> Vec<TakeOut> {
-        self.inner.holds.borrow().unlogged().cloned().collect()
+        self.inner.take_outs.borrow().unlogged().cloned().collect()
     }
 
-    /// Notes that the state was that of a group with a leader `age` ago.
+    /// Records that the state was confirmed by a group with a leader `age` ago.
+    ///
+    /// A confirmation older than the latest one is ignored.
     pub fn record_confirmation(&self, age: Duration) {
         let age = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
         let at = boot_now().as_micros().checked_sub(age).map(Instant::from_micros);
-        self.inner.confirmed.set(self.inner.confirmed.get().max(at));
+        self.inner.confirmed_at.set(self.inner.confirmed_at.get().max(at));
     }
 
-    /// Returns the time since the state was last known to be that of a group with a leader.
+    /// Returns the time since the state was last confirmed by a group with a leader.
     pub fn age(&self) -> Option<Duration> {
-        self.inner.confirmed.get().map(|at| boot_now().since(at))
+        self.inner.confirmed_at.get().map(|at| boot_now().since(at))
     }
 
-    /// Answers a follower that has the state at `after`.
+    /// Returns the reply to a follower whose state has the index `after`.
     pub fn reply_after(&self, after: Option<LogIndex>) -> Followed {
         let published = self.current().filter(|p| after.is_none_or(|a| p.index > a));
         Followed {
             published: published.map(|p| PublishedState::clone(&p)),
-            holds: self.inner.holds.borrow().all().to_vec(),
+            holds: self.inner.take_outs.borrow().all().to_vec(),
             age_ms: self.age().map(millis),
         }
     }
 
-    /// Takes in what another instance answered.
+    /// Merges the reply of another instance.
     pub fn merge(&self, followed: Followed) {
-        for hold in &followed.holds {
-            self.merge_take_out(hold);
+        for take_out in &followed.holds {
+            self.merge_take_out(take_out);
         }
         if let Some(published) = followed.published {
             self.update(published);
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Returns what is in force here, for operators, without the part in the replicated log.
+    /// Returns the status of this instance for operators, without its control role.
     pub fn status(&self, name: &InstanceName) -> InstanceStatus {
         let published = self.current();
         let state = published.clone().unwrap_or_default();
