--- a/hawthornkeel/src/disk/error.rs
+++ b/hawthornkeel/src/disk/error.rs
@@ -8,50 +8,50 @@
 /// Why the data folder can't be used.
 #[derive(Debug)]
 pub enum DiskError {
-    /// Another process uses the folder.
+    /// The folder is locked by another process.
     Locked(PathBuf),
-    /// A file does not fit its checksum or its place.
+    /// A file is corrupted: its checksum, format or position is wrong.
     Damaged {
-        /// File.
+        /// Path of the file.
         file: PathBuf,
         /// Offset of the damage, in bytes.
         offset: u64,
-        /// What is wrong there.
-        what: &'static str,
+        /// Description of the damage.
+        reason: &'static str,
     },
-    /// A file that the others call for is not there.
+    /// A file that other files depend on doesn't exist.
     Missing(PathBuf),
     /// A file has an unknown format version.
     Version {
-        /// File.
+        /// Path of the file.
         file: PathBuf,
-        /// Version that it has.
+        /// Version of the file.
         found: u32,
         /// Version that this program reads.
         known: u32,
     },
-    /// Reading, writing or syncing failed.
+    /// A read, write, sync or other operation failed.
     Io {
-        /// File.
+        /// Path of the file.
         file: PathBuf,
         /// Error of the operating system.
         error: io::Error,
     },
-    /// The disk has no room. What was synced before stands.
+    /// The disk is full. Data synced before is not affected.
     Full(PathBuf),
-    /// What is to be written can't be encoded.
+    /// A value can't be encoded.
     Encode(postcard::Error),
-    /// An earlier write or sync failed.
+    /// An earlier write or sync failed, so the folder can't be written any more.
     Poisoned,
 }
 
 impl DiskError {
-    /// Creates an error of the operating system on `file`.
+    /// Creates an error for a failed operation on `file`.
     pub(super) fn io(file: &Path, error: io::Error) -> Self {
         Self::Io { file: file.to_owned(), error }
     }
 
-    /// Creates an error of a write to `file`.
+    /// Creates an error for a failed write to `file`, which is [`DiskError::Full`] on a full disk.
     pub(super) fn write(file: &Path, error: io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => {
@@ -61,9 +61,9 @@
         }
     }
 
-    /// Creates an error of damage in `file`.
-    pub(super) fn damaged(file: &Path, offset: u64, what: &'static str) -> Self {
-        Self::Damaged { file: file.to_owned(), offset, what }
+    /// Creates an error for damage in `file`.
+    pub(super) fn damaged(file: &Path, offset: u64, reason: &'static str) -> Self {
+        Self::Damaged { file: file.to_owned(), offset, reason }
     }
 }
 
@@ -73,8 +73,8 @@
             Self::Locked(path) => {
                 write!(f, "data folder {} is in use by another process", path.display())
             }
-            Self::Damaged { file, offset, what } => {
-                write!(f, "{} is damaged at offset {offset}: {what}", file.display())
+            Self::Damaged { file, offset, reason } => {
+                write!(f, "{} is damaged at offset {offset}: {reason}", file.display())
             }
             Self::Missing(file) => write!(f, "{} is missing", file.display()),
             Self::Version { file, found, known } => write!(
--- a/hawthornkeel/src/disk/file_io.rs
+++ b/hawthornkeel/src/disk/file_io.rs
@@ -1,28 +1,28 @@
-//! Writes and syncs: the edge to the operating system.
+//! File writes and syncs, replaceable for fault injection.
 
 use std::fmt::Debug;
 use std::fs::File;
 use std::io;
 use std::io::Write;
 
-/// Writes and syncs of open files.
+/// Writes and syncs open files.
 pub trait FileIo: Clone + Debug + Send + 'static {
-    /// Writes all of `data` at the file's position.
+    /// Writes all of `data` at the current position of the file.
     ///
     /// # Errors
     ///
-    /// Returns the error of the operating system; part of `data` may have been written.
+    /// Returns the error of the operating system. Part of `data` may have been written.
     fn write(&mut self, file: &mut File, data: &[u8]) -> io::Result<()>;
 
-    /// Brings what was written to the file onto the disk.
+    /// Flushes the written data of the file to the disk.
     ///
     /// # Errors
     ///
-    /// Returns the error of the operating system; what was written may be lost.
+    /// Returns the error of the operating system. Data written since the last sync may be lost.
     fn sync(&mut self, file: &File) -> io::Result<()>;
 }
 
-/// Writes and syncs of the operating system.
+/// Writes and syncs files through the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemIo;
 
--- a/hawthornkeel/src/disk/folder.rs
+++ b/hawthornkeel/src/disk/folder.rs
@@ -1,4 +1,4 @@
-//! Folder proper: lock, identity, and files that appear whole or not at all.
+//! Files of the data folder: lock, identity and atomic writes.
 
 use std::fs;
 use std::fs::File;
@@ -14,21 +14,21 @@
 use crate::disk::error::DiskError;
 use crate::disk::file_io::FileIo;
 use crate::disk::frame;
-use crate::disk::frame::Kind;
+use crate::disk::frame::FileKind;
 use crate::disk::frame::Record;
 use crate::disk::segment;
 use crate::disk::segment::FIRST_SEGMENT;
 
-/// Ending of files that are being written.
-const UNFINISHED: &str = "unfinished";
+/// Extension of files that are being written.
+const TEMPORARY_EXTENSION: &str = "unfinished";
 
-/// Exclusive lock on a data folder, held until it is dropped or the process ends.
+/// Exclusive lock on a data folder, held until it is dropped or the process exits.
 #[derive(Debug)]
 pub(super) struct Lock {
     _file: File,
 }
 
-/// Creates the folder if there is none, and locks it.
+/// Locks the folder, which is created if it doesn't exist.
 pub(super) fn lock(path: &Path) -> Result<Lock, DiskError> {
     fs::create_dir_all(path).map_err(|e| DiskError::io(path, e))?;
     if let Some(parent) = path.parent().filter(|p| !p.as_os_str().is_empty()) {
@@ -44,46 +44,47 @@
     }
 }
 
-/// Brings the names of the folder's files onto the disk.
+/// Flushes the directory entries of the folder to the disk.
 pub(super) fn sync_folder(path: &Path) -> Result<(), DiskError> {
     let synced = File::open(path).and_then(|f| f.sync_all());
     synced.map_err(|e| DiskError::io(path, e))
 }
 
-/// Writes a file aside, syncs it and renames it to `path`, so that it appears whole or not at all.
-pub(super) fn write_whole<F: FileIo>(
+/// Writes and syncs a temporary file and renames it to `path`, so that the write is atomic.
+pub(super) fn write_atomically<F: FileIo>(
     path: &Path,
     data: &[u8],
-    files: &mut F,
+    io: &mut F,
 ) -> Result<File, DiskError> {
-    let file = write_aside(path, data, files)?;
-    put_in_force(path)?;
+    let file = write_temporary(path, data, io)?;
+    commit_temporary(path)?;
     Ok(file)
 }
 
-/// Writes the content of `path` to a file beside it, and syncs that.
-pub(super) fn write_aside<F: FileIo>(
+/// Writes and syncs the temporary file for `path`.
+pub(super) fn write_temporary<F: FileIo>(
     path: &Path,
     data: &[u8],
-    files: &mut F,
+    io: &mut F,
 ) -> Result<File, DiskError> {
-    let aside = path.with_extension(UNFINISHED);
-    let mut file = File::create(&aside).map_err(|e| DiskError::write(&aside, e))?;
-    files.write(&mut file, data).map_err(|e| DiskError::write(&aside, e))?;
-    files.sync(&file).map_err(|e| DiskError::io(&aside, e))?;
+    let temporary = path.with_extension(TEMPORARY_EXTENSION);
+    let mut file = File::create(&temporary).map_err(|e| DiskError::write(&temporary, e))?;
+    io.write(&mut file, data).map_err(|e| DiskError::write(&temporary, e))?;
+    io.sync(&file).map_err(|e| DiskError::io(&temporary, e))?;
     Ok(file)
 }
 
-/// Renames what was written aside to `path`.
-pub(super) fn put_in_force(path: &Path) -> Result<(), DiskError> {
-    fs::rename(path.with_extension(UNFINISHED), path).map_err(|e| DiskError::io(path, e))?;
+/// Renames the temporary file for `path` to `path`.
+pub(super) fn commit_temporary(path: &Path) -> Result<(), DiskError> {
+    fs::rename(path.with_extension(TEMPORARY_EXTENSION), path)
+        .map_err(|e| DiskError::io(path, e))?;
     path.parent().map_or(Ok(()), sync_folder)
 }
 
-/// Removes files whose writing was broken off.
-pub(super) fn remove_unfinished(path: &Path) -> Result<(), DiskError> {
-    for file in list(path)? {
-        if file.extension().is_some_and(|e| e == UNFINISHED) {
+/// Removes temporary files of interrupted writes.
+pub(super) fn remove_temporary_files(path: &Path) -> Result<(), DiskError> {
+    for file in list_files(path)? {
+        if file.extension().is_some_and(|e| e == TEMPORARY_EXTENSION) {
             remove(&file)?;
         }
     }
@@ -95,51 +96,51 @@
     fs::remove_file(path).map_err(|e| DiskError::io(path, e))
 }
 
-/// Lists the files of a folder.
-pub(super) fn list(path: &Path) -> Result<Vec<PathBuf>, DiskError> {
+/// Lists the files in a folder.
+pub(super) fn list_files(path: &Path) -> Result<Vec<PathBuf>, DiskError> {
     let entries = fs::read_dir(path).map_err(|e| DiskError::io(path, e))?;
     let paths = entries.map(|entry| entry.map(|e| e.path()));
     paths.collect::<io::Result<_>>().map_err(|e| DiskError::io(path, e))
 }
 
-/// Lists the numbers of the files called `prefix` and a number in hexadecimal, in order.
-pub(super) fn numbers(path: &Path, prefix: &str) -> Result<Vec<u64>, DiskError> {
+/// Returns the numbers of the files named `prefix` plus a hexadecimal number, in order.
+pub(super) fn file_numbers(path: &Path, prefix: &str) -> Result<Vec<u64>, DiskError> {
     let number = |file: PathBuf| {
         let name = file.file_name()?.to_str()?.strip_prefix(prefix)?;
         u64::from_str_radix(name, 16).ok()
     };
-    let mut numbers: Vec<u64> = list(path)?.into_iter().filter_map(number).collect();
+    let mut numbers: Vec<u64> = list_files(path)?.into_iter().filter_map(number).collect();
     numbers.sort_unstable();
     Ok(numbers)
 }
 
-/// Reads the identity of the folder, if it has one.
+/// Reads the replica's identity, if the folder has one.
 pub(super) fn read_identity(path: &Path) -> Result<Option<ReplicaId>, DiskError> {
     let name = path.join("identity");
     match fs::read(&name) {
-        Ok(data) => frame::decode_file(&name, Kind::Identity, &data).map(Some),
+        Ok(data) => frame::decode_file(&name, FileKind::Identity, &data).map(Some),
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
         Err(error) => Err(DiskError::io(&name, error)),
     }
 }
 
-/// Draws the identity of an empty folder.
+/// Creates the identity of an empty folder.
 ///
-/// The first segment goes before it, so that a folder with an identity always has a log.
-pub(super) fn draw_identity<F: FileIo>(path: &Path, files: &mut F) -> Result<ReplicaId, DiskError> {
+/// The first segment is created before it, so that a folder with an identity always has a log.
+pub(super) fn create_identity<F: FileIo>(path: &Path, io: &mut F) -> Result<ReplicaId, DiskError> {
     let first = segment::path(path, FIRST_SEGMENT);
     let empty = Record { hard: None, truncate: None, entries: &[] };
-    for file in list(path)? {
-        let begun = file == first && segment::holds_only(&file, &[empty])?;
+    for file in list_files(path)? {
+        let first_segment = file == first && segment::contains_only(&file, &[empty])?;
         let lock = file.file_name().is_some_and(|n| n == "lock");
-        // Files without the identity that they were written under must not get another one.
-        if !begun && !lock {
+        // Data whose identity file is missing must not be adopted under a new identity.
+        if !first_segment && !lock {
             return Err(DiskError::Missing(path.join("identity")));
         }
     }
-    segment::create(path, FIRST_SEGMENT, &[empty], files)?;
+    segment::create(path, FIRST_SEGMENT, &[empty], io)?;
     let id = ReplicaId(rand::random());
-    let data = frame::encode_file(Kind::Identity, &id)?;
-    write_whole(&path.join("identity"), &data, files)?;
+    let data = frame::encode_file(FileKind::Identity, &id)?;
+    write_atomically(&path.join("identity"), &data, io)?;
     Ok(id)
 }
--- a/hawthornkeel/src/disk/mod.rs
+++ b/hawthornkeel/src/disk/mod.rs
@@ -1,16 +1,18 @@
-//! Data folder: write-ahead log, snapshots and the lock.
+//! Data folder: write-ahead log, snapshots and lock.
 //!
-//! The folder holds a lock, the replica's identity, segments of the log and one snapshot.
+//! The folder contains a lock file, the replica's identity, segments of the log and one snapshot.
 //!
-//! - The identity is drawn when the folder is empty, so a lost disk comes back as another replica.
-//! - A segment is a header and frames. A frame holds the saves that share one sync, and the next
-//!   frame is written only after that sync. So only the last frame can be torn, which is cut off
-//!   when the folder is opened; anything else that does not fit its checksum is damage, and the
-//!   folder is not opened.
-//! - A snapshot is written aside, synced and renamed. It names the first segment that counts.
-//! - After a failed write or sync nothing more is written: what the kernel dropped can't be known.
-//!   A frame that a full disk refused is the exception: all before it was synced, so it is taken
-//!   back and written again.
+//! - The identity is generated when the folder is empty, so a replica that lost its disk returns
+//!   under a new identity.
+//! - A segment consists of a header and frames. A frame contains the saves that share one sync, and
+//!   the next frame is written only after that sync. Therefore only the last frame can be torn, and
+//!   it is truncated when the folder is opened. Any other checksum mismatch is damage, and the
+//!   folder isn't opened.
+//! - A snapshot is written to a temporary file, synced and renamed. It names the first segment that
+//!   is still needed.
+//! - After a failed write or sync nothing more is written, because it is unknown which data the
+//!   kernel dropped. A frame rejected by a full disk is the exception: everything before it was
+//!   synced, so it is rolled back and written again.
 
 mod error;
 mod file_io;
@@ -47,9 +49,9 @@
 /// Settings of a data folder.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DiskSettings {
-    /// Size at which a segment of the log ends, in bytes.
+    /// Size at which a new segment of the log is started, in bytes.
     pub segment_bytes: u64,
-    /// Saves that share one sync, at most.
+    /// Maximum number of saves that share one sync (group commit).
     pub group_saves: usize,
 }
 
@@ -59,39 +61,39 @@
     }
 }
 
-/// What a data folder holds.
+/// State recovered from a data folder.
 #[derive(Clone, Debug)]
 pub struct Recovered {
-    /// Identity of the folder.
+    /// Identity of the replica.
     pub id: ReplicaId,
-    /// State of the replica.
+    /// Persisted state of the replica.
     pub state: PersistedState,
-    /// Size of the torn end of the log that was cut off, in bytes.
+    /// Size of the torn frame removed from the end of the log, in bytes.
     pub truncated_bytes: u64,
 }
 
-/// Open data folder. Its calls block.
+/// Open data folder. All calls block.
 #[derive(Debug)]
 pub struct Disk<F: FileIo = SystemIo> {
     path: PathBuf,
     settings: DiskSettings,
-    files: F,
-    /// Segments in order; the last one is written to.
+    io: F,
+    /// Segments in order; writes go to the last one.
     segments: Vec<Segment>,
     file: File,
-    hard: HardState,
-    /// Last entry of the log.
-    last: LogIndex,
+    hard_state: HardState,
+    /// Index of the last log entry.
+    last_index: LogIndex,
     poisoned: bool,
     _lock: Lock,
 }
 
 impl Disk {
-    /// Opens the data folder at `path`, which is created if there is none.
+    /// Opens the data folder at `path`, which is created if it doesn't exist.
     ///
     /// # Errors
     ///
-    /// Returns an error where the folder is in use, damaged, of an unknown format version, or can't
+    /// Returns an error if the folder is in use or damaged, has an unknown format version, or can't
     /// be read or written.
     pub fn open(path: &Path, settings: DiskSettings) -> Result<(Self, Recovered), DiskError> {
         Self::open_with(path, settings, SystemIo)
@@ -99,7 +101,7 @@
 }
 
 impl<F: FileIo> Disk<F> {
-    /// Opens the data folder at `path` with other means of writing and syncing.
+    /// Opens the data folder at `path` with another implementation of file I/O.
     ///
     /// # Errors
     ///
@@ -107,42 +109,42 @@
     pub fn open_with(
         path: &Path,
         settings: DiskSettings,
-        mut files: F,
+        mut io: F,
     ) -> Result<(Self, Recovered), DiskError> {
         let lock = folder::lock(path)?;
-        folder::remove_unfinished(path)?;
+        folder::remove_temporary_files(path)?;
         let id = match folder::read_identity(path)? {
             Some(id) => id,
-            None => folder::draw_identity(path, &mut files)?,
+            None => folder::create_identity(path, &mut io)?,
         };
-        let found = recover::recover(path)?;
-        let recovered = Recovered { id, state: found.stored, truncated_bytes: found.cut };
-        let last = recovered.state.entries.last().map_or(LogIndex(0), |e| e.index);
+        let log = recover::recover(path)?;
+        let recovered = Recovered { id, state: log.state, truncated_bytes: log.torn_bytes };
+        let last_index = recovered.state.entries.last().map_or(LogIndex(0), |e| e.index);
         let disk = Self {
             path: path.to_owned(),
             settings,
-            files,
-            segments: found.segments,
-            file: found.file,
-            hard: recovered.state.hard,
-            last,
+            io,
+            segments: log.segments,
+            file: log.file,
+            hard_state: recovered.state.hard,
+            last_index,
             poisoned: false,
             _lock: lock,
         };
         Ok((disk, recovered))
     }
 
-    /// Writes saves in order and syncs them: all are on disk when it returns.
+    /// Writes and syncs saves in order; all of them are durable on return.
     ///
     /// # Errors
     ///
-    /// Returns an error where a write or sync failed. None of the saves counts then, and every
-    /// later call fails with [`DiskError::Poisoned`].
+    /// Returns an error if a write or sync failed. None of the saves counts as durable then, and
+    /// every later call returns [`DiskError::Poisoned`], unless [`Disk::rollback`] succeeds.
     pub fn write(&mut self, saves: &[Save]) -> Result<(), DiskError> {
         if self.poisoned {
             return Err(DiskError::Poisoned);
         }
-        // Cleared only by success, so that no early return leaves it out.
+        // Cleared only on success, so that every early return leaves the folder poisoned.
         self.poisoned = true;
         let mut records = Vec::new();
         for save in saves {
@@ -161,13 +163,13 @@
         Ok(())
     }
 
-    /// Takes back a frame that [`Disk::write`] failed to write with [`DiskError::Full`].
+    /// Removes the frame that [`Disk::write`] failed to write with [`DiskError::Full`].
     ///
-    /// Only log saves may have been written with it; the same saves are to be written again.
+    /// The failed call must have contained only log saves, which must be written again.
     ///
     /// # Errors
     ///
-    /// Returns an error where the end of the frame can't be cut off; the folder stays as it was.
+    /// Returns an error if the segment can't be truncated; the folder stays poisoned.
     pub fn rollback(&mut self) -> Result<(), DiskError> {
         let Some(segment) = self.segments.last() else { return Err(DiskError::Poisoned) };
         let path = segment::path(&self.path, segment.number);
@@ -178,7 +180,7 @@
         Ok(())
     }
 
-    /// Writes records as one frame, syncs it, and begins a new segment if this one is full.
+    /// Writes and syncs records as one frame, and starts a new segment if the current one is full.
     fn write_records(&mut self, records: &mut Vec<Record<'_>>) -> Result<(), DiskError> {
         if records.is_empty() {
             return Ok(());
@@ -186,63 +188,63 @@
         let frame = frame::encode(&*records)?;
         let Some(segment) = self.segments.last_mut() else { return Err(DiskError::Poisoned) };
         let path = segment::path(&self.path, segment.number);
-        self.files.write(&mut self.file, &frame).map_err(|e| DiskError::write(&path, e))?;
-        self.files.sync(&self.file).map_err(|e| DiskError::io(&path, e))?;
+        self.io.write(&mut self.file, &frame).map_err(|e| DiskError::write(&path, e))?;
+        self.io.sync(&self.file).map_err(|e| DiskError::io(&path, e))?;
         segment.bytes += frame.len() as u64;
         for record in records.drain(..) {
-            self.hard = record.hard.unwrap_or(self.hard);
+            self.hard_state = record.hard.unwrap_or(self.hard_state);
             if let Some(from) = record.truncate {
-                self.last = self.last.min(LogIndex(from.0.saturating_sub(1)));
+                self.last_index = self.last_index.min(LogIndex(from.0.saturating_sub(1)));
             }
-            self.last = record.entries.last().map_or(self.last, |e| e.index);
-            segment.last = segment.last.max(self.last);
+            self.last_index = record.entries.last().map_or(self.last_index, |e| e.index);
+            segment.last_index = segment.last_index.max(self.last_index);
         }
         if segment.bytes >= self.settings.segment_bytes {
-            self.begin_segment()?;
+            self.start_segment()?;
         }
         Ok(())
     }
 
-    /// Begins a new segment, which repeats the hard state so that older ones may go.
-    fn begin_segment(&mut self) -> Result<(), DiskError> {
+    /// Starts a new segment, which repeats the hard state so that older segments can be removed.
+    fn start_segment(&mut self) -> Result<(), DiskError> {
         let number = self.segments.last().map_or(1, |s| s.number + 1);
-        let hard = Record { hard: Some(self.hard), truncate: None, entries: &[] };
-        let (file, bytes) = segment::create(&self.path, number, &[hard], &mut self.files)?;
+        let record = Record { hard: Some(self.hard_state), truncate: None, entries: &[] };
+        let (file, bytes) = segment::create(&self.path, number, &[record], &mut self.io)?;
         self.file = file;
-        self.segments.push(Segment { number, bytes, last: LogIndex(0) });
+        self.segments.push(Segment { number, bytes, last_index: LogIndex(0) });
         Ok(())
     }
 
-    /// Writes a snapshot, and removes what it replaces.
+    /// Writes a snapshot, and removes the files that it replaces.
     fn write_snapshot(
         &mut self,
         snapshot: &Snapshot,
         retention: LogRetention,
     ) -> Result<(), DiskError> {
         if retention == LogRetention::Nothing {
-            self.begin_segment()?;
-            self.last = snapshot.index;
+            self.start_segment()?;
+            self.last_index = snapshot.index;
         }
-        let first = self.first_kept(retention);
-        snapshot::write_aside(&self.path, snapshot, first, &mut self.files)?;
-        self.adopt_snapshot(snapshot.index, first)
+        let first = self.first_retained(retention);
+        snapshot::write_temporary(&self.path, snapshot, first, &mut self.io)?;
+        self.commit_snapshot(snapshot.index, first)
     }
 
-    /// Returns the number of the first segment that a snapshot leaves.
-    fn first_kept(&self, retention: LogRetention) -> u64 {
+    /// Returns the number of the first segment that is retained with a snapshot.
+    fn first_retained(&self, retention: LogRetention) -> u64 {
         let current = self.segments.last().map_or(1, |s| s.number);
         match retention {
             LogRetention::Nothing => current,
             LogRetention::From(index) => {
-                let kept = self.segments.iter().find(|s| s.last >= index);
-                kept.map_or(current, |s| s.number)
+                let retained = self.segments.iter().find(|s| s.last_index >= index);
+                retained.map_or(current, |s| s.number)
             }
         }
     }
 
-    /// Puts a snapshot that was written aside in force, and removes what it replaces.
-    fn adopt_snapshot(&mut self, index: LogIndex, first: u64) -> Result<(), DiskError> {
-        snapshot::put_in_force(&self.path, index)?;
+    /// Commits a snapshot that was written to a temporary file, and removes the files it replaces.
+    fn commit_snapshot(&mut self, index: LogIndex, first: u64) -> Result<(), DiskError> {
+        snapshot::commit_temporary(&self.path, index)?;
         snapshot::remove_older(&self.path, index)?;
         for segment in self.segments.extract_if(.., |s| s.number < first) {
             folder::remove(&segment::path(&self.path, segment.number))?;
--- a/hawthornkeel/src/disk/segment.rs
+++ b/hawthornkeel/src/disk/segment.rs
@@ -11,10 +11,10 @@
 use crate::disk::file_io::FileIo;
 use crate::disk::folder;
 use crate::disk::frame;
-use crate::disk::frame::Kind;
+use crate::disk::frame::FileKind;
 use crate::disk::frame::Record;
 
-/// Start of the names of segments.
+/// Prefix of the file names of segments.
 pub(super) const PREFIX: &str = "log-";
 
 /// Number of the first segment.
@@ -23,12 +23,12 @@
 /// Segment of the log.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Segment {
-    /// Number, rising by one.
+    /// Consecutive number.
     pub(super) number: u64,
     /// Size in bytes.
     pub(super) bytes: u64,
-    /// Highest position of an entry that was ever the last one while it was written.
-    pub(super) last: LogIndex,
+    /// Highest index that the end of the log had while this segment was written.
+    pub(super) last_index: LogIndex,
 }
 
 /// Returns the path of a segment.
@@ -36,27 +36,27 @@
     folder.join(format!("{PREFIX}{number:016x}"))
 }
 
-/// Returns the content of a segment that holds only `records`.
-fn content(records: &[Record<'_>]) -> Result<Vec<u8>, DiskError> {
-    let mut data = frame::file_header(Kind::Segment);
+/// Encodes a segment that contains only `records`.
+fn encode(records: &[Record<'_>]) -> Result<Vec<u8>, DiskError> {
+    let mut data = frame::file_header(FileKind::Segment);
     data.extend_from_slice(&frame::encode(records)?);
     Ok(data)
 }
 
-/// Creates a segment that begins with `records`, and returns it with its size in bytes.
+/// Creates a segment that starts with `records`, and returns its file and size in bytes.
 pub(super) fn create<F: FileIo>(
     folder: &Path,
     number: u64,
     records: &[Record<'_>],
-    files: &mut F,
+    io: &mut F,
 ) -> Result<(File, u64), DiskError> {
-    let data = content(records)?;
-    let file = folder::write_whole(&path(folder, number), &data, files)?;
+    let data = encode(records)?;
+    let file = folder::write_atomically(&path(folder, number), &data, io)?;
     Ok((file, data.len() as u64))
 }
 
-/// Tells whether a segment holds nothing but `records`.
-pub(super) fn holds_only(path: &Path, records: &[Record<'_>]) -> Result<bool, DiskError> {
+/// Returns whether a segment contains nothing but `records`.
+pub(super) fn contains_only(path: &Path, records: &[Record<'_>]) -> Result<bool, DiskError> {
     let data = fs::read(path).map_err(|e| DiskError::io(path, e))?;
-    Ok(data == content(records)?)
+    Ok(data == encode(records)?)
 }
--- a/hawthornkeel/src/disk/writer.rs
+++ b/hawthornkeel/src/disk/writer.rs
@@ -1,4 +1,4 @@
-//! Thread that writes to the data folder.
+//! Writer thread of the data folder.
 
 use std::io;
 use std::sync::Arc;
@@ -24,119 +24,119 @@
 use crate::disk::folder;
 use crate::disk::snapshot;
 
-/// Pause before a full disk is tried again.
-const FULL_PAUSE: Duration = Duration::from_millis(100);
-/// Time for which a disk may be full before the process stops, as others can do without it.
-const FULL_TIME: Duration = Duration::from_secs(60);
+/// Delay between write attempts on a full disk.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time after which a full disk ends the process, because the other instances can do without it.
+const FULL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What the writer reports.
+/// Event reported by the writer.
 #[derive(Debug)]
 pub enum WriterEvent {
-    /// The save with this sequence number and all before it are on disk.
+    /// The save with this sequence number and all saves before it are durable.
     ///
-    /// Snapshots of the replica's own state ([`LogRetention::From`]) may still be on their way.
+    /// Snapshots of the replica's own state ([`LogRetention::From`]) may still be in progress.
     Synced(SaveSeq),
-    /// A write or sync failed. Nothing more is written and the process must stop.
+    /// A write or sync failed. Nothing more is written, and the process must exit.
     Failed(DiskError),
 }
 
-/// Order to the thread.
-enum Order {
+/// Command to the writer thread.
+enum WriterCommand {
     /// Write a save.
     Save(SaveSeq, Save),
-    /// Write a snapshot while the log goes on, and say so by the sender.
-    Snapshot(SaveSeq, Snapshot, LogRetention, Sender<Order>),
-    /// The snapshot that was being written is written.
-    Written,
+    /// Write a snapshot in the background, and send [`WriterCommand::SnapshotWritten`] at the end.
+    Snapshot(SaveSeq, Snapshot, LogRetention, Sender<WriterCommand>),
+    /// The background write of a snapshot has ended.
+    SnapshotWritten,
 }
 
-/// Snapshot that is being written aside.
-struct Job {
+/// Snapshot that is being written in the background.
+struct SnapshotJob {
     index: LogIndex,
     first: u64,
     thread: JoinHandle<Result<(), DiskError>>,
 }
 
-/// Writer of a data folder on a thread of its own.
+/// Writes to a data folder on a separate thread.
 ///
-/// Dropping it writes what it was handed, and waits for that, but not for a disk that is full.
+/// Dropping it blocks until all queued saves are written, unless the disk is full.
 #[derive(Debug)]
 pub struct DiskWriter {
-    sender: Option<Sender<Order>>,
+    sender: Option<Sender<WriterCommand>>,
     thread: Option<JoinHandle<()>>,
-    ending: Arc<AtomicBool>,
+    closing: Arc<AtomicBool>,
 }
 
 impl DiskWriter {
-    /// Starts the thread; `report` is called on it.
+    /// Starts the thread; `report` is called on that thread.
     ///
     /// # Errors
     ///
-    /// Returns the error of the operating system where it has no thread left.
+    /// Returns the error of the operating system if the thread can't be created.
     pub fn start<F: FileIo>(
         disk: Disk<F>,
         mut report: impl FnMut(WriterEvent) + Send + 'static,
     ) -> io::Result<Self> {
         let (sender, receiver) = mpsc::channel();
         let thread = thread::Builder::new().name("disk".to_owned());
-        let ending = Arc::new(AtomicBool::new(false));
-        let seen = Arc::clone(&ending);
+        let closing = Arc::new(AtomicBool::new(false));
+        let closed = Arc::clone(&closing);
         let thread = thread.spawn(move || {
-            let mut worker = Worker { disk, job: None, ending: seen };
+            let mut worker = Worker { disk, job: None, closing: closed };
             if let Err(error) = worker.run(&receiver, &mut report) {
                 report(WriterEvent::Failed(error));
             }
         })?;
-        Ok(Self { sender: Some(sender), thread: Some(thread), ending })
+        Ok(Self { sender: Some(sender), thread: Some(thread), closing })
     }
 
-    /// Hands over a save; saves are written in the order of this call.
+    /// Queues a save; saves are written in the order of the calls.
     ///
-    /// After a failure it is dropped, and never reported as synced.
+    /// After a failure, saves are discarded and never reported as synced.
     pub fn save(&self, seq: SaveSeq, save: Save) {
         let Some(sender) = &self.sender else { return };
-        let order = match save {
+        let command = match save {
             Save::Snapshot { snapshot, retention: retention @ LogRetention::From(_) } => {
-                Order::Snapshot(seq, snapshot, retention, sender.clone())
+                WriterCommand::Snapshot(seq, snapshot, retention, sender.clone())
             }
-            save => Order::Save(seq, save),
+            save => WriterCommand::Save(seq, save),
         };
-        // The thread ends only after it has reported a failure.
-        let _ = sender.send(order);
+        // The receiver is dropped only after a reported failure.
+        let _ = sender.send(command);
     }
 }
 
 impl Drop for DiskWriter {
     fn drop(&mut self) {
         self.sender = None;
-        self.ending.store(true, Ordering::Relaxed);
+        self.closing.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-/// State of the thread.
+/// State of the writer thread.
 struct Worker<F: FileIo> {
     disk: Disk<F>,
-    job: Option<Job>,
+    job: Option<SnapshotJob>,
     /// Whether the writer is being dropped.
-    ending: Arc<AtomicBool>,
+    closing: Arc<AtomicBool>,
 }
 
 impl<F: FileIo> Worker<F> {
-    /// Writes until there is nothing to come; saves that wait share one sync.
+    /// Writes saves until the sender is dropped; queued saves share one sync.
     fn run(
         &mut self,
-        receiver: &Receiver<Order>,
+        receiver: &Receiver<WriterCommand>,
         report: &mut impl FnMut(WriterEvent),
     ) -> Result<(), DiskError> {
         let mut saves = Vec::new();
-        while let Ok(order) = receiver.recv() {
-            let mut seq = self.take(order, &mut saves)?;
+        while let Ok(command) = receiver.recv() {
+            let mut seq = self.handle(command, &mut saves)?;
             while saves.len() < self.disk.settings.group_saves {
-                let Ok(order) = receiver.try_recv() else { break };
-                seq = self.take(order, &mut saves)?.or(seq);
+                let Ok(command) = receiver.try_recv() else { break };
+                seq = self.handle(command, &mut saves)?.or(seq);
             }
             self.write(&saves)?;
             saves.clear();
@@ -147,99 +147,103 @@
         Ok(())
     }
 
-    /// Writes saves, waiting for room where the disk is full.
+    /// Writes saves, and retries while the disk is full.
     fn write(&mut self, saves: &[Save]) -> Result<(), DiskError> {
-        let only_log = saves.iter().all(|s| matches!(s, Save::Log { .. }));
-        let mut since = None;
+        let is_log_only = saves.iter().all(|s| matches!(s, Save::Log { .. }));
+        let mut full_since = None;
         loop {
             let error = match self.disk.write(saves) {
-                Err(DiskError::Full(file)) if only_log => DiskError::Full(file),
-                written => {
-                    if let (Some(since), Ok(())) = (since, &written) {
+                Err(DiskError::Full(file)) if is_log_only => DiskError::Full(file),
+                result => {
+                    if let (Some(since), Ok(())) = (full_since, &result) {
                         let ms = Instant::elapsed(&since).as_millis();
                         tracing::info!(event = "disk-has-room", ms);
                     }
-                    return written;
+                    return result;
                 }
             };
-            if since.is_none() {
+            if full_since.is_none() {
                 tracing::warn!(event = "disk-full", %error);
             }
-            let since = *since.get_or_insert_with(Instant::now);
-            while let Err(full) = self.disk.rollback() {
-                if self.ends(since) || !matches!(full, DiskError::Full(_)) {
-                    return Err(full);
+            let since = *full_since.get_or_insert_with(Instant::now);
+            while let Err(rollback_error) = self.disk.rollback() {
+                if self.should_give_up(since) || !matches!(rollback_error, DiskError::Full(_)) {
+                    return Err(rollback_error);
                 }
-                thread::sleep(FULL_PAUSE);
+                thread::sleep(FULL_RETRY_DELAY);
             }
-            if self.ends(since) {
+            if self.should_give_up(since) {
                 return Err(error);
             }
-            thread::sleep(FULL_PAUSE);
+            thread::sleep(FULL_RETRY_DELAY);
         }
     }
 
-    /// Tells whether a disk that is full since then is not waited for any longer.
-    fn ends(&self, since: Instant) -> bool {
-        self.ending.load(Ordering::Relaxed) || since.elapsed() > FULL_TIME
+    /// Returns whether to stop retrying on a disk that has been full since `since`.
+    fn should_give_up(&self, since: Instant) -> bool {
+        self.closing.load(Ordering::Relaxed) || since.elapsed() > FULL_TIMEOUT
     }
 
-    /// Takes in an order, and returns the sequence number that is on disk once `saves` are.
-    fn take(&mut self, order: Order, saves: &mut Vec<Save>) -> Result<Option<SaveSeq>, DiskError> {
-        match order {
-            Order::Save(seq, save) => {
-                // A snapshot that replaces the log must not be followed by an older one.
+    /// Handles a command, and returns the sequence number that is durable once `saves` are.
+    fn handle(
+        &mut self,
+        command: WriterCommand,
+        saves: &mut Vec<Save>,
+    ) -> Result<Option<SaveSeq>, DiskError> {
+        match command {
+            WriterCommand::Save(seq, save) => {
+                // An older snapshot must not be committed after one that replaces the log.
                 if matches!(save, Save::Snapshot { .. }) {
                     self.finish_job()?;
                 }
                 saves.push(save);
                 Ok(Some(seq))
             }
-            Order::Snapshot(seq, snapshot, retention, done) => {
-                // What it may drop must be known to the folder.
+            WriterCommand::Snapshot(seq, snapshot, retention, done) => {
+                // The folder must know the entries that the snapshot may drop.
                 self.write(saves)?;
                 saves.clear();
                 self.finish_job()?;
                 self.start_job(snapshot, retention, done)?;
                 Ok(Some(seq))
             }
-            Order::Written => {
+            WriterCommand::SnapshotWritten => {
                 self.finish_job()?;
                 Ok(None)
             }
         }
     }
 
-    /// Starts to write a snapshot aside.
+    /// Starts to write a snapshot in the background.
     fn start_job(
         &mut self,
         snapshot: Snapshot,
         retention: LogRetention,
-        done: Sender<Order>,
+        done: Sender<WriterCommand>,
     ) -> Result<(), DiskError> {
-        let (index, first) = (snapshot.index, self.disk.first_kept(retention));
-        let (path, mut files) = (self.disk.path.clone(), self.disk.files.clone());
+        let (index, first) = (snapshot.index, self.disk.first_retained(retention));
+        let (path, mut io) = (self.disk.path.clone(), self.disk.io.clone());
         let thread = thread::Builder::new().name("snapshot".to_owned());
         let thread = thread.spawn(move || {
-            let written = snapshot::write_aside(&path, &snapshot, first, &mut files);
-            let _ = done.send(Order::Written);
-            written
+            let result = snapshot::write_temporary(&path, &snapshot, first, &mut io);
+            let _ = done.send(WriterCommand::SnapshotWritten);
+            result
         });
         let thread = thread.map_err(|e| DiskError::io(&self.disk.path, e))?;
-        self.job = Some(Job { index, first, thread });
+        self.job = Some(SnapshotJob { index, first, thread });
         Ok(())
     }
 
-    /// Waits for the snapshot that is being written, if any, and puts it in force.
+    /// Waits for a snapshot that is being written, and commits it.
     fn finish_job(&mut self) -> Result<(), DiskError> {
         let Some(job) = self.job.take() else { return Ok(()) };
-        // A thread that panicked wrote nothing that counts.
-        let written = job.thread.join().unwrap_or(Err(DiskError::Poisoned));
-        if let Err(error @ DiskError::Full(_)) = written {
-            // The log still holds all that the snapshot would have replaced.
+        // A panic of the thread leaves no committed snapshot.
+        let result = job.thread.join().unwrap_or(Err(DiskError::Poisoned));
+        if let Err(error @ DiskError::Full(_)) = result {
+            // The log still contains all entries that the snapshot would have replaced.
             tracing::warn!(event = "snapshot-left-out", %error);
-            return folder::remove_unfinished(&self.disk.path);
+            return folder::remove_temporary_files(&self.disk.path);
         }
-        written.and_then(|()| self.disk.adopt_snapshot(job.index, job.first))
+        result.and_then(|()| self.disk.commit_snapshot(job.index, job.first))
     }
 }
