--- a/hawthornkeel/benches/control.rs
+++ b/hawthornkeel/benches/control.rs
@@ -1,13 +1,14 @@
-//! Claims a second and commit latency with real syncs, with and without batches; cost of control.
+//! Claim throughput and commit latency with real syncs, with and without batching, and the cost of
+//! the control plane to each instance.
 //!
-//! Prints one key=value line a measurement. Without batches each command is a log entry of its own
-//! and the disk syncs each save alone; entries may still share a message. Regression bounds are
-//! checked at the end of the run, on what doesn't depend on what else the machine does: log entries
-//! a claim, the leader's processor time a claim beside that without batches, and the users' limits
-//! for control.
+//! Prints one `key=value` line per measurement. Without batching each command is a separate log
+//! entry and each save is synced separately; entries may still share a message. Regression limits
+//! are checked at the end of the run, on figures that don't depend on other load of the machine:
+//! log entries per claim, the leader's CPU time per claim relative to that without batching, and
+//! the users' limits for the control plane.
 //!
-//! Processor time is that of an instance's event loop, without the disk's thread; bytes are those of
-//! datagrams sent and received, without the heads of UDP and IP.
+//! CPU time is that of an instance's event loop, without the disk writer thread. Bytes are those of
+//! datagrams sent and received, without UDP and IP headers.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -44,84 +45,85 @@
 use support::operator::submit;
 use support::operator::wait_for;
 
-/// Claimers at once in each measurement.
+/// Concurrent claimers of each measurement.
 const CLAIMERS: [u32; 4] = [1, 16, 128, 512];
-/// Claimers at which the gain of batches is bounded.
-const LOADED: u32 = 512;
-/// Log entries a claim with batches, at most.
+/// Number of claimers at which the limits on batching are checked.
+const CHECKED_CLAIMERS: u32 = 512;
+/// Maximum number of log entries per claim with batching.
 const MAX_ENTRIES: f64 = 0.1;
-/// Processor time of the leader a claim with batches, as a share of that without, at most.
+/// Maximum CPU time of the leader per claim with batching, relative to that without.
 const MAX_CPU_SHARE: f64 = 0.9;
-/// Instances in each measurement of control's cost.
+/// Number of instances of each cost measurement.
 const SIZES: [usize; 4] = [8, 16, 32, 64];
-/// Time of one measurement.
-const RUN: Duration = Duration::from_secs(3);
-/// Time for the connections of the start to settle: an instance that found its best source late
-/// tries it again after 15 s.
-const SETTLE: Duration = Duration::from_secs(22);
-/// Time for one claim.
+/// Duration of one measurement.
+const MEASUREMENT: Duration = Duration::from_secs(3);
+/// Time for connections to settle after the start.
+///
+/// Longer than the 15 s after which an instance returns to a preferred source.
+const WARM_UP: Duration = Duration::from_secs(22);
+/// Timeout of one claim.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// Share of a core that control may cost an instance, in percent.
+/// Maximum CPU usage of the control plane at an instance, in percent of a core.
 const MAX_CPU_PERCENT: f64 = 2.6;
-/// Bytes a second that control may cost an instance.
+/// Maximum traffic of the control plane at an instance, in bytes per second.
 const MAX_BYTES: f64 = 23_000.0;
-/// Changes of the document a second in the measurement of their cost.
+/// Document changes per second while their cost is measured.
 const CHANGES: u64 = 2;
-/// Changes of the document a second that the users expect.
+/// Document changes per second that the users expect.
 const EXPECTED_CHANGES: f64 = 9_200.0 / 86_400.0;
-/// Workspaces that the users expect.
+/// Number of workspaces that the users expect.
 const WORKSPACES: u32 = 1_600;
 
 fn main() {
-    let mut loaded = Vec::new();
+    let mut checked = Vec::new();
     for claimers in CLAIMERS {
-        let off = claims("off", unbatched(), claimers);
-        let on = claims("on", Tuning::default(), claimers);
+        let unbatched = measure_claims("off", unbatched_tuning(), claimers);
+        let batched = measure_claims("on", Tuning::default(), claimers);
         println!(
             "event=gain claimers={claimers} claims_ratio={:.2} leader_cpu_ratio={:.2}",
-            on.per_second() / off.per_second(),
-            on.cpu / off.cpu,
+            batched.per_second() / unbatched.per_second(),
+            batched.cpu / unbatched.cpu,
         );
-        if claimers == LOADED {
-            loaded.push((on.entries, on.cpu / off.cpu));
+        if claimers == CHECKED_CLAIMERS {
+            checked.push((batched.entries, batched.cpu / unbatched.cpu));
         }
     }
-    let costs: Vec<_> = SIZES.into_iter().map(cost).collect();
-    for (entries, cpu) in loaded {
-        assert!(entries <= MAX_ENTRIES, "{entries:.3} log entries a claim, {MAX_ENTRIES} at most");
+    let costs: Vec<_> = SIZES.into_iter().map(measure_cost).collect();
+    for (entries, cpu) in checked {
+        assert!(entries <= MAX_ENTRIES, "{entries:.3} log entries per claim exceed {MAX_ENTRIES}");
         assert!(
             cpu <= MAX_CPU_SHARE,
-            "{cpu:.2} of the time without batches, {MAX_CPU_SHARE} at most"
+            "CPU time per claim is {cpu:.2} of that without batching, above {MAX_CPU_SHARE}"
         );
     }
     for cost in costs {
-        assert!(cost.idle_cpu <= MAX_CPU_PERCENT, "{cost:?}: over {MAX_CPU_PERCENT}%");
+        assert!(cost.idle_cpu <= MAX_CPU_PERCENT, "{cost:?}: above {MAX_CPU_PERCENT}%");
         let bytes = cost.expected_bytes();
-        assert!(bytes <= MAX_BYTES, "{cost:?}: {bytes:.0} bytes a second");
+        assert!(bytes <= MAX_BYTES, "{cost:?}: {bytes:.0} bytes per second");
     }
 }
 
-fn unbatched() -> Tuning {
+fn unbatched_tuning() -> Tuning {
     let disk = DiskSettings { group_saves: 1, ..DiskSettings::default() };
     Tuning { batch: BatchLimits::single(), disk }
 }
 
-/// Measures claims of `claimers` at once.
+/// Measures claims by concurrent claimers.
 ///
-/// Claims are remembered for a day and their number is bounded: each measurement starts anew.
-fn claims(batches: &str, tuning: Tuning, claimers: u32) -> Claims {
+/// Starts a new cluster, because claims are kept for a day and their number is limited.
+fn measure_claims(batches: &str, tuning: Tuning, claimers: u32) -> Claims {
     let mut cluster = Cluster::new(controls());
     cluster.set_tuning(tuning);
     cluster.start_all();
     support::run(async {
-        let parts = cluster.join("a", "east");
-        let leader = leader(&parts).await;
-        let before = reading(&cluster, &parts, leader.as_str()).await;
-        let mut claims = measure(&parts, claimers).await;
-        let after = reading(&cluster, &parts, leader.as_str()).await;
-        let all = claims.all as f64;
-        claims.entries = (after.0 - before.0) / all;
-        claims.cpu = (after.1 - before.1) / all;
+        let plane = cluster.join("a", "east");
+        let leader = leader(&plane).await;
+        let before = read_counters(&cluster, &plane, leader.as_str()).await;
+        let mut claims = run_claimers(&plane, claimers).await;
+        let after = read_counters(&cluster, &plane, leader.as_str()).await;
+        let granted = claims.granted as f64;
+        claims.entries = (after.0 - before.0) / granted;
+        claims.cpu = (after.1 - before.1) / granted;
         println!(
             "event=claims batches={batches} claimers={claimers} per_second={:.0} p50_us={} \
              p99_us={} entries_per_claim={:.3} leader_cpu_us_per_claim={:.1} refused={} unknown={}",
@@ -137,10 +139,10 @@
     })
 }
 
-/// Returns the last log entry and the processor time of a leader, in microseconds.
-async fn reading(cluster: &Cluster, parts: &ControlPlane, leader: &str) -> (f64, f64) {
-    let status = status(parts, leader).await.unwrap();
-    // The processor time is read by the instance itself, once in a while.
+/// Returns the commit index and the CPU time in microseconds of a leader.
+async fn read_counters(cluster: &Cluster, plane: &ControlPlane, leader: &str) -> (f64, f64) {
+    let status = status(plane, leader).await.unwrap();
+    // The instance samples its CPU time periodically.
     monoio::time::sleep(Duration::from_millis(50)).await;
     let cpu = cluster.usage(leader).cpu.load(Ordering::Relaxed);
     (status.control.unwrap().commit.0 as f64, cpu as f64)
@@ -149,41 +151,41 @@
 #[derive(Clone)]
 struct Claims {
     latency: Histogram<u64>,
-    /// Claims granted, also after the end of the measurement.
-    all: u64,
-    /// Log entries a claim.
+    /// Number of claims granted, including those after the end of the measurement.
+    granted: u64,
+    /// Log entries per claim.
     entries: f64,
-    /// Processor time of the leader's event loop a claim, in microseconds.
+    /// CPU time of the leader's event loop per claim, in microseconds.
     cpu: f64,
-    /// Claims that were decided otherwise than granted.
+    /// Number of claims that were not granted.
     refused: u64,
-    /// Claims without an outcome.
+    /// Number of claims without an outcome.
     unknown: u64,
 }
 
 impl Claims {
     fn per_second(&self) -> f64 {
-        self.latency.len() as f64 / RUN.as_secs_f64()
+        self.latency.len() as f64 / MEASUREMENT.as_secs_f64()
     }
 }
 
-async fn measure(parts: &ControlPlane, claimers: u32) -> Claims {
+async fn run_claimers(plane: &ControlPlane, claimers: u32) -> Claims {
     let latency = Rc::new(RefCell::new(Histogram::new(3).unwrap()));
-    let all = Rc::new(Cell::new(0));
+    let granted = Rc::new(Cell::new(0));
     let (refused, unknown) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
-    let open = Rc::new(Cell::new(claimers));
-    let until = Instant::now() + RUN;
+    let running = Rc::new(Cell::new(claimers));
+    let deadline = Instant::now() + MEASUREMENT;
     for _ in 0..claimers {
-        let (latency, open) = (latency.clone(), open.clone());
-        let (all, refused, unknown) = (all.clone(), refused.clone(), unknown.clone());
-        let parts = parts.clone();
+        let (latency, running) = (latency.clone(), running.clone());
+        let (granted, refused, unknown) = (granted.clone(), refused.clone(), unknown.clone());
+        let plane = plane.clone();
         monoio::spawn(async move {
-            while Instant::now() < until {
+            while Instant::now() < deadline {
                 let start = Instant::now();
-                match parts.client.propose(claim(), TIMEOUT).await {
+                match plane.client.propose(claim(), TIMEOUT).await {
                     Ok(Outcome::Claim(ClaimOutcome::Granted)) => {
-                        all.set(all.get() + 1);
-                        if Instant::now() < until {
+                        granted.set(granted.get() + 1);
+                        if Instant::now() < deadline {
                             let micros = start.elapsed().as_micros() as u64;
                             latency.borrow_mut().record(micros).unwrap();
                         }
@@ -192,13 +194,13 @@
                     Err(_) => unknown.set(unknown.get() + 1),
                 }
             }
-            open.set(open.get() - 1);
+            running.set(running.get() - 1);
         });
     }
-    support::until("the claimers", || open.get() == 0).await;
+    support::until("the claimers", || running.get() == 0).await;
     Claims {
         latency: latency.replace(Histogram::new(3).unwrap()),
-        all: all.get(),
+        granted: granted.get(),
         entries: 0.0,
         cpu: 0.0,
         refused: refused.get(),
@@ -217,77 +219,77 @@
     })
 }
 
-/// Greatest cost of control to an instance.
+/// Maximum cost of the control plane to an instance.
 #[derive(Clone, Copy, Debug, Default)]
-struct Greatest {
-    /// Share of a core while idle, in percent.
+struct MaxCost {
+    /// CPU usage while idle, in percent of a core.
     idle_cpu: f64,
-    /// Bytes a second while idle.
+    /// Traffic while idle, in bytes per second.
     idle_bytes: f64,
-    /// Bytes a change of the document.
+    /// Traffic per document change, in bytes.
     change_bytes: f64,
 }
 
-impl Greatest {
-    /// Returns the bytes a second under the changes that the users expect.
+impl MaxCost {
+    /// Returns the traffic at the expected rate of changes, in bytes per second.
     fn expected_bytes(&self) -> f64 {
         self.idle_bytes + self.change_bytes * EXPECTED_CHANGES
     }
 }
 
-/// Measures `size` instances, idle and under changes.
-fn cost(size: usize) -> Greatest {
+/// Measures the cost at `size` instances, idle and during document changes.
+fn measure_cost(size: usize) -> MaxCost {
     let centres = ["east", "west", "south"].into_iter().cycle();
     let mut specs = controls();
-    let entry = |(at, centre)| Spec { name: name(at), centre, control: false };
+    let entry = |(index, centre)| Spec { name: entry_name(index), centre, control: false };
     specs.extend((specs.len()..size).zip(centres).map(entry));
     let names: Vec<_> = specs.iter().map(|s| s.name).collect();
     let mut cluster = Cluster::new(specs);
     cluster.start_all();
     support::run(async {
-        // One more instance submits; the others don't count it among themselves.
-        let parts = cluster.join("a", "east");
-        let looking = cluster.join("b", "east");
-        submit(&parts, request(1, 0, "text")).await;
+        // Submits through an additional instance, which is not part of the measurement.
+        let plane = cluster.join("a", "east");
+        let observer = cluster.join("b", "east");
+        submit(&plane, request(1, 0, "text")).await;
         for name in &names {
             wait_for("the first version", async || {
-                status(&looking, name).await.is_some_and(|s| s.version == Version(1))
+                status(&observer, name).await.is_some_and(|s| s.version == Version(1))
             })
             .await;
         }
-        // Its connections would cost every instance their keep-alive pings.
-        looking.admin.endpoint.close();
-        let pause = async { monoio::time::sleep(RUN).await };
-        // Connections that only the start needed are closed after a while.
-        monoio::time::sleep(SETTLE).await;
-        let idle = usage(&cluster, &names, pause).await;
-        report("idle", size, &names, &idle);
-        let loaded = usage(&cluster, &names, change(&parts)).await;
-        report("changes", size, &names, &loaded);
+        // Open connections of the observer would cost every instance keep-alive pings.
+        observer.admin.endpoint.close();
+        let idle_period = async { monoio::time::sleep(MEASUREMENT).await };
+        // Connections that only the start needs are closed after a while.
+        monoio::time::sleep(WARM_UP).await;
+        let idle = measure_usage(&cluster, &names, idle_period).await;
+        print_costs("idle", size, &names, &idle);
+        let changing = measure_usage(&cluster, &names, submit_changes(&plane)).await;
+        print_costs("changes", size, &names, &changing);
         let max =
-            |costs: &[Cost], pick: fn(&Cost) -> f64| costs.iter().map(pick).fold(0.0, f64::max);
+            |costs: &[Cost], value: fn(&Cost) -> f64| costs.iter().map(value).fold(0.0, f64::max);
         let idle_bytes = max(&idle, |c| c.bytes);
-        let change_bytes = (max(&loaded, |c| c.bytes) - idle_bytes) / CHANGES as f64;
-        let greatest =
-            Greatest { idle_cpu: max(&idle, |c| c.cpu_percent), idle_bytes, change_bytes };
+        let change_bytes = (max(&changing, |c| c.bytes) - idle_bytes) / CHANGES as f64;
+        let max_cost =
+            MaxCost { idle_cpu: max(&idle, |c| c.cpu_percent), idle_bytes, change_bytes };
         println!(
             "event=change instances={size} bytes_max={change_bytes:.0} expected_per_second={:.0}",
-            greatest.expected_bytes(),
+            max_cost.expected_bytes(),
         );
-        greatest
+        max_cost
     })
 }
 
-/// Returns the name of the entry at a position; it lives as long as the process.
-fn name(at: usize) -> &'static str {
-    Box::leak(format!("e{at:03}").into_boxed_str())
+/// Returns the name of the entry with this index, leaked for a static lifetime.
+fn entry_name(index: usize) -> &'static str {
+    Box::leak(format!("e{index:03}").into_boxed_str())
 }
 
-/// Submits changes of a document with as many workspaces as are expected.
-async fn change(parts: &ControlPlane) {
+/// Submits changes of a document with the expected number of workspaces.
+async fn submit_changes(plane: &ControlPlane) {
     let text = large(WORKSPACES);
-    for number in 2..2 + CHANGES * RUN.as_secs() {
-        assert_eq!(submit(parts, request(number, number - 1, &text)).await, accepted(number));
+    for number in 2..2 + CHANGES * MEASUREMENT.as_secs() {
+        assert_eq!(submit(plane, request(number, number - 1, &text)).await, accepted(number));
         monoio::time::sleep(Duration::from_secs(1) / CHANGES as u32).await;
     }
 }
@@ -298,7 +300,11 @@
     datagrams: f64,
 }
 
-async fn usage(cluster: &Cluster, names: &[&str], work: impl Future<Output = ()>) -> Vec<Cost> {
+async fn measure_usage(
+    cluster: &Cluster,
+    names: &[&str],
+    work: impl Future<Output = ()>,
+) -> Vec<Cost> {
     let read = || -> Vec<[f64; 3]> {
         let one = |name: &&str| {
             let usage = cluster.usage(name);
@@ -320,14 +326,14 @@
         .collect()
 }
 
-/// Prints the largest and the mean cost of the control instances and of the others.
-fn report(load: &str, size: usize, names: &[&str], costs: &[Cost]) {
+/// Prints the maximum and mean cost for control instances and for entries.
+fn print_costs(load: &str, size: usize, names: &[&str], costs: &[Cost]) {
     for (role, control) in [("control", true), ("entry", false)] {
         let of_role = names.iter().zip(costs).filter(|(n, _)| n.starts_with('c') == control);
         let costs: Vec<_> = of_role.map(|(_, cost)| cost).collect();
-        let max = |pick: fn(&Cost) -> f64| costs.iter().map(|c| pick(c)).fold(0.0, f64::max);
-        let mean = |pick: fn(&Cost) -> f64| {
-            costs.iter().map(|c| pick(c)).sum::<f64>() / costs.len() as f64
+        let max = |value: fn(&Cost) -> f64| costs.iter().map(|c| value(c)).fold(0.0, f64::max);
+        let mean = |value: fn(&Cost) -> f64| {
+            costs.iter().map(|c| value(c)).sum::<f64>() / costs.len() as f64
         };
         println!(
             "event=cost load={load} instances={size} role={role} cpu_percent_max={:.2} \
@@ -343,6 +349,6 @@
 }
 
 fn controls() -> Vec<Spec> {
-    let places = [("c1", "east"), ("c2", "west"), ("c3", "south")];
-    places.into_iter().map(|(name, centre)| Spec { name, centre, control: true }).collect()
+    let controls = [("c1", "east"), ("c2", "west"), ("c3", "south")];
+    controls.into_iter().map(|(name, centre)| Spec { name, centre, control: true }).collect()
 }
--- a/hawthornkeel/benches/disk_costs.rs
+++ b/hawthornkeel/benches/disk_costs.rs
@@ -1,6 +1,6 @@
-//! Costs of the data folder: syncs with and without groups, recovery and snapshots.
+//! Cost of the data folder: syncs with and without group commit, recovery and snapshots.
 //!
-//! `cargo bench -p hawthornkeel --bench disk_costs` writes under the target folder.
+//! `cargo bench -p hawthornkeel --bench disk_costs` writes its data under the target folder.
 
 use std::path::Path;
 use std::sync::mpsc;
@@ -23,7 +23,7 @@
 use hawthornkeel_core::replica::Snapshot;
 use tempfile::TempDir;
 
-/// Size of a command, in bytes: about that of a claim.
+/// Size of a command in bytes, similar to that of a claim.
 const COMMAND_BYTES: usize = 200;
 
 fn entry(index: u64) -> Entry {
@@ -43,36 +43,37 @@
     Disk::open(path, DiskSettings { group_saves, ..DiskSettings::default() }).unwrap().0
 }
 
-/// Hands saves to a writer as long as `waiting` at most are not synced, and prints the rate.
-fn measure_syncs(group_saves: usize, waiting: u64, count: u64) {
+/// Writes saves with at most `max_unsynced` of them in flight, and prints rate and latency.
+fn measure_syncs(group_saves: usize, max_unsynced: u64, count: u64) {
     let folder = folder();
-    let (sender, reports) = mpsc::channel();
+    let (sender, events) = mpsc::channel();
     let disk = open(folder.path(), group_saves);
-    let writer = DiskWriter::start(disk, move |r| sender.send(r).unwrap()).unwrap();
+    let writer = DiskWriter::start(disk, move |e| sender.send(e).unwrap()).unwrap();
     let start = Instant::now();
     let (mut sent, mut synced, mut syncs) = (0, 0, 0);
-    let mut times = Vec::new();
+    let mut sent_at = Vec::new();
     let mut latencies = Vec::new();
     while synced < count {
-        while sent < count && sent < synced + waiting {
+        while sent < count && sent < synced + max_unsynced {
             sent += 1;
-            times.push(Instant::now());
+            sent_at.push(Instant::now());
             writer.save(SaveSeq(sent), save(sent));
         }
-        let WriterEvent::Synced(seq) = reports.recv().unwrap() else { panic!("a write failed") };
+        let WriterEvent::Synced(seq) = events.recv().unwrap() else { panic!("a write failed") };
         syncs += 1;
         let now = Instant::now();
-        latencies.extend((synced..seq.0).map(|i| now - times[i as usize]));
+        latencies.extend((synced..seq.0).map(|i| now - sent_at[i as usize]));
         synced = seq.0;
     }
     let rate = count as f64 / start.elapsed().as_secs_f64();
     latencies.sort();
-    let at = |share: usize| latencies[latencies.len() * share / 100].as_secs_f64() * 1e3;
+    let percentile =
+        |percent: usize| latencies[latencies.len() * percent / 100].as_secs_f64() * 1e3;
     println!(
-        "{group_saves:>5} {waiting:>8} {rate:>10.0} {:>8.1} {:>8.2} {:>8.2}",
+        "{group_saves:>5} {max_unsynced:>8} {rate:>10.0} {:>8.1} {:>8.2} {:>8.2}",
         count as f64 / f64::from(syncs),
-        at(50),
-        at(99)
+        percentile(50),
+        percentile(99)
     );
 }
 
@@ -86,9 +87,9 @@
     }
     drop(disk);
     let start = Instant::now();
-    let (_, found) = Disk::open(folder.path(), DiskSettings::default()).unwrap();
+    let (_, recovered) = Disk::open(folder.path(), DiskSettings::default()).unwrap();
     let time = start.elapsed();
-    assert_eq!(found.state.entries.len() as u64, count);
+    assert_eq!(recovered.state.entries.len() as u64, count);
     println!("{count:>9} {:>9.1}", time.as_secs_f64() * 1e3);
 }
 
@@ -107,22 +108,26 @@
     };
     let start = Instant::now();
     disk.write(&[snapshot(1)]).unwrap();
-    let write = start.elapsed();
+    let write_time = start.elapsed();
     drop(disk);
     let start = Instant::now();
-    let (_, found) = Disk::open(folder.path(), DiskSettings::default()).unwrap();
-    let read: Duration = start.elapsed();
-    assert!(found.state.snapshot.is_some());
-    println!("{megabytes:>5} {:>9.1} {:>9.1}", write.as_secs_f64() * 1e3, read.as_secs_f64() * 1e3);
+    let (_, recovered) = Disk::open(folder.path(), DiskSettings::default()).unwrap();
+    let open_time: Duration = start.elapsed();
+    assert!(recovered.state.snapshot.is_some());
+    println!(
+        "{megabytes:>5} {:>9.1} {:>9.1}",
+        write_time.as_secs_f64() * 1e3,
+        open_time.as_secs_f64() * 1e3
+    );
 }
 
 fn main() {
-    println!("saves of one entry of {COMMAND_BYTES} B; group and waiting: saves at most");
+    println!("saves of one entry of {COMMAND_BYTES} B; group, waiting: maximum number of saves");
     println!("group  waiting    saves/s   a sync   p50 ms   p99 ms");
-    for (group, waiting, count) in
+    for (group, max_unsynced, count) in
         [(1, 1, 500), (1, 64, 500), (256, 64, 10_000), (256, 256, 30_000), (256, 1024, 50_000)]
     {
-        measure_syncs(group, waiting, count);
+        measure_syncs(group, max_unsynced, count);
     }
     println!("\nrecovery of the log\n  entries        ms");
     [10_000, 100_000, 400_000].into_iter().for_each(measure_recovery);
--- a/hawthornkeel/tests/control_claims.rs
+++ b/hawthornkeel/tests/control_claims.rs
@@ -1,4 +1,4 @@
-//! Claims through several instances while leaders change.
+//! Claims through several instances during leader failover.
 
 mod support;
 
@@ -28,10 +28,10 @@
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-fn three() -> Cluster {
+fn three_centres() -> Cluster {
     let spec = |(name, centre)| Spec { name, centre, control: true };
-    let places = [("c1", "east"), ("c2", "west"), ("c3", "south")];
-    let mut cluster = Cluster::new(places.into_iter().map(spec).collect());
+    let controls = [("c1", "east"), ("c2", "west"), ("c3", "south")];
+    let mut cluster = Cluster::new(controls.into_iter().map(spec).collect());
     cluster.start_all();
     cluster
 }
@@ -49,54 +49,54 @@
     Command::Claim(Claim { key: key(number), digest: number, claimant, settle_ms: 600_000 })
 }
 
-/// Claims like an entry whose caller resends until told an outcome.
-async fn decide(parts: &ControlPlane, command: Command) -> ClaimOutcome {
-    let mut decided = None;
-    wait_for("a claim's outcome", async || {
-        decided = parts.client.propose(command.clone(), TIMEOUT).await.ok();
-        decided.is_some()
+/// Proposes a claim until it has an outcome, like an entry whose caller resends its request.
+async fn propose_claim(plane: &ControlPlane, command: Command) -> ClaimOutcome {
+    let mut outcome = None;
+    wait_for("the outcome of a claim", async || {
+        outcome = plane.client.propose(command.clone(), TIMEOUT).await.ok();
+        outcome.is_some()
     })
     .await;
-    match decided {
+    match outcome {
         Some(Outcome::Claim(outcome)) => outcome,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn resent_elsewhere() {
-    let cluster = three();
+fn claim_resent_elsewhere() {
+    let cluster = three_centres();
     run(async {
         let (a, b) = (cluster.join("a", "east"), cluster.join("b", "west"));
-        assert_eq!(decide(&a, claim(1, claimant("a", 1))).await, ClaimOutcome::Granted);
-        // The answer was lost: the same claim again, and the caller's resend at another instance.
-        assert_eq!(decide(&a, claim(1, claimant("a", 1))).await, ClaimOutcome::Granted);
+        assert_eq!(propose_claim(&a, claim(1, claimant("a", 1))).await, ClaimOutcome::Granted);
+        // The reply was lost: the instance resends its claim, and the caller retries at another.
+        assert_eq!(propose_claim(&a, claim(1, claimant("a", 1))).await, ClaimOutcome::Granted);
         let held = ClaimOutcome::Held(claimant("a", 1));
-        assert_eq!(decide(&b, claim(1, claimant("b", 2))).await, held);
+        assert_eq!(propose_claim(&b, claim(1, claimant("b", 2))).await, held);
         let settlement = Settlement::Done("answer".into());
         let settle = Settle { key: key(1), claimant: claimant("a", 1), settlement };
         a.client.propose(Command::Settle(settle), TIMEOUT).await.unwrap();
         let done = ClaimOutcome::Done("answer".into());
-        assert_eq!(decide(&b, claim(1, claimant("b", 2))).await, done);
+        assert_eq!(propose_claim(&b, claim(1, claimant("b", 2))).await, done);
     });
 }
 
 #[test]
-fn granted_once() {
+fn claims_granted_once() {
     const KEYS: u64 = 300;
-    let mut cluster = three();
+    let mut cluster = three_centres();
     run(async {
         let granted = Rc::new(RefCell::new(vec![0_u32; KEYS as usize]));
         let decided = Rc::new(Cell::new(0));
-        let parts = cluster.join("a", "east");
-        let old = leader(&parts).await;
+        let plane = cluster.join("a", "east");
+        let old_leader = leader(&plane).await;
         for (name, centre) in [("a", "east"), ("b", "west"), ("c", "south")] {
             let (granted, decided) = (granted.clone(), decided.clone());
-            let parts = cluster.join(name, centre);
+            let plane = cluster.join(name, centre);
             monoio::spawn(async move {
                 for number in 0..KEYS {
                     let command = claim(number, claimant(name, number.into()));
-                    if decide(&parts, command).await == ClaimOutcome::Granted {
+                    if propose_claim(&plane, command).await == ClaimOutcome::Granted {
                         granted.borrow_mut()[number as usize] += 1;
                     }
                     decided.set(decided.get() + 1);
@@ -104,7 +104,7 @@
             });
         }
         until("some claims", || decided.get() > KEYS / 3).await;
-        cluster.kill(old.as_str());
+        cluster.kill(old_leader.as_str());
         until("all claims", || decided.get() == 3 * KEYS).await;
         assert!(granted.borrow().iter().all(|g| *g == 1), "{:?}", granted.borrow());
     });
--- a/hawthornkeel/tests/control_isolation.rs
+++ b/hawthornkeel/tests/control_isolation.rs
@@ -1,4 +1,4 @@
-//! Control instances cut off from the others for long.
+//! Long network partitions that isolate a control instance.
 
 mod support;
 
@@ -26,15 +26,15 @@
 use support::operator::wait_for;
 use support::run;
 
-/// Longest time from acceptance, or from the end of a cut, until a version is in force.
-const IN_FORCE: Duration = Duration::from_secs(7);
-/// Longest time until a data centre taken out gets no new work.
-const TAKEN_OUT: Duration = Duration::from_secs(5);
+/// Maximum time from acceptance, or from the end of a partition, until a version is in force.
+const MAX_PROPAGATION: Duration = Duration::from_secs(7);
+/// Maximum time until a data centre that is taken out gets no new work.
+const MAX_TAKE_OUT: Duration = Duration::from_secs(5);
 
-fn three() -> Cluster {
+fn three_centres() -> Cluster {
     let spec = |(name, centre)| Spec { name, centre, control: true };
-    let places = [("c1", "east"), ("c2", "west"), ("c3", "south")];
-    let mut cluster = Cluster::with_relays(places.into_iter().map(spec).collect());
+    let controls = [("c1", "east"), ("c2", "west"), ("c3", "south")];
+    let mut cluster = Cluster::with_relays(controls.into_iter().map(spec).collect());
     cluster.start_all();
     cluster
 }
@@ -47,8 +47,8 @@
     }
 }
 
-async fn control(parts: &ControlPlane, name: &str) -> Option<ControlStatus> {
-    status(parts, name).await.and_then(|s| s.control)
+async fn control_status(plane: &ControlPlane, name: &str) -> Option<ControlStatus> {
+    status(plane, name).await.and_then(|s| s.control)
 }
 
 /// Returns the name of a control instance other than `name`.
@@ -57,20 +57,22 @@
 }
 
 #[test]
-fn leader_isolated() {
-    let cluster = three();
+fn isolated_leader_catches_up() {
+    let cluster = three_centres();
     run(async {
-        // `a` stays with the majority and `b` is cut off together with the leader.
+        // `a` stays with the majority, and `b` is isolated together with the leader.
         let (a, b) = (cluster.join("a", "west"), cluster.join("b", "east"));
         assert_eq!(submit(&a, request(1, 0, "one")).await, accepted(1));
-        let old = leader(&a).await.as_str().to_owned();
+        let old_leader = leader(&a).await.as_str().to_owned();
         wait_for("b", async || b.watch.index().is_some()).await;
-        cluster.set_cut(&[&old, "b"], true);
+        cluster.set_cut(&[&old_leader, "b"], true);
 
-        // The leader loses its lease by itself, acknowledges nothing, and then refuses at once.
-        wait_for("the lease to end", async || control(&b, &old).await.is_some_and(|c| !c.lead.own))
-            .await;
-        wait_for("a refusal", async || {
+        // The isolated leader's lease expires; it acknowledges nothing, and then fails fast.
+        wait_for("the lease to expire", async || {
+            control_status(&b, &old_leader).await.is_some_and(|c| !c.lead.own)
+        })
+        .await;
+        wait_for("a rejection", async || {
             let response = b.admin.submit(request(2, 1, "lost")).await;
             assert!(!matches!(response, SubmitResponse::Accepted { .. }));
             response == SubmitResponse::NotAccepted
@@ -82,35 +84,35 @@
         assert_eq!(refused, Err(ProposeError::NoQuorum));
         assert!(start.elapsed() < Duration::from_millis(50), "{:?}", start.elapsed());
 
-        // Meanwhile the majority goes on.
+        // The majority stays available meanwhile.
         for number in 10..310 {
             let expected = number - 9;
             let response = submit(&a, request(number, expected, "text")).await;
             assert_eq!(response, accepted(expected + 1));
         }
-        let before = control(&a, other(&old)).await.unwrap();
-        cluster.set_cut(&[&old, "b"], false);
+        let before = control_status(&a, other(&old_leader)).await.unwrap();
+        cluster.set_cut(&[&old_leader, "b"], false);
 
         let start = Instant::now();
         let mut served = Version(1);
         wait_for("the isolated instance to catch up", async || {
-            let now = status(&b, &old).await.map_or(served, |s| s.version);
+            let now = status(&b, &old_leader).await.map_or(served, |s| s.version);
             assert!(now >= served, "{now} after {served}");
             served = now;
             served == Version(301)
         })
         .await;
-        assert!(start.elapsed() < IN_FORCE, "{:?}", start.elapsed());
-        // It neither disturbed the term nor took part under an old one.
-        let after = control(&a, other(&old)).await.unwrap();
+        assert!(start.elapsed() < MAX_PROPAGATION, "{:?}", start.elapsed());
+        // Its return neither causes an election nor changes the leader.
+        let after = control_status(&a, other(&old_leader)).await.unwrap();
         assert_eq!((after.term, &after.lead.leader), (before.term, &before.lead.leader));
         assert_eq!(submit(&b, request(500, 301, "last")).await, accepted(302));
     });
 }
 
 #[test]
-fn centre_taken_out_apart() {
-    let cluster = three();
+fn take_out_during_partition() {
+    let cluster = three_centres();
     run(async {
         let (a, b) = (cluster.join("a", "west"), cluster.join("b", "east"));
         assert_eq!(submit(&a, request(1, 0, "one")).await, accepted(1));
@@ -118,22 +120,22 @@
         let out = vec!["east".into()];
         cluster.set_cut(&["c1", "b"], true);
 
-        // The order reaches only the side that is cut off: it holds there at once.
+        // The order reaches only the isolated side, where it takes effect at once.
         let start = Instant::now();
         assert_eq!(b.admin.take_out(order(11)).await, CentreResponse::Held);
         wait_for("c1", async || status(&b, "c1").await.is_some_and(|s| s.taken_out == out)).await;
-        assert!(start.elapsed() < TAKEN_OUT, "{:?}", start.elapsed());
+        assert!(start.elapsed() < MAX_TAKE_OUT, "{:?}", start.elapsed());
         assert_eq!(b.admin.take_out(order(11)).await, CentreResponse::Held);
         assert!(matches!(b.admin.bring_back(order(12)).await, CentreResponse::NotAccepted));
         assert_eq!(b.watch.taken_out(), out);
 
-        // A return logged by the others does not undo it: it is not later than the order.
+        // A return committed by the majority doesn't undo the take-out, which is logged after it.
         assert!(matches!(a.admin.bring_back(order(13)).await, CentreResponse::Logged(_)));
-        let holding = Rc::new(Cell::new(true));
-        for parts in [&a, &b] {
-            let (watch, holding) = (parts.watch.clone(), holding.clone());
+        let monitoring = Rc::new(Cell::new(true));
+        for plane in [&a, &b] {
+            let (watch, monitoring) = (plane.watch.clone(), monitoring.clone());
             monoio::spawn(async move {
-                while holding.get() {
+                while monitoring.get() {
                     let seen = watch.changes().count();
                     let undone = !watch.unlogged().is_empty() && watch.taken_out().is_empty();
                     assert!(!undone, "undone by the earlier return");
@@ -151,8 +153,8 @@
         })
         .await;
 
-        holding.set(false);
-        // A later return does, and late copies of the order don't take it out again.
+        monitoring.set(false);
+        // A later return undoes it, and late copies of the order have no effect.
         let CentreResponse::Logged(record) = a.admin.bring_back(order(14)).await else {
             panic!("not logged")
         };
--- a/hawthornkeel/tests/control_snapshots.rs
+++ b/hawthornkeel/tests/control_snapshots.rs
@@ -1,4 +1,4 @@
-//! Control instances that start from a snapshot.
+//! Recovery of control instances from snapshots.
 
 mod support;
 
@@ -14,12 +14,12 @@
 use support::run;
 
 const CONTROLS: [&str; 3] = ["c1", "c2", "c3"];
-/// Log entries between snapshots.
+/// Number of log entries between snapshots.
 const SNAPSHOT_ENTRIES: u64 = 40;
-/// Changes in a test, many times that.
+/// Number of changes, which cause several snapshots.
 const CHANGES: u64 = 300;
 
-fn three() -> Cluster {
+fn three_controls() -> Cluster {
     let spec = |name| Spec { name, centre: "east", control: true };
     let mut cluster = Cluster::new(CONTROLS.into_iter().map(spec).collect());
     cluster.set_snapshots(SNAPSHOT_ENTRIES);
@@ -29,28 +29,28 @@
 
 #[test]
 fn replaced_disk_gets_snapshot() {
-    let mut cluster = three();
+    let mut cluster = three_controls();
     run(async {
-        let parts = cluster.join("a", "east");
+        let plane = cluster.join("a", "east");
         for number in 1..=CHANGES {
-            assert_eq!(submit(&parts, request(number, number - 1, "old")).await, accepted(number));
+            assert_eq!(submit(&plane, request(number, number - 1, "old")).await, accepted(number));
         }
-        replace_disk(&mut cluster, &parts, "c1", "c2").await;
+        replace_disk(&mut cluster, &plane, "c1", "c2").await;
         cluster.kill("c2");
-        // What came before the snapshot is still known: a resend gets the first outcome.
-        assert_eq!(submit(&parts, request(1, 0, "old")).await, accepted(1));
+        // The snapshot includes the outcomes of operations, so a resend gets the original one.
+        assert_eq!(submit(&plane, request(1, 0, "old")).await, accepted(1));
         let next = CHANGES + 1;
-        assert_eq!(submit(&parts, request(next, CHANGES, "new")).await, accepted(next));
+        assert_eq!(submit(&plane, request(next, CHANGES, "new")).await, accepted(next));
 
         cluster.kill("c1");
         cluster.kill("c3");
         cluster.start_all();
         for name in CONTROLS {
             wait_for("the state from the snapshot", async || {
-                status(&parts, name).await.is_some_and(|s| s.version == Version(next))
+                status(&plane, name).await.is_some_and(|s| s.version == Version(next))
             })
             .await;
         }
-        assert_eq!(submit(&parts, request(1, 0, "old")).await, accepted(1));
+        assert_eq!(submit(&plane, request(1, 0, "old")).await, accepted(1));
     });
 }
--- a/hawthornkeel/tests/control_sources.rs
+++ b/hawthornkeel/tests/control_sources.rs
@@ -1,4 +1,4 @@
-//! Whom instances follow, by the number of instances.
+//! Load on the sources of the published state at different numbers of instances.
 
 mod support;
 
@@ -14,18 +14,18 @@
 
 const CENTRES: [&str; 4] = ["north", "east", "south", "west"];
 const CONTROLS: usize = 3;
-/// Followers of one instance in its data centre, at most.
+/// Maximum number of followers of an instance in its data centre.
 const FAN_OUT: usize = 6;
 
 fn peers(count: usize) -> Vec<Peer> {
-    let place = |at: usize| Peer {
-        name: InstanceName::new(&format!("i{at:03}")),
+    let peer = |index: usize| Peer {
+        name: InstanceName::new(&format!("i{index:03}")),
         address: "127.0.0.1:1".parse().unwrap(),
-        data_centre: CentreName::new(CENTRES[at % CENTRES.len()]),
-        control: at < CONTROLS,
+        data_centre: CentreName::new(CENTRES[index % CENTRES.len()]),
+        control: index < CONTROLS,
         entry: true,
     };
-    (0..count).map(place).collect()
+    (0..count).map(peer).collect()
 }
 
 fn settings(all: &[Peer], own: &Peer) -> Settings {
@@ -44,27 +44,27 @@
 #[case::today(8)]
 #[case::growing(60)]
 #[case::target(420)]
-fn load_bounded(#[case] count: usize) {
+fn followers_are_bounded(#[case] count: usize) {
     let all = peers(count);
     let mut followers: IndexMap<InstanceName, usize> = IndexMap::new();
     let mut depths: IndexMap<InstanceName, usize> = IndexMap::new();
     for own in &all {
         let sources = sources(&settings(&all, own));
-        assert!(sources.len() >= count - 1, "every peer is a last resort");
+        assert!(sources.len() >= count - 1, "a peer is missing as a fallback source");
         let depth = match &sources[0] {
             Source::Own => 0,
             Source::Peer(name) => {
                 *followers.entry(name.clone()).or_default() += 1;
-                // Only instances that come earlier are followed, so there is no circle.
+                // Instances follow only earlier ones, so that there is no cycle.
                 depths[name] + 1
             }
         };
         depths.insert(own.name.clone(), depth);
     }
-    let direct = |p: &Peer| followers.get(&p.name).copied().unwrap_or_default();
-    let control: usize = all.iter().filter(|p| p.control).map(direct).sum();
+    let follower_count = |p: &Peer| followers.get(&p.name).copied().unwrap_or_default();
+    let control: usize = all.iter().filter(|p| p.control).map(follower_count).sum();
     assert!(control <= 2 * CENTRES.len(), "{control} follow control instances directly");
-    let others = all.iter().filter(|p| !p.control).map(direct).max().unwrap();
+    let others = all.iter().filter(|p| !p.control).map(follower_count).max().unwrap();
     assert!(others <= FAN_OUT, "{others} follow one instance");
     assert!(*depths.values().max().unwrap() <= 4);
 }
--- a/hawthornkeel/tests/control_watch.rs
+++ b/hawthornkeel/tests/control_watch.rs
@@ -1,4 +1,4 @@
-//! State in force at one instance.
+//! Updates of the published state at one instance.
 
 use std::time::Duration;
 
@@ -17,18 +17,18 @@
 #[case::lower(4, false)]
 #[case::same(5, false)]
 #[case::higher(6, true)]
-fn only_newer_applied(#[case] index: u64, #[case] applied: bool) {
+fn only_newer_is_applied(#[case] index: u64, #[case] applied: bool) {
     let watch = Watch::default();
     assert!(watch.update(published(5)));
     let seen = watch.changes().count();
-    let answer = Followed { published: Some(published(index)), ..Followed::default() };
-    watch.merge(answer);
+    let reply = Followed { published: Some(published(index)), ..Followed::default() };
+    watch.merge(reply);
     assert_eq!(watch.index(), Some(LogIndex(5.max(index))));
     assert_eq!(watch.changes().count() != seen, applied);
 }
 
 #[test]
-fn first_may_be_empty() {
+fn initial_state_may_be_empty() {
     let watch = Watch::default();
     assert!(watch.current().is_none());
     assert!(watch.update(published(0)));
@@ -46,13 +46,13 @@
 }
 
 #[test]
-fn age_never_grows_younger_by_hearsay() {
+fn older_confirmation_is_ignored() {
     let watch = Watch::default();
     assert_eq!(watch.age(), None);
     watch.record_confirmation(Duration::from_millis(100));
     let age = watch.age().unwrap();
     assert!(age >= Duration::from_millis(100));
-    // An older confirmation that comes later changes nothing.
+    // An older confirmation that arrives later is ignored.
     watch.record_confirmation(Duration::from_secs(1));
     assert!(watch.age().unwrap() < Duration::from_secs(1));
 }
--- a/hawthornkeel/tests/disk_faults.rs
+++ b/hawthornkeel/tests/disk_faults.rs
@@ -1,4 +1,4 @@
-//! Failing disks, two processes on one folder, and lost folders.
+//! Failing and full disks, locking, and loss of the data folder.
 
 mod saves;
 
@@ -33,47 +33,47 @@
 use crate::saves::entries;
 use crate::saves::snapshot;
 
-/// What fails, and how often that was tried.
+/// Fails one write or sync, and counts the calls after it.
 #[derive(Clone, Debug)]
-struct Failing {
-    /// Writes or syncs that are left before one fails.
-    left: Arc<AtomicU64>,
-    /// Calls after the one that failed.
-    after: Arc<AtomicU64>,
-    fails: Fails,
+struct FailingIo {
+    /// Remaining calls up to and including the one that fails.
+    remaining: Arc<AtomicU64>,
+    /// Number of calls after the one that failed.
+    calls_after: Arc<AtomicU64>,
+    operation: Operation,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Fails {
+enum Operation {
     Write,
     Sync,
 }
 
-impl Failing {
-    fn new(fails: Fails) -> Self {
-        let left = Arc::new(AtomicU64::new(u64::MAX));
-        Self { left, after: Arc::default(), fails }
+impl FailingIo {
+    fn new(operation: Operation) -> Self {
+        let remaining = Arc::new(AtomicU64::new(u64::MAX));
+        Self { remaining, calls_after: Arc::default(), operation }
     }
 
-    fn check(&self, call: Fails) -> io::Result<()> {
-        let left = self.left.load(Ordering::SeqCst);
-        if left == 0 {
-            self.after.fetch_add(1, Ordering::SeqCst);
-        } else if call == self.fails {
-            self.left.store(left - 1, Ordering::SeqCst);
-            if left == 1 {
+    fn check(&self, call: Operation) -> io::Result<()> {
+        let remaining = self.remaining.load(Ordering::SeqCst);
+        if remaining == 0 {
+            self.calls_after.fetch_add(1, Ordering::SeqCst);
+        } else if call == self.operation {
+            self.remaining.store(remaining - 1, Ordering::SeqCst);
+            if remaining == 1 {
                 return Err(io::ErrorKind::StorageFull.into());
             }
         }
-        // A later call succeeds, as a kernel's does once it has dropped what it could not write.
+        // Later calls succeed, as those of a kernel do after it dropped the data it couldn't write.
         Ok(())
     }
 }
 
-impl FileIo for Failing {
+impl FileIo for FailingIo {
     fn write(&mut self, file: &mut File, data: &[u8]) -> io::Result<()> {
         let half = data.len() / 2;
-        if let Err(error) = self.check(Fails::Write) {
+        if let Err(error) = self.check(Operation::Write) {
             SystemIo.write(file, &data[..half])?;
             return Err(error);
         }
@@ -81,25 +81,25 @@
     }
 
     fn sync(&mut self, file: &File) -> io::Result<()> {
-        self.check(Fails::Sync)?;
+        self.check(Operation::Sync)?;
         SystemIo.sync(file)
     }
 }
 
-/// Holds back large files, such as snapshots, until they are released.
+/// Blocks writes of large files, such as snapshots, until they are released.
 #[derive(Clone, Debug, Default)]
-struct HeldBack {
+struct BlockingIo {
     released: Arc<(Mutex<bool>, Condvar)>,
 }
 
-impl HeldBack {
+impl BlockingIo {
     fn release(&self) {
         *self.released.0.lock().unwrap() = true;
         self.released.1.notify_all();
     }
 }
 
-impl FileIo for HeldBack {
+impl FileIo for BlockingIo {
     fn write(&mut self, file: &mut File, data: &[u8]) -> io::Result<()> {
         if data.len() > 1_000 {
             let released = self.released.0.lock().unwrap();
@@ -118,72 +118,72 @@
 }
 
 #[rstest]
-#[case(Fails::Write)]
-#[case(Fails::Sync)]
-fn failure_is_final(#[case] fails: Fails) {
+#[case(Operation::Write)]
+#[case(Operation::Sync)]
+fn failure_is_permanent(#[case] operation: Operation) {
     let folder = TempDir::new().unwrap();
-    let files = Failing::new(fails);
-    let opened = Disk::open_with(folder.path(), DiskSettings::default(), files.clone());
+    let io = FailingIo::new(operation);
+    let opened = Disk::open_with(folder.path(), DiskSettings::default(), io.clone());
     let (mut disk, _) = opened.unwrap();
     disk.write(&[entries(1, 2)]).unwrap();
-    files.left.store(1, Ordering::SeqCst);
+    io.remaining.store(1, Ordering::SeqCst);
     let first = disk.write(&[entries(3, 3)]);
-    match fails {
-        Fails::Write => assert!(matches!(first, Err(DiskError::Full(_))), "{first:?}"),
-        Fails::Sync => assert!(matches!(first, Err(DiskError::Io { .. })), "{first:?}"),
+    match operation {
+        Operation::Write => assert!(matches!(first, Err(DiskError::Full(_))), "{first:?}"),
+        Operation::Sync => assert!(matches!(first, Err(DiskError::Io { .. })), "{first:?}"),
     }
     for _ in 0..3 {
         let later = disk.write(&[entries(3, 3)]);
         assert!(matches!(later, Err(DiskError::Poisoned)), "{later:?}");
     }
-    assert_eq!(files.after.load(Ordering::SeqCst), 0, "written or synced again after a failure");
+    assert_eq!(io.calls_after.load(Ordering::SeqCst), 0, "written or synced again after a failure");
     drop(disk);
-    // What failed may be there or not, but what was acknowledged is.
-    let (_, found) = open(folder.path()).unwrap();
-    assert!(found.state.entries.len() >= 2);
+    // The failed save may be on the disk or not, but acknowledged saves are.
+    let (_, recovered) = open(folder.path()).unwrap();
+    assert!(recovered.state.entries.len() >= 2);
 }
 
 #[test]
-fn writer_stops_at_failure() {
+fn writer_stops_on_failure() {
     let folder = TempDir::new().unwrap();
-    let files = Failing::new(Fails::Sync);
-    let opened = Disk::open_with(folder.path(), DiskSettings::default(), files.clone());
+    let io = FailingIo::new(Operation::Sync);
+    let opened = Disk::open_with(folder.path(), DiskSettings::default(), io.clone());
     let (disk, _) = opened.unwrap();
-    let (sender, reports) = mpsc::channel();
-    let writer = DiskWriter::start(disk, move |r| sender.send(r).unwrap()).unwrap();
+    let (sender, events) = mpsc::channel();
+    let writer = DiskWriter::start(disk, move |e| sender.send(e).unwrap()).unwrap();
     let wait = Duration::from_secs(20);
     writer.save(SaveSeq(1), entries(1, 1));
-    assert!(matches!(reports.recv_timeout(wait), Ok(WriterEvent::Synced(SaveSeq(1)))));
-    files.left.store(1, Ordering::SeqCst);
+    assert!(matches!(events.recv_timeout(wait), Ok(WriterEvent::Synced(SaveSeq(1)))));
+    io.remaining.store(1, Ordering::SeqCst);
     writer.save(SaveSeq(2), entries(2, 2));
-    assert!(matches!(reports.recv_timeout(wait), Ok(WriterEvent::Failed(DiskError::Io { .. }))));
+    assert!(matches!(events.recv_timeout(wait), Ok(WriterEvent::Failed(DiskError::Io { .. }))));
     writer.save(SaveSeq(3), entries(2, 2));
     drop(writer);
-    assert!(reports.recv().is_err(), "reported more after a failure");
+    assert!(events.recv().is_err(), "the writer reported an event after a failure");
 }
 
-/// Refuses every write while it is full, part of it written.
+/// Fails every write while the disk is full, after writing half of the data.
 #[derive(Clone, Debug, Default)]
-struct Filling {
+struct FullDiskIo {
     full: Arc<AtomicBool>,
-    refused: Arc<AtomicU64>,
+    failures: Arc<AtomicU64>,
 }
 
-impl Filling {
-    /// Waits until so many writes were refused.
-    fn await_refusals(&self, count: u64) {
+impl FullDiskIo {
+    /// Waits until `count` writes have failed.
+    fn await_failures(&self, count: u64) {
         let start = Instant::now();
-        while self.refused.load(Ordering::SeqCst) < count {
-            assert!(start.elapsed() < Duration::from_secs(20), "not written again");
+        while self.failures.load(Ordering::SeqCst) < count {
+            assert!(start.elapsed() < Duration::from_secs(20), "the write was not retried");
             std::thread::yield_now();
         }
     }
 }
 
-impl FileIo for Filling {
+impl FileIo for FullDiskIo {
     fn write(&mut self, file: &mut File, data: &[u8]) -> io::Result<()> {
         if self.full.load(Ordering::SeqCst) {
-            self.refused.fetch_add(1, Ordering::SeqCst);
+            self.failures.fetch_add(1, Ordering::SeqCst);
             SystemIo.write(file, &data[..data.len() / 2])?;
             return Err(io::ErrorKind::StorageFull.into());
         }
@@ -195,71 +195,71 @@
     }
 }
 
-fn start_filling(folder: &Path) -> (DiskWriter, mpsc::Receiver<WriterEvent>, Filling) {
-    let files = Filling::default();
-    let (disk, _) = Disk::open_with(folder, DiskSettings::default(), files.clone()).unwrap();
-    let (sender, reports) = mpsc::channel();
-    let writer = DiskWriter::start(disk, move |r| sender.send(r).unwrap()).unwrap();
-    (writer, reports, files)
+fn start_writer(folder: &Path) -> (DiskWriter, mpsc::Receiver<WriterEvent>, FullDiskIo) {
+    let io = FullDiskIo::default();
+    let (disk, _) = Disk::open_with(folder, DiskSettings::default(), io.clone()).unwrap();
+    let (sender, events) = mpsc::channel();
+    let writer = DiskWriter::start(disk, move |e| sender.send(e).unwrap()).unwrap();
+    (writer, events, io)
 }
 
 #[test]
-fn full_disk_is_waited_for() {
+fn full_disk_is_retried() {
     let folder = TempDir::new().unwrap();
-    let (writer, reports, files) = start_filling(folder.path());
+    let (writer, events, io) = start_writer(folder.path());
     let wait = Duration::from_secs(20);
     writer.save(SaveSeq(1), entries(1, 3));
-    assert!(matches!(reports.recv_timeout(wait), Ok(WriterEvent::Synced(SaveSeq(1)))));
-    files.full.store(true, Ordering::SeqCst);
+    assert!(matches!(events.recv_timeout(wait), Ok(WriterEvent::Synced(SaveSeq(1)))));
+    io.full.store(true, Ordering::SeqCst);
     writer.save(SaveSeq(2), entries(4, 6));
-    files.await_refusals(3);
-    assert!(reports.try_recv().is_err(), "reported while the disk was full");
-    files.full.store(false, Ordering::SeqCst);
-    assert!(matches!(reports.recv_timeout(wait), Ok(WriterEvent::Synced(SaveSeq(2)))));
+    io.await_failures(3);
+    assert!(events.try_recv().is_err(), "the writer reported an event while the disk was full");
+    io.full.store(false, Ordering::SeqCst);
+    assert!(matches!(events.recv_timeout(wait), Ok(WriterEvent::Synced(SaveSeq(2)))));
     drop(writer);
     assert_eq!(open(folder.path()).unwrap().1.state.entries.len(), 6);
 }
 
 #[test]
-fn full_disk_leaves_snapshots_out() {
+fn full_disk_skips_snapshot() {
     let folder = TempDir::new().unwrap();
-    let (writer, reports, files) = start_filling(folder.path());
+    let (writer, events, io) = start_writer(folder.path());
     writer.save(SaveSeq(1), entries(1, 9));
-    assert!(matches!(reports.recv(), Ok(WriterEvent::Synced(SaveSeq(1)))));
-    files.full.store(true, Ordering::SeqCst);
+    assert!(matches!(events.recv(), Ok(WriterEvent::Synced(SaveSeq(1)))));
+    io.full.store(true, Ordering::SeqCst);
     writer.save(
         SaveSeq(2),
         Save::Snapshot { snapshot: snapshot(8), retention: LogRetention::From(LogIndex(6)) },
     );
-    files.await_refusals(1);
-    files.full.store(false, Ordering::SeqCst);
+    io.await_failures(1);
+    io.full.store(false, Ordering::SeqCst);
     writer.save(SaveSeq(3), entries(10, 10));
     drop(writer);
-    let failed = reports.iter().find(|r| matches!(r, WriterEvent::Failed(_)));
+    let failed = events.iter().find(|e| matches!(e, WriterEvent::Failed(_)));
     assert!(failed.is_none(), "{failed:?}");
-    let (_, found) = open(folder.path()).unwrap();
-    assert_eq!((found.state.snapshot, found.state.entries.len()), (None, 10));
+    let (_, recovered) = open(folder.path()).unwrap();
+    assert_eq!((recovered.state.snapshot, recovered.state.entries.len()), (None, 10));
 }
 
 #[test]
-fn stop_does_not_wait_for_room() {
+fn shutdown_ignores_full_disk() {
     let folder = TempDir::new().unwrap();
-    let (writer, reports, files) = start_filling(folder.path());
-    files.full.store(true, Ordering::SeqCst);
+    let (writer, events, io) = start_writer(folder.path());
+    io.full.store(true, Ordering::SeqCst);
     writer.save(SaveSeq(1), entries(1, 3));
     drop(writer);
-    assert!(matches!(reports.recv(), Ok(WriterEvent::Failed(DiskError::Full(_)))));
+    assert!(matches!(events.recv(), Ok(WriterEvent::Failed(DiskError::Full(_)))));
 }
 
 #[test]
-fn writer_reports_in_order() {
+fn writer_events_in_order() {
     let folder = TempDir::new().unwrap();
     let (disk, _) = open(folder.path()).unwrap();
-    let (sender, reports) = mpsc::channel();
-    let writer = DiskWriter::start(disk, move |r| sender.send(r).unwrap()).unwrap();
+    let (sender, events) = mpsc::channel();
+    let writer = DiskWriter::start(disk, move |e| sender.send(e).unwrap()).unwrap();
     (1..=500).for_each(|i| writer.save(SaveSeq(i), entries(i, i)));
     drop(writer);
-    let seqs = reports.iter().map(|r| match r {
+    let seqs = events.iter().map(|e| match e {
         WriterEvent::Synced(seq) => seq.0,
         WriterEvent::Failed(error) => panic!("{error}"),
     });
@@ -269,51 +269,51 @@
 }
 
 #[test]
-fn snapshot_holds_up_no_save() {
+fn snapshot_blocks_no_save() {
     let folder = TempDir::new().unwrap();
-    let files = HeldBack::default();
-    let opened = Disk::open_with(folder.path(), DiskSettings::default(), files.clone());
-    let (sender, reports) = mpsc::channel();
-    let writer = DiskWriter::start(opened.unwrap().0, move |r| sender.send(r).unwrap()).unwrap();
+    let io = BlockingIo::default();
+    let opened = Disk::open_with(folder.path(), DiskSettings::default(), io.clone());
+    let (sender, events) = mpsc::channel();
+    let writer = DiskWriter::start(opened.unwrap().0, move |e| sender.send(e).unwrap()).unwrap();
     writer.save(SaveSeq(1), entries(1, 9));
     let retention = LogRetention::From(LogIndex(6));
     writer.save(SaveSeq(2), Save::Snapshot { snapshot: snapshot(8), retention });
     writer.save(SaveSeq(3), entries(10, 10));
     let mut synced = SaveSeq(0);
     while synced < SaveSeq(3) {
-        match reports.recv_timeout(Duration::from_secs(20)) {
+        match events.recv_timeout(Duration::from_secs(20)) {
             Ok(WriterEvent::Synced(seq)) => synced = seq,
             other => {
-                files.release();
+                io.release();
                 panic!("after {synced:?}: {other:?}");
             }
         }
     }
-    files.release();
-    // A snapshot that replaces the log comes after the one on its way.
+    io.release();
+    // A snapshot that replaces the log is committed after the one in progress.
     writer.save(
         SaveSeq(4),
         Save::Snapshot { snapshot: snapshot(20), retention: LogRetention::Nothing },
     );
     writer.save(SaveSeq(5), entries(21, 22));
     drop(writer);
-    let (_, found) = open(folder.path()).unwrap();
-    assert_eq!(found.state.snapshot, Some(snapshot(20)));
-    assert_eq!(found.state.entries.len(), 2);
+    let (_, recovered) = open(folder.path()).unwrap();
+    assert_eq!(recovered.state.snapshot, Some(snapshot(20)));
+    assert_eq!(recovered.state.entries.len(), 2);
 }
 
 #[test]
 fn failed_snapshot_is_reported() {
     let folder = TempDir::new().unwrap();
-    let files = Failing::new(Fails::Sync);
-    let opened = Disk::open_with(folder.path(), DiskSettings::default(), files.clone());
-    let (sender, reports) = mpsc::channel();
-    let writer = DiskWriter::start(opened.unwrap().0, move |r| sender.send(r).unwrap()).unwrap();
-    files.left.store(1, Ordering::SeqCst);
+    let io = FailingIo::new(Operation::Sync);
+    let opened = Disk::open_with(folder.path(), DiskSettings::default(), io.clone());
+    let (sender, events) = mpsc::channel();
+    let writer = DiskWriter::start(opened.unwrap().0, move |e| sender.send(e).unwrap()).unwrap();
+    io.remaining.store(1, Ordering::SeqCst);
     let retention = LogRetention::From(LogIndex(1));
     writer.save(SaveSeq(1), Save::Snapshot { snapshot: snapshot(8), retention });
     drop(writer);
-    let last = reports.iter().last();
+    let last = events.iter().last();
     assert!(matches!(last, Some(WriterEvent::Failed(DiskError::Io { .. }))), "{last:?}");
     assert_eq!(open(folder.path()).unwrap().1.state.snapshot, None);
 }
@@ -339,10 +339,10 @@
 }
 
 #[test]
-fn broken_off_creation_is_redone() {
+fn interrupted_creation_is_repeated() {
     let folder = TempDir::new().unwrap();
     let first = open(folder.path()).unwrap().1.id;
-    // As after a stop between the first segment and the identity.
+    // State after a crash between the creation of the first segment and of the identity.
     std::fs::remove_file(folder.path().join("identity")).unwrap();
     std::fs::write(folder.path().join("identity.unfinished"), b"hk").unwrap();
     assert_ne!(open(folder.path()).unwrap().1.id, first);
--- a/hawthornkeel/tests/disk_recovery.rs
+++ b/hawthornkeel/tests/disk_recovery.rs
@@ -1,4 +1,5 @@
-//! Opening a data folder again: what was synced is there, torn ends are cut, damage stops it.
+//! Recovery of a data folder: synced saves are present, torn frames are truncated, and damage is
+//! detected.
 
 mod saves;
 
@@ -16,18 +17,18 @@
 use hawthornkeel_core::replica::Save;
 use tempfile::TempDir;
 
-use crate::saves::cut;
 use crate::saves::entries;
-use crate::saves::hard;
+use crate::saves::hard_state;
 use crate::saves::snapshot;
+use crate::saves::truncate;
 
 /// Opens a folder with small segments.
 fn open(path: &Path) -> Result<(Disk, Recovered), DiskError> {
     Disk::open(path, DiskSettings { segment_bytes: 2_000, ..DiskSettings::default() })
 }
 
-fn indices(found: &Recovered) -> Vec<u64> {
-    found.state.entries.iter().map(|e| e.index.0).collect()
+fn indices(recovered: &Recovered) -> Vec<u64> {
+    recovered.state.entries.iter().map(|e| e.index.0).collect()
 }
 
 fn files(path: &Path, prefix: &str) -> Vec<PathBuf> {
@@ -38,11 +39,13 @@
     files
 }
 
-/// Writes one frame of three entries and one of a single entry to a fresh folder.
+/// Writes a frame of three entries and a frame of one entry to a new folder.
+///
+/// Returns the folder, its log segment, and the size of the segment after the first frame in bytes.
 fn two_frames() -> (TempDir, PathBuf, usize) {
     let folder = TempDir::new().unwrap();
     let (mut disk, _) = open(folder.path()).unwrap();
-    disk.write(&[hard(3), entries(1, 3)]).unwrap();
+    disk.write(&[hard_state(3), entries(1, 3)]).unwrap();
     let log = files(folder.path(), "log-").pop().unwrap();
     let length = fs::metadata(&log).unwrap().len() as usize;
     disk.write(&[entries(4, 4)]).unwrap();
@@ -50,27 +53,27 @@
 }
 
 #[test]
-fn saves_come_back() {
+fn saves_are_recovered() {
     let folder = TempDir::new().unwrap();
     let (mut disk, first) = open(folder.path()).unwrap();
     assert_eq!(first.state, Default::default());
     for step in 0..40 {
         let from = step * 3 + 1;
-        disk.write(&[hard(step), entries(from, from + 2), cut(from + 2)]).unwrap();
+        disk.write(&[hard_state(step), entries(from, from + 2), truncate(from + 2)]).unwrap();
     }
     drop(disk);
-    let (_, found) = open(folder.path()).unwrap();
-    assert_eq!(found.id, first.id);
-    assert_eq!(found.state.hard.term, Term(39));
-    assert_eq!(indices(&found), Vec::from_iter(1..=120));
-    assert!(files(folder.path(), "log-").len() > 3, "segments were not rolled");
+    let (_, recovered) = open(folder.path()).unwrap();
+    assert_eq!(recovered.id, first.id);
+    assert_eq!(recovered.state.hard.term, Term(39));
+    assert_eq!(indices(&recovered), Vec::from_iter(1..=120));
+    assert!(files(folder.path(), "log-").len() > 3, "too few segments");
 }
 
 #[test]
 fn snapshot_drops_segments() {
     let folder = TempDir::new().unwrap();
     let (mut disk, _) = open(folder.path()).unwrap();
-    disk.write(&[hard(5)]).unwrap();
+    disk.write(&[hard_state(5)]).unwrap();
     for index in 1..=100 {
         disk.write(&[entries(index, index)]).unwrap();
     }
@@ -80,36 +83,36 @@
     disk.write(&[entries(101, 101)]).unwrap();
     drop(disk);
     assert!(files(folder.path(), "log-").len() < before);
-    let (_, found) = open(folder.path()).unwrap();
-    assert_eq!(found.state.snapshot, Some(snapshot(80)));
-    assert_eq!(found.state.hard.term, Term(5));
-    let kept = indices(&found);
-    assert!(kept[0] <= 71 && kept[0] > 1, "the log starts at {}", kept[0]);
-    assert_eq!(kept, Vec::from_iter(kept[0]..=101));
+    let (_, recovered) = open(folder.path()).unwrap();
+    assert_eq!(recovered.state.snapshot, Some(snapshot(80)));
+    assert_eq!(recovered.state.hard.term, Term(5));
+    let retained = indices(&recovered);
+    assert!(retained[0] <= 71 && retained[0] > 1, "the log starts at {}", retained[0]);
+    assert_eq!(retained, Vec::from_iter(retained[0]..=101));
 }
 
 #[test]
 fn installed_snapshot_replaces_log() {
     let folder = TempDir::new().unwrap();
     let (mut disk, _) = open(folder.path()).unwrap();
-    disk.write(&[hard(2), entries(1, 10)]).unwrap();
+    disk.write(&[hard_state(2), entries(1, 10)]).unwrap();
     let save = Save::Snapshot { snapshot: snapshot(50), retention: LogRetention::Nothing };
     disk.write(&[save, entries(51, 52)]).unwrap();
     drop(disk);
-    let (_, found) = open(folder.path()).unwrap();
-    assert_eq!((indices(&found), found.state.hard.term), (vec![51, 52], Term(2)));
-    assert_eq!(found.state.snapshot, Some(snapshot(50)));
+    let (_, recovered) = open(folder.path()).unwrap();
+    assert_eq!((indices(&recovered), recovered.state.hard.term), (vec![51, 52], Term(2)));
+    assert_eq!(recovered.state.snapshot, Some(snapshot(50)));
 }
 
 #[test]
-fn torn_tail_is_cut() {
+fn torn_tail_is_truncated() {
     let (folder, log, length) = two_frames();
-    let whole = fs::read(&log).unwrap();
-    for end in length..whole.len() {
-        fs::write(&log, &whole[..end]).unwrap();
-        let (mut disk, found) = open(folder.path()).unwrap();
+    let original = fs::read(&log).unwrap();
+    for end in length..original.len() {
+        fs::write(&log, &original[..end]).unwrap();
+        let (mut disk, recovered) = open(folder.path()).unwrap();
         assert_eq!(
-            (indices(&found), found.truncated_bytes),
+            (indices(&recovered), recovered.truncated_bytes),
             (vec![1, 2, 3], (end - length) as u64)
         );
         disk.write(&[entries(4, 5)]).unwrap();
@@ -119,15 +122,15 @@
 }
 
 #[test]
-fn unwritten_sector_is_cut() {
+fn unwritten_sector_is_truncated() {
     let (folder, log, length) = two_frames();
     let (mut disk, _) = open(folder.path()).unwrap();
     disk.write(&[entries(5, 30)]).unwrap();
     drop(disk);
-    let whole = fs::read(&log).unwrap();
-    for sector in length.div_ceil(512)..whole.len().div_ceil(512) {
-        let mut torn = whole.clone();
-        let end = whole.len().min((sector + 1) * 512);
+    let original = fs::read(&log).unwrap();
+    for sector in length.div_ceil(512)..original.len().div_ceil(512) {
+        let mut torn = original.clone();
+        let end = original.len().min((sector + 1) * 512);
         torn[sector * 512..end].fill(0);
         fs::write(&log, &torn).unwrap();
         assert_eq!(indices(&open(folder.path()).unwrap().1), vec![1, 2, 3, 4]);
@@ -135,41 +138,41 @@
 }
 
 #[test]
-fn bit_flip_stops() {
+fn bit_flip_is_detected() {
     let (folder, log, _) = two_frames();
-    let whole = fs::read(&log).unwrap();
-    for at in 0..whole.len() {
-        let mut flipped = whole.clone();
+    let original = fs::read(&log).unwrap();
+    for at in 0..original.len() {
+        let mut flipped = original.clone();
         flipped[at] ^= 0x10;
         fs::write(&log, &flipped).unwrap();
         match open(folder.path()) {
             Err(DiskError::Damaged { file, offset, .. }) => {
                 assert!(file == log && offset as usize <= at);
             }
-            other => panic!("a flip at {at} gave {other:?}"),
+            other => panic!("a bit flip at {at} resulted in {other:?}"),
         }
     }
 }
 
 #[test]
-fn lost_sector_in_the_middle_stops() {
+fn lost_sector_is_detected() {
     let (folder, log, length) = two_frames();
     let (mut disk, _) = open(folder.path()).unwrap();
     disk.write(&[entries(5, 25)]).unwrap();
     disk.write(&[entries(26, 28)]).unwrap();
     drop(disk);
-    let whole = fs::read(&log).unwrap();
+    let original = fs::read(&log).unwrap();
     for start in [16, length] {
-        let mut lost = whole.clone();
+        let mut lost = original.clone();
         lost[start..start + 512].fill(0);
         fs::write(&log, &lost).unwrap();
-        let found = open(folder.path());
-        assert!(matches!(found, Err(DiskError::Damaged { .. })), "{start}: {found:?}");
+        let recovered = open(folder.path());
+        assert!(matches!(recovered, Err(DiskError::Damaged { .. })), "{start}: {recovered:?}");
     }
 }
 
 #[test]
-fn missing_files_stop() {
+fn missing_file_is_detected() {
     let folder = TempDir::new().unwrap();
     let (mut disk, _) = open(folder.path()).unwrap();
     (1..=100).for_each(|i| disk.write(&[entries(i, i)]).unwrap());
@@ -189,12 +192,12 @@
 }
 
 #[test]
-fn unknown_version_is_refused() {
+fn unknown_version_is_rejected() {
     let (folder, log, _) = two_frames();
     let mut data = fs::read(&log).unwrap();
     data[8] = 2;
-    let sum = crc32fast::hash(&data[..12]);
-    data[12..16].copy_from_slice(&sum.to_le_bytes());
+    let checksum = crc32fast::hash(&data[..12]);
+    data[12..16].copy_from_slice(&checksum.to_le_bytes());
     fs::write(&log, &data).unwrap();
     let error = open(folder.path()).unwrap_err().to_string();
     assert!(error.ends_with("has format version 2, and this program reads version 1"), "{error}");
--- a/hawthornkeel/tests/fenced_orders.rs
+++ b/hawthornkeel/tests/fenced_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to targets through the leader, before and after it is killed.
+//! Fenced orders to targets before and after a leader failover.
 
 mod fleet;
 
@@ -10,27 +10,27 @@
 const ORDER: &str =
     "{\"target\":\"writers-dc-0\",\"order\":\"load-model\",\"model\":\"draft-large\"}";
 
-/// Sends the order at an instance until the target has taken it.
-fn order(fleet: &Fleet, at: usize) {
+/// Sends the order to an instance until the target has accepted it.
+fn send_order(fleet: &Fleet, at: usize) {
     let mut last = None;
-    let taken = eventually(PATIENCE, || {
+    let accepted = eventually(PATIENCE, || {
         last = post(fleet.instances[at].admin, "/admin/order", "", ORDER);
         last.as_ref().is_some_and(|a| a.body.contains("\"accepted\""))
     });
-    assert!(taken, "{last:?}\n{}", fleet.log(at));
+    assert!(accepted, "{last:?}\n{}", fleet.log(at));
 }
 
 #[test]
-fn numbers_rise_across_leaders() {
+fn fencing_numbers_increase() {
     let mut fleet = Fleet::start(4, 2);
     let first = fleet.leader();
-    order(&fleet, first);
+    send_order(&fleet, first);
     let other = (first + 1) % 3;
-    let refused = post(fleet.instances[other].admin, "/admin/order", "", ORDER).unwrap();
-    assert!(refused.body.contains("not-leader"), "{refused:?}");
+    let rejected = post(fleet.instances[other].admin, "/admin/order", "", ORDER).unwrap();
+    assert!(rejected.body.contains("not-leader"), "{rejected:?}");
     fleet.kill(first);
     let second = fleet.leader();
-    order(&fleet, second);
+    send_order(&fleet, second);
     let target = fleet.targets.iter().find(|t| t.listed.name == "writers-dc-0").unwrap();
     let orders = target.thread.report().unwrap().orders;
     assert_eq!(orders.len(), 2, "{orders:?}");
--- a/hawthornkeel/tests/lost_disk.rs
+++ b/hawthornkeel/tests/lost_disk.rs
@@ -1,4 +1,4 @@
-//! Control instances that lose their disk.
+//! Loss of disks and restart of all control instances.
 
 mod fleet;
 
@@ -7,7 +7,7 @@
 use hawthornkeel_fakes::thread::eventually;
 
 #[test]
-fn second_loss_after_a_repair_loses_nothing() {
+fn second_disk_loss_is_tolerated() {
     let mut fleet = Fleet::start(3, 1);
     let first = fleet.call(0, "release", "lot-1", "{\"lot\":1}").unwrap();
     assert_eq!(first.status, 200, "{first:?}\n{}", fleet.log(0));
@@ -23,7 +23,7 @@
             let new = fleet.voter(2, &name);
             new.is_some() && new != old
         });
-        assert!(repaired, "{name} not a voter again:\n{}", fleet.log(2));
+        assert!(repaired, "{name} did not become a voter again:\n{}", fleet.log(2));
     }
     let again = fleet.call(1, "release", "lot-1", "{\"lot\":1}").unwrap();
     assert_eq!(again.status, 200, "{again:?}\n{}", fleet.log(1));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn whole_group_killed_recovers_what_was_acknowledged() {
+fn full_restart_keeps_acknowledged_calls() {
     let mut fleet = Fleet::start(3, 1);
     let first = fleet.call(0, "release", "lot-1", "{\"lot\":1}").unwrap();
     assert_eq!(first.status, 200, "{first:?}\n{}", fleet.log(0));
--- a/hawthornkeel/tests/operator_races.rs
+++ b/hawthornkeel/tests/operator_races.rs
@@ -1,4 +1,4 @@
-//! Operators who race each other, resend, and take data centres out.
+//! Concurrent and resent submissions of operators, and data centres that are taken out.
 
 mod fleet;
 
@@ -11,13 +11,13 @@
 use fleet::PATIENCE;
 use hawthornkeel_fakes::thread::eventually;
 
-/// Time within which an accepted document is in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(7);
-/// Time within which a data centre that was taken out gets no new work.
-const OUT_OF_SERVICE: Duration = Duration::from_secs(3);
+/// Maximum time until an accepted document is in force everywhere.
+const MAX_PROPAGATION: Duration = Duration::from_secs(7);
+/// Maximum time until a data centre that was taken out gets no new work.
+const MAX_TAKE_OUT: Duration = Duration::from_secs(3);
 
 #[test]
-fn one_of_two_documents_under_one_number_wins() {
+fn reused_operation_number_conflicts() {
     let fleet = Fleet::start(4, 2);
     let other = DOCUMENT.replace("name = \"fleet\"", "name = \"other\"");
     let first = fleet.try_submit(0, "ana", 2, 1, DOCUMENT).unwrap();
@@ -25,31 +25,31 @@
     let resent = fleet.try_submit(2, "ana", 2, 1, DOCUMENT).unwrap();
     assert!(first.body.contains("\"accepted\""), "{first:?}");
     assert!(second.body.contains("conflict") && second.body.contains("ana"), "{second:?}");
-    assert_eq!(resent.body, first.body, "a resend gets the first outcome");
+    assert_eq!(resent.body, first.body, "a resend did not get the original outcome");
 }
 
 #[test]
-fn accepted_document_is_in_force_everywhere() {
+fn accepted_document_propagates() {
     let fleet = Fleet::start(5, 2);
     fleet.submit(4, 2, 1, DOCUMENT);
     let accepted = Instant::now();
     let everywhere = || (0..5).all(|at| fleet.version_at(at) == Some(2));
     assert!(eventually(PATIENCE, everywhere), "{}", fleet.status(0));
-    assert!(accepted.elapsed() < IN_FORCE, "{:?}", accepted.elapsed());
+    assert!(accepted.elapsed() < MAX_PROPAGATION, "{:?}", accepted.elapsed());
 }
 
 #[test]
-fn data_centre_taken_out_gets_no_new_work() {
+fn taken_out_centre_gets_no_work() {
     let fleet = Fleet::start(4, 2);
     let out = fleet.order(0, "take-out", 5, "dc-0").unwrap();
     assert_eq!(out.status, 200, "{out:?}");
-    thread::sleep(OUT_OF_SERVICE);
+    thread::sleep(MAX_TAKE_OUT);
     let before = fleet.runs_in("dc-0");
     for at in 0..4 {
         let answer = fleet.call(at, "draft", "", "{\"text\":\"lot\"}").unwrap();
         assert_eq!(answer.status, 200, "{answer:?}\n{}", fleet.log(at));
     }
-    assert_eq!(fleet.runs_in("dc-0"), before, "new work in the data centre that is out");
+    assert_eq!(fleet.runs_in("dc-0"), before, "new work in the data centre that was taken out");
     let back = fleet.order(3, "bring-back", 6, "dc-0").unwrap();
     assert!(back.body.contains("logged"), "{back:?}");
     let used = eventually(PATIENCE, || {
@@ -60,9 +60,9 @@
 }
 
 #[test]
-fn data_centre_is_taken_out_without_a_quorum() {
+fn take_out_needs_no_quorum() {
     let mut fleet = Fleet::start_warm(5, 2);
-    // Both losses are in one data centre, so that the other keeps a majority of its lease voters.
+    // Both are in one data centre, so that the other one keeps a majority of its lease voters.
     fleet.kill(0);
     fleet.kill(2);
     let held = eventually(PATIENCE, || {
@@ -70,7 +70,7 @@
         out.is_some_and(|o| o.body.contains("held"))
     });
     assert!(held, "{}", fleet.log(3));
-    thread::sleep(OUT_OF_SERVICE);
+    thread::sleep(MAX_TAKE_OUT);
     let before = fleet.runs_in("dc-0");
     for at in [1, 3, 4] {
         let answer = fleet.call(at, "draft", "", "{\"text\":\"lot\"}").unwrap();
--- a/hawthornkeel/tests/saves/mod.rs
+++ b/hawthornkeel/tests/saves/mod.rs
@@ -1,4 +1,4 @@
-//! Saves to write to a data folder.
+//! Saves for tests of the data folder.
 
 #![allow(dead_code)]
 
@@ -23,13 +23,13 @@
     Save::Log { hard: None, truncate: None, entries: (from..=to).map(entry).collect() }
 }
 
-pub fn hard(term: u64) -> Save {
+pub fn hard_state(term: u64) -> Save {
     let hard =
         HardState { group: Some(GroupId(9)), term: Term(term), vote: Some(ReplicaId(term + 1)) };
     Save::Log { hard: Some(hard), truncate: None, entries: Vec::new() }
 }
 
-pub fn cut(from: u64) -> Save {
+pub fn truncate(from: u64) -> Save {
     Save::Log { hard: None, truncate: Some(LogIndex(from)), entries: vec![entry(from)] }
 }
 
--- a/hawthornkeel/tests/suspended_leader.rs
+++ b/hawthornkeel/tests/suspended_leader.rs
@@ -1,4 +1,4 @@
-//! A leader that is stopped for a while and goes on.
+//! A leader process that is suspended and resumed.
 
 mod fleet;
 
@@ -8,22 +8,27 @@
 use rustix::process::Signal;
 
 #[test]
-fn frozen_leader_neither_disturbs_nor_serves_old_state() {
+fn suspended_leader_serves_no_stale_state() {
     let fleet = Fleet::start(5, 2);
-    let frozen = fleet.leader();
-    fleet.signal(frozen, Signal::STOP);
-    let other = (frozen + 1) % 3;
+    let suspended = fleet.leader();
+    fleet.signal(suspended, Signal::STOP);
+    let other = (suspended + 1) % 3;
     let accepted = eventually(PATIENCE, || {
-        let answer = fleet.try_submit(other, "op", 2, 1, fleet::DOCUMENT);
-        answer.is_some_and(|a| a.body.contains("\"accepted\""))
+        let reply = fleet.try_submit(other, "op", 2, 1, fleet::DOCUMENT);
+        reply.is_some_and(|a| a.body.contains("\"accepted\""))
     });
     assert!(accepted, "{}", fleet.log(other));
     let leader = fleet.leader_of(other);
-    assert_ne!(leader, frozen);
-    fleet.signal(frozen, Signal::CONT);
-    let caught_up = eventually(PATIENCE, || fleet.version_at(frozen) == Some(2));
-    assert!(caught_up, "{}", fleet.log(frozen));
-    let stale = fleet.try_submit(frozen, "late", 7, 1, fleet::DOCUMENT).unwrap();
+    assert_ne!(leader, suspended);
+    fleet.signal(suspended, Signal::CONT);
+    let caught_up = eventually(PATIENCE, || fleet.version_at(suspended) == Some(2));
+    assert!(caught_up, "{}", fleet.log(suspended));
+    let stale = fleet.try_submit(suspended, "late", 7, 1, fleet::DOCUMENT).unwrap();
     assert!(stale.body.contains("conflict"), "{stale:?}");
-    assert_eq!(fleet.leader_of(other), leader, "the term was disturbed:\n{}", fleet.log(other));
+    assert_eq!(
+        fleet.leader_of(other),
+        leader,
+        "the leader changed after the resume:\n{}",
+        fleet.log(other)
+    );
 }
