--- a/hawthornkeel/src/control/admin.rs
+++ b/hawthornkeel/src/control/admin.rs
@@ -142,7 +142,7 @@
         if self.gossip.take_out(&order) == MergeOutcome::Full {
             return CentreResponse::Full;
         }
-        match self.gossip.log(&order).await {
+        match self.gossip.commit(&order).await {
             Ok(outcome) => centre_response(outcome),
             Err(_) => CentreResponse::Held,
         }
@@ -154,7 +154,7 @@
         // Commits the known take-out orders first, so that they precede the return in the log.
         for take_out in self.follower.watch().unlogged() {
             if take_out.order.centre == order.centre
-                && self.gossip.log(&take_out.order).await.is_err()
+                && self.gossip.commit(&take_out.order).await.is_err()
             {
                 return CentreResponse::NotAccepted;
             }
--- a/hawthornkeel/src/control/gossip.rs
+++ b/hawthornkeel/src/control/gossip.rs
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// Returns the errors of [`ControlClient::propose`].
-    pub async fn log(&self, order: &CentreOrder) -> Result<CentreOutcome, ProposeError> {
+    pub async fn commit(&self, order: &CentreOrder) -> Result<CentreOutcome, ProposeError> {
         let command = Command::Centre(order.clone());
         let outcome = match self.inner.client.propose(command, COMMIT_TIMEOUT).await? {
             Outcome::Centre(outcome) => outcome,
@@ -169,7 +169,7 @@
                 }
                 gossip.disseminate(&take_outs, None);
                 for take_out in take_outs {
-                    if let Err(error) = gossip.log(&take_out.order).await {
+                    if let Err(error) = gossip.commit(&take_out.order).await {
                         let operation = take_out.order.operation;
                         tracing::debug!(event = "take-out-unlogged", %operation, %error);
                     }
