--- a/hawthornkeel/benches/centre_moves.rs
+++ b/hawthornkeel/benches/centre_moves.rs
@@ -13,10 +13,10 @@
 
 use fleet::Fleet;
 use fleet::KEY;
-use hawthornkeel_fakes::caller;
-use hawthornkeel_fakes::caller::ANSWERED;
-use hawthornkeel_fakes::caller::Load;
-use hawthornkeel_fakes::caller::Seen;
+use hawthornkeel_fakes::load_generator;
+use hawthornkeel_fakes::load_generator::ANSWERED;
+use hawthornkeel_fakes::load_generator::LoadProfile;
+use hawthornkeel_fakes::load_generator::LoadResult;
 use hawthornkeel_fakes::thread::block_on;
 
 /// Requests a second over all entries.
@@ -53,14 +53,14 @@
 
 fn run(movement: Move) -> bool {
     let mut fleet = match movement {
-        Move::CutOff => Fleet::prepare_relayed(6, 3),
+        Move::CutOff => Fleet::prepare_with_network(6, 3),
         Move::Ordered | Move::Lost => Fleet::prepare(6, 3),
     };
     for target in &fleet.targets {
-        target.thread.behave(&format!("{{\"floor_ms\":{FLOOR_MS}}}")).unwrap();
+        target.thread.configure(&format!("{{\"floor_ms\":{FLOOR_MS}}}")).unwrap();
     }
-    fleet.run();
-    fleet.warm();
+    fleet.start_all();
+    fleet.warm_up();
     println!("\n{movement:?}: {RATE} requests/s, leaves at {LEAVES} s, returns at {RETURNS} s");
     let start = Instant::now();
     let mut seconds = Vec::new();
@@ -95,31 +95,32 @@
 }
 
 /// Calls for one second at the entries that the balancer has ready.
-fn callers(fleet: &Fleet, movement: Move, out: bool, second: u64) -> Vec<JoinHandle<Seen>> {
+fn callers(fleet: &Fleet, movement: Move, out: bool, second: u64) -> Vec<JoinHandle<LoadResult>> {
     let gone = |centre: &str| matches!(movement, Move::Lost) && out && centre == "dc-0";
     let ready =
         |address: &SocketAddr| fleet::get(*address, "/ready").is_some_and(|a| a.status == 200);
     let live = fleet.instances.iter().filter(|i| !gone(&i.centre)).map(|i| i.listen);
     let addresses: Vec<_> = live.filter(ready).collect();
     let count = RATE / addresses.len().max(1) as u64;
-    let load = |(at, address): (usize, SocketAddr)| Load {
+    let load = |(at, address): (usize, SocketAddr)| LoadProfile {
         address,
         path: "/v1/pipelines/draft".to_owned(),
         fields: format!("authorization: Bearer {KEY}\r\n"),
         rate: count as f64,
         count,
-        first: (second * 100 + at as u64) * 1_000,
+        first_number: (second * 100 + at as u64) * 1_000,
         timeout: Duration::from_secs(10),
-        ..Load::default()
+        ..LoadProfile::default()
     };
-    let start = |load: Load| thread::spawn(|| block_on(caller::run(load)).unwrap().unwrap());
+    let start =
+        |load: LoadProfile| thread::spawn(|| block_on(load_generator::run(load)).unwrap().unwrap());
     addresses.into_iter().enumerate().map(load).map(start).collect()
 }
 
 fn leave(fleet: &mut Fleet, movement: Move) {
     match movement {
         Move::Ordered => {
-            fleet.order(1, "take-out", 10, "dc-0").unwrap();
+            fleet.send_order(1, "take-out", 10, "dc-0").unwrap();
         }
         Move::Lost => {
             for at in [0, 3] {
@@ -127,14 +128,14 @@
             }
             behave(fleet, "{\"fault\":\"refuse\"}");
         }
-        Move::CutOff => fleet.network().set_cut("dc-0", true),
+        Move::CutOff => fleet.network().set_partitioned("dc-0", true),
     }
 }
 
 fn come_back(fleet: &mut Fleet, movement: Move) {
     match movement {
         Move::Ordered => {
-            fleet.order(1, "bring-back", 11, "dc-0").unwrap();
+            fleet.send_order(1, "bring-back", 11, "dc-0").unwrap();
         }
         Move::Lost => {
             behave(fleet, "{\"fault\":\"none\"}");
@@ -142,21 +143,21 @@
                 fleet.spawn(at);
             }
         }
-        Move::CutOff => fleet.network().set_cut("dc-0", false),
+        Move::CutOff => fleet.network().set_partitioned("dc-0", false),
     }
 }
 
 fn behave(fleet: &Fleet, fields: &str) {
     let near = fleet.targets.iter().filter(|t| t.listed.data_centre == "dc-0");
-    near.for_each(|t| t.thread.behave(fields).unwrap());
+    near.for_each(|t| t.thread.configure(fields).unwrap());
 }
 
 /// Prints the service by second; returns whether the bound holds.
-fn report(seconds: Vec<Vec<JoinHandle<Seen>>>) -> bool {
+fn report(seconds: Vec<Vec<JoinHandle<LoadResult>>>) -> bool {
     println!("second  sent  answered  p99 ms  others");
     let (mut sent, mut answered, mut worst) = (0, 0, 1.0_f64);
     for (second, callers) in seconds.into_iter().enumerate() {
-        let seen: Vec<Seen> = callers.into_iter().map(|c| c.join().unwrap()).collect();
+        let seen: Vec<LoadResult> = callers.into_iter().map(|c| c.join().unwrap()).collect();
         let all: u64 = seen.iter().flat_map(|s| s.outcomes.values()).sum();
         let full: u64 = seen.iter().map(|s| s.count(ANSWERED)).sum();
         let p99 = seen.iter().map(|s| s.latency.value_at_quantile(0.99)).max().unwrap_or(0);
--- a/hawthornkeel/benches/http_edge.rs
+++ b/hawthornkeel/benches/http_edge.rs
@@ -35,11 +35,11 @@
 use hawthornkeel_core::ids::RequestId;
 use hawthornkeel_core::request::refusal::RunStatus;
 use hawthornkeel_fakes::behaviour::Behaviour;
-use hawthornkeel_fakes::caller;
-use hawthornkeel_fakes::caller::ANSWERED;
-use hawthornkeel_fakes::caller::Load;
-use hawthornkeel_fakes::caller::Seen;
-use hawthornkeel_fakes::raw::RawCaller;
+use hawthornkeel_fakes::load_generator;
+use hawthornkeel_fakes::load_generator::ANSWERED;
+use hawthornkeel_fakes::load_generator::LoadProfile;
+use hawthornkeel_fakes::load_generator::LoadResult;
+use hawthornkeel_fakes::raw_client::RawClient;
 use hawthornkeel_fakes::thread;
 use hawthornkeel_fakes::thread::TargetThread;
 
@@ -135,15 +135,15 @@
 
 /// Returns p50 and p99 of calls to `address`, in microseconds.
 fn quantiles(address: SocketAddr) -> Result<[i64; 2], Failure> {
-    let load = Load {
+    let load = LoadProfile {
         address,
         path: "/rank".to_owned(),
         rate: RATE,
         count: COUNT,
-        from_sending: true,
-        ..Load::default()
+        from_send_time: true,
+        ..LoadProfile::default()
     };
-    let seen: Seen = thread::block_on(caller::run(load))??;
+    let seen: LoadResult = thread::block_on(load_generator::run(load))??;
     if seen.count(ANSWERED) != COUNT {
         return Err(format!("not all answered: {:?}", seen.outcomes).into());
     }
@@ -186,9 +186,9 @@
         format!("POST {COMPLETIONS} HTTP/1.1\r\nhost: a\r\ncontent-length: {length}\r\n\r\n");
     let mut callers = Vec::new();
     for _ in 0..STREAMS {
-        let mut caller = RawCaller::connect(proxy.address)?;
+        let mut caller = RawClient::connect(proxy.address)?;
         caller.send(format!("{head}{body}"))?;
-        caller.read_past("data: ")?;
+        caller.read_until("data: ")?;
         callers.push(caller);
     }
     let with = proxy.memory()?;
--- a/hawthornkeel/benches/token_path.rs
+++ b/hawthornkeel/benches/token_path.rs
@@ -40,7 +40,7 @@
 use hawthornkeel_core::routing::types::Lifecycle;
 use hawthornkeel_core::routing::types::TargetInfo;
 use hawthornkeel_fakes::behaviour::Behaviour;
-use hawthornkeel_fakes::raw::RawCaller;
+use hawthornkeel_fakes::raw_client::RawClient;
 use hawthornkeel_fakes::thread;
 use hawthornkeel_fakes::thread::TargetThread;
 use hdrhistogram::Histogram;
@@ -156,7 +156,7 @@
     let request = request("/v1/pipelines/write", "application/json");
     let mut callers = Vec::new();
     for _ in 0..WHOLE {
-        let mut caller = RawCaller::connect(entry.address())?;
+        let mut caller = RawClient::connect(entry.address())?;
         caller.send(&request)?;
         callers.push(caller);
     }
@@ -172,14 +172,14 @@
 
 /// Prints the processor time of a token where the engine waits for nothing between tokens.
 fn measure_burst(engine: &TargetThread, entry: &Entry) -> Result<(), Failure> {
-    engine.behave("{\"token_ms\":0}")?;
+    engine.configure("{\"token_ms\":0}")?;
     let request = request("/v1/pipelines/burst", "text/event-stream");
-    let mut caller = RawCaller::connect(entry.address())?;
+    let mut caller = RawClient::connect(entry.address())?;
     let before = entry.busy()?;
     for _ in 0..BURSTS {
         caller.send(&request)?;
-        caller.read_past("event: answer")?;
-        caller.read_past("0\r\n\r\n")?;
+        caller.read_until("event: answer")?;
+        caller.read_until("0\r\n\r\n")?;
     }
     let busy = entry.busy()?.saturating_sub(before);
     let tokens = BURSTS * BURST_TOKENS;
@@ -361,11 +361,11 @@
     /// Raises the limit of calls to the engine by short calls.
     fn warm(&self) -> Result<(), Failure> {
         std::thread::sleep(START);
-        let mut caller = RawCaller::connect(self.address())?;
+        let mut caller = RawClient::connect(self.address())?;
         let request = request("/v1/pipelines/short", "*/*");
         for _ in 0..WARMING {
             caller.send(&request)?;
-            let answer = caller.answer()?;
+            let answer = caller.read_response()?;
             if answer.status != 200 {
                 return Err(format!("short call: {answer:?}").into());
             }
--- a/hawthornkeel/tests/centre_cuts.rs
+++ b/hawthornkeel/tests/centre_cuts.rs
@@ -10,11 +10,11 @@
 use fleet::DOCUMENT;
 use fleet::Fleet;
 use fleet::KEY;
-use fleet::PATIENCE;
-use hawthornkeel_fakes::caller;
-use hawthornkeel_fakes::caller::ANSWERED;
-use hawthornkeel_fakes::caller::Load;
-use hawthornkeel_fakes::caller::Seen;
+use fleet::TEST_TIMEOUT;
+use hawthornkeel_fakes::load_generator;
+use hawthornkeel_fakes::load_generator::ANSWERED;
+use hawthornkeel_fakes::load_generator::LoadProfile;
+use hawthornkeel_fakes::load_generator::LoadResult;
 use hawthornkeel_fakes::thread::block_on;
 use hawthornkeel_fakes::thread::eventually;
 
@@ -34,29 +34,30 @@
 const LONE: usize = 5;
 
 fn start() -> Fleet {
-    let mut fleet = Fleet::prepare_relayed(6, 3);
-    fleet.run();
-    fleet.warm();
+    let mut fleet = Fleet::prepare_with_network(6, 3);
+    fleet.start_all();
+    fleet.warm_up();
     fleet
 }
 
 /// Starts callers at every entry, with requests that may be repeated.
-fn callers(fleet: &Fleet, round: u64) -> Vec<JoinHandle<Seen>> {
-    let load = |at: usize| Load {
+fn callers(fleet: &Fleet, round: u64) -> Vec<JoinHandle<LoadResult>> {
+    let load = |at: usize| LoadProfile {
         address: fleet.instances[at].listen,
         path: "/v1/pipelines/draft".to_owned(),
         fields: format!("authorization: Bearer {KEY}\r\n"),
         rate: RATE,
         count: COUNT,
-        first: (round * 100 + at as u64) * 1_000,
-        ..Load::default()
+        first_number: (round * 100 + at as u64) * 1_000,
+        ..LoadProfile::default()
     };
-    let start = |load: Load| thread::spawn(|| block_on(caller::run(load)).unwrap().unwrap());
+    let start =
+        |load: LoadProfile| thread::spawn(|| block_on(load_generator::run(load)).unwrap().unwrap());
     (0..fleet.instances.len()).map(load).map(start).collect()
 }
 
 /// Waits for callers, each of whose requests must have got its own answer.
-fn all_answered(fleet: &Fleet, callers: Vec<JoinHandle<Seen>>) {
+fn all_answered(fleet: &Fleet, callers: Vec<JoinHandle<LoadResult>>) {
     for (at, caller) in callers.into_iter().enumerate() {
         let seen = caller.join().unwrap();
         let answered = seen.count(ANSWERED);
@@ -64,18 +65,18 @@
     }
 }
 
-fn sign(fleet: &Fleet, at: usize, key: &str) -> fleet::Answer {
+fn sign(fleet: &Fleet, at: usize, key: &str) -> fleet::HttpResponse {
     fleet.call(at, "release", key, "{\"lot\":1}").unwrap()
 }
 
-fn refused_not_run(answer: &fleet::Answer) -> bool {
+fn refused_not_run(answer: &fleet::HttpResponse) -> bool {
     answer.field("code") == "no-quorum" && answer.field("ran") == "not-run"
 }
 
 /// Sends signatures until one is refused for want of a quorum; returns the keys told not run.
 fn sign_until_refused(fleet: &Fleet, at: usize) -> Vec<String> {
     let mut told = Vec::new();
-    let refused = eventually(PATIENCE, || {
+    let refused = eventually(TEST_TIMEOUT, || {
         let key = format!("apart-{at}-{}", told.len());
         let answer = sign(fleet, at, &key);
         assert_ne!(answer.status, 200, "signed without a quorum");
@@ -92,8 +93,8 @@
     let fleet = start();
     let load = callers(&fleet, 1);
     let before = fleet.runs_in(APART);
-    assert!(eventually(PATIENCE, || fleet.runs_in(APART) > before));
-    fleet.network().set_cut(APART, true);
+    assert!(eventually(TEST_TIMEOUT, || fleet.runs_in(APART) > before));
+    fleet.network().set_partitioned(APART, true);
     all_answered(&fleet, load);
 
     // Signatures on the cut-off side are refused, at once from then on, and none ran.
@@ -112,16 +113,16 @@
     fleet.submit(4, 2, 1, DOCUMENT);
     all_answered(&fleet, load);
     assert_eq!(fleet.version_at(LONE), Some(1));
-    let leader = fleet.leader_of(0);
+    let leader = fleet.known_leader(0);
     let term = fleet.term_at(leader);
 
     // On return it catches up, without serving a lower version or disturbing the term.
     let load = callers(&fleet, 3);
-    fleet.network().set_cut(APART, false);
+    fleet.network().set_partitioned(APART, false);
     let healed = Instant::now();
     for at in [2, LONE] {
         let mut served = 1;
-        let caught_up = eventually(PATIENCE, || {
+        let caught_up = eventually(TEST_TIMEOUT, || {
             let version = fleet.version_at(at).unwrap_or(served);
             assert!(version >= served, "{version} after {served}");
             served = version;
@@ -132,9 +133,9 @@
     assert!(healed.elapsed() < IN_FORCE, "{:?}", healed.elapsed());
     all_answered(&fleet, load);
     let signed = || sign(&fleet, LONE, "back").status == 200;
-    assert!(eventually(PATIENCE, signed), "{}", fleet.log(LONE));
+    assert!(eventually(TEST_TIMEOUT, signed), "{}", fleet.log(LONE));
     assert_eq!(fleet.term_at(leader), term, "the term was disturbed");
-    assert_eq!(fleet.leader_of(0), leader);
+    assert_eq!(fleet.known_leader(0), leader);
     for key in told {
         assert_eq!(fleet.runs("registry", &key), 0, "{key} was told not run");
     }
@@ -163,17 +164,17 @@
     assert_eq!(resent.result(), first.result(), "{resent:?}");
     let draft = fleet.call(leader, "draft", "", "{\"text\":\"lot\"}").unwrap();
     assert_eq!(draft.status, 200, "{draft:?}\n{}", fleet.log(leader));
-    let next = fleet.leader_of(other);
+    let next = fleet.known_leader(other);
     assert_ne!(next, leader);
     let term = fleet.term_at(next);
 
     fleet.network().set_isolated(&fleet.instances[leader].name, false);
     let caught_up = || fleet.version_at(leader) == Some(2);
-    assert!(eventually(PATIENCE, caught_up), "{}", fleet.log(leader));
+    assert!(eventually(TEST_TIMEOUT, caught_up), "{}", fleet.log(leader));
     // It may take a moment to find the new leader; no resend gets another outcome than the first.
     fleet.submit(leader, 2, 1, DOCUMENT);
     let mut resent = first.clone();
-    let replayed = eventually(PATIENCE, || {
+    let replayed = eventually(TEST_TIMEOUT, || {
         resent = sign(&fleet, leader, "first");
         resent.status == 200
     });
@@ -192,15 +193,15 @@
     let leader = fleet.leader();
     let other = (leader + 1) % 3;
     // It still hears the others, which no longer hear it.
-    fleet.network().set_muted(&fleet.instances[leader].name, true);
+    fleet.network().set_outbound_blocked(&fleet.instances[leader].name, true);
     fleet.submit(other, 2, 1, DOCUMENT);
-    assert_ne!(fleet.leader_of(other), leader);
+    assert_ne!(fleet.known_leader(other), leader);
     let told = sign_until_refused(&fleet, leader);
     let draft = fleet.call(leader, "draft", "", "{\"text\":\"lot\"}").unwrap();
     assert_eq!(draft.status, 200, "{draft:?}\n{}", fleet.log(leader));
-    fleet.network().set_muted(&fleet.instances[leader].name, false);
+    fleet.network().set_outbound_blocked(&fleet.instances[leader].name, false);
     let caught_up = || fleet.version_at(leader) == Some(2);
-    assert!(eventually(PATIENCE, caught_up), "{}", fleet.log(leader));
+    assert!(eventually(TEST_TIMEOUT, caught_up), "{}", fleet.log(leader));
     for key in told {
         assert_eq!(fleet.runs("registry", &key), 0, "{key} was told not run");
     }
@@ -209,8 +210,8 @@
 /// Takes the cut-off data centre out at `ordered`, whose side consists of `heard`.
 fn take_out_apart(ordered: usize, heard: &[usize]) {
     let fleet = start();
-    fleet.network().set_cut(APART, true);
-    let out = fleet.order(ordered, "take-out", 5, APART).unwrap();
+    fleet.network().set_partitioned(APART, true);
+    let out = fleet.send_order(ordered, "take-out", 5, APART).unwrap();
     assert_eq!(out.status, 200, "{out:?}");
     thread::sleep(OUT_OF_SERVICE);
     let before = fleet.runs_in(APART);
@@ -219,13 +220,13 @@
     }
     assert_eq!(fleet.runs_in(APART), before, "new work where the order was heard");
     // After the cut it holds everywhere.
-    fleet.network().set_cut(APART, false);
+    fleet.network().set_partitioned(APART, false);
     let held = || {
         let before = fleet.runs_in(APART);
         (0..6).for_each(|at| drop(fleet.call(at, "draft", "", "{\"text\":\"lot\"}")));
         fleet.runs_in(APART) == before
     };
-    assert!(eventually(PATIENCE, held), "{}", fleet.log(LONE));
+    assert!(eventually(TEST_TIMEOUT, held), "{}", fleet.log(LONE));
 }
 
 #[test]
--- a/hawthornkeel/tests/claim_kills.rs
+++ b/hawthornkeel/tests/claim_kills.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fleet::Fleet;
-use fleet::PATIENCE;
+use fleet::TEST_TIMEOUT;
 use hawthornkeel_fakes::thread::eventually;
 
 /// Time that a slow signature takes, in milliseconds.
@@ -14,7 +14,7 @@
 
 fn slow_registry(fleet: &Fleet) {
     for target in fleet.pool("registry") {
-        target.thread.behave(&format!("{{\"floor_ms\":{SLOW_MS}}}")).unwrap();
+        target.thread.configure(&format!("{{\"floor_ms\":{SLOW_MS}}}")).unwrap();
     }
 }
 
@@ -24,14 +24,14 @@
     slow_registry(&fleet);
     let address = fleet.instances[4].listen;
     let caller = thread::spawn(move || fleet::call_at(address, "release", "lot-1", "{\"lot\":1}"));
-    let dispatched = eventually(PATIENCE, || fleet.runs("registry", "lot-1") == 1);
+    let dispatched = eventually(TEST_TIMEOUT, || fleet.runs("registry", "lot-1") == 1);
     assert!(dispatched, "{}", fleet.log(4));
     fleet.kill(4);
     assert!(caller.join().unwrap().is_none(), "the killed entry can't have answered");
     // The resend waits for the claim to end, and is then told the truth.
     let again = || fleet.call(0, "release", "lot-1", "{\"lot\":1}").unwrap();
     let mut answer = again();
-    let told = eventually(PATIENCE, || {
+    let told = eventually(TEST_TIMEOUT, || {
         answer = again();
         answer.field("code") == "outcome-unknown"
     });
@@ -90,7 +90,7 @@
     let mut fleet = Fleet::start(5, 2);
     fleet.kill(0);
     fleet.kill(1);
-    let refused = eventually(PATIENCE, || {
+    let refused = eventually(TEST_TIMEOUT, || {
         let answer = fleet.call(3, "release", "lot-3", "{\"lot\":3}").unwrap();
         answer.field("code") == "no-quorum" && answer.field("ran") == "not-run"
     });
--- a/hawthornkeel/tests/cold_restart.rs
+++ b/hawthornkeel/tests/cold_restart.rs
@@ -7,9 +7,9 @@
 
 use fleet::Fleet;
 use fleet::KEY;
-use hawthornkeel_fakes::caller;
-use hawthornkeel_fakes::caller::ANSWERED;
-use hawthornkeel_fakes::caller::Load;
+use hawthornkeel_fakes::load_generator;
+use hawthornkeel_fakes::load_generator::ANSWERED;
+use hawthornkeel_fakes::load_generator::LoadProfile;
 use hawthornkeel_fakes::thread::block_on;
 
 /// Calls that a cold target bears at once, one more than the document allows.
@@ -41,20 +41,21 @@
         let fields = format!(
             "{{\"floor_ms\":20,\"cold_bears\":{BEARS},\"warm_after\":4,\"named\":{named}}}"
         );
-        target.thread.behave(&fields).unwrap();
+        target.thread.configure(&fields).unwrap();
     }
-    fleet.run();
-    fleet.warm();
-    let load = |at: usize| Load {
+    fleet.start_all();
+    fleet.warm_up();
+    let load = |at: usize| LoadProfile {
         address: fleet.instances[at].listen,
         path: "/v1/pipelines/draft".to_owned(),
         fields: format!("authorization: Bearer {KEY}\r\n"),
         rate: rate as f64,
         count,
-        first: at as u64 * 10_000,
-        ..Load::default()
+        first_number: at as u64 * 10_000,
+        ..LoadProfile::default()
     };
-    let start = |load: Load| thread::spawn(|| block_on(caller::run(load)).unwrap().unwrap());
+    let start =
+        |load: LoadProfile| thread::spawn(|| block_on(load_generator::run(load)).unwrap().unwrap());
     let callers: Vec<_> = (0..4).map(load).map(start).collect();
     let target = fleet.targets.iter().find(|t| t.listed.name == "writers-dc-0").unwrap();
     let before = target.thread.report().unwrap();
@@ -66,7 +67,7 @@
         answered += caller.join().unwrap().count(ANSWERED);
     }
     let after = target.thread.report().unwrap();
-    assert_eq!(after.falls, before.falls, "the cold target fell over");
+    assert_eq!(after.crashes, before.crashes, "the cold target fell over");
     let sent = 4 * count;
     assert!(answered as f64 >= ATTAINMENT * sent as f64, "{answered} of {sent} answered");
 }
--- a/hawthornkeel/tests/fenced_orders.rs
+++ b/hawthornkeel/tests/fenced_orders.rs
@@ -3,7 +3,7 @@
 mod fleet;
 
 use fleet::Fleet;
-use fleet::PATIENCE;
+use fleet::TEST_TIMEOUT;
 use fleet::post;
 use hawthornkeel_fakes::thread::eventually;
 
@@ -13,7 +13,7 @@
 /// Sends the order at an instance until the target has taken it.
 fn order(fleet: &Fleet, at: usize) {
     let mut last = None;
-    let taken = eventually(PATIENCE, || {
+    let taken = eventually(TEST_TIMEOUT, || {
         last = post(fleet.instances[at].admin, "/admin/order", "", ORDER);
         last.as_ref().is_some_and(|a| a.body.contains("\"accepted\""))
     });
--- a/hawthornkeel/tests/fleet/exchange.rs
+++ b/hawthornkeel/tests/fleet/client.rs
@@ -6,11 +6,11 @@
 use std::net::TcpStream;
 
 use crate::fleet::KEY;
-use crate::fleet::PATIENCE;
+use crate::fleet::TEST_TIMEOUT;
 
 /// Answer to a caller or operator.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     /// Status.
     pub status: u16,
     /// Header fields in lower case, one a line.
@@ -19,7 +19,7 @@
     pub body: String,
 }
 
-impl Answer {
+impl HttpResponse {
     /// Returns the value of a field of a refusal.
     pub fn field(&self, name: &str) -> String {
         self.value(name).as_str().unwrap_or_default().to_owned()
@@ -37,7 +37,7 @@
 }
 
 /// Calls a pipeline at the address of an instance.
-pub fn call_at(address: SocketAddr, pipeline: &str, key: &str, body: &str) -> Option<Answer> {
+pub fn call_at(address: SocketAddr, pipeline: &str, key: &str, body: &str) -> Option<HttpResponse> {
     let key = match key {
         "" => String::new(),
         key => format!("idempotency-key: {key}\r\n"),
@@ -47,12 +47,12 @@
 }
 
 /// Sends a GET request; nothing is returned where no whole answer came.
-pub fn get(address: SocketAddr, path: &str) -> Option<Answer> {
+pub fn get(address: SocketAddr, path: &str) -> Option<HttpResponse> {
     exchange(address, "GET", path, "", "")
 }
 
 /// Sends a POST request; nothing is returned where no whole answer came.
-pub fn post(address: SocketAddr, path: &str, fields: &str, body: &str) -> Option<Answer> {
+pub fn post(address: SocketAddr, path: &str, fields: &str, body: &str) -> Option<HttpResponse> {
     exchange(address, "POST", path, fields, body)
 }
 
@@ -62,9 +62,9 @@
     path: &str,
     fields: &str,
     body: &str,
-) -> Option<Answer> {
-    let mut stream = TcpStream::connect_timeout(&address, PATIENCE).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+) -> Option<HttpResponse> {
+    let mut stream = TcpStream::connect_timeout(&address, TEST_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
     let request = format!(
         "{method} {path} HTTP/1.1\r\nhost: test\r\nconnection: close\r\n{fields}\
          content-length: {}\r\n\r\n{body}",
@@ -76,5 +76,5 @@
     let (head, body) = text.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let fields = head.split_once("\r\n").map_or("", |(_, fields)| fields).to_lowercase();
-    Some(Answer { status, fields, body: body.to_owned() })
+    Some(HttpResponse { status, fields, body: body.to_owned() })
 }
--- a/hawthornkeel/tests/fleet/mod.rs
+++ b/hawthornkeel/tests/fleet/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-mod exchange;
+mod client;
 mod network;
 
 use std::fs;
@@ -18,9 +18,9 @@
 
 use hawthornkeel::peer::certificate;
 use hawthornkeel_fakes::behaviour::Behaviour;
-use hawthornkeel_fakes::platform::Instance as Listed;
+use hawthornkeel_fakes::platform::Instance as ListedInstance;
+use hawthornkeel_fakes::platform::InstanceList;
 use hawthornkeel_fakes::platform::InstanceState;
-use hawthornkeel_fakes::platform::List;
 use hawthornkeel_fakes::thread::PlatformThread;
 use hawthornkeel_fakes::thread::TargetThread;
 use hawthornkeel_fakes::thread::eventually;
@@ -29,14 +29,14 @@
 use rustix::process::kill_process;
 use tempfile::TempDir;
 
-pub use crate::fleet::exchange::Answer;
-pub use crate::fleet::exchange::call_at;
-pub use crate::fleet::exchange::get;
-pub use crate::fleet::exchange::post;
+pub use crate::fleet::client::HttpResponse;
+pub use crate::fleet::client::call_at;
+pub use crate::fleet::client::get;
+pub use crate::fleet::client::post;
 pub use crate::fleet::network::Network;
 
 /// Time for anything to come about in a test.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 /// Longest call to a cold target, in milliseconds; short, so that fleets start soon.
 const GRANT_MS: u64 = 2_000;
 /// Port of a fleet's first instance: below those that the system hands out, which would meet.
@@ -129,7 +129,7 @@
     /// Stand-in.
     pub thread: TargetThread,
     /// Entry on the platform's list.
-    pub listed: Listed,
+    pub listed: ListedInstance,
 }
 
 /// Fleet of processes; dropping it ends them all.
@@ -149,19 +149,19 @@
     /// Starts `count` instances over `centres` data centres, and submits [`DOCUMENT`].
     pub fn start(count: usize, centres: usize) -> Self {
         let mut fleet = Self::prepare(count, centres);
-        fleet.run();
+        fleet.start_all();
         fleet
     }
 
     /// Starts a fleet whose targets have all been warmed up by every instance.
     pub fn start_warm(count: usize, centres: usize) -> Self {
         let fleet = Self::start(count, centres);
-        fleet.warm();
+        fleet.warm_up();
         fleet
     }
 
     /// Starts every instance and submits [`DOCUMENT`].
-    pub fn run(&mut self) {
+    pub fn start_all(&mut self) {
         for at in 0..self.instances.len() {
             self.spawn(at);
         }
@@ -172,7 +172,7 @@
     }
 
     /// Has every instance call the targets until none needs a grant.
-    pub fn warm(&self) {
+    pub fn warm_up(&self) {
         for at in 0..self.instances.len() {
             let mut number = 0;
             let warm = || {
@@ -181,7 +181,7 @@
                 let answer = self.call(at, "warm", "", &format!("{{\"number\":{number}}}"));
                 answer.is_some_and(|a| a.status == 200) && self.is_warm(at)
             };
-            assert!(eventually(PATIENCE, warm), "not warm:\n{}", self.log(at));
+            assert!(eventually(TEST_TIMEOUT, warm), "not warm:\n{}", self.log(at));
         }
     }
 
@@ -197,18 +197,18 @@
 
     /// Prepares a fleet none of whose instances runs yet.
     pub fn prepare(count: usize, centres: usize) -> Self {
-        Self::prepare_granting(count, centres, GRANT_MS)
+        Self::prepare_with_grant(count, centres, GRANT_MS)
     }
 
     /// Prepares a fleet whose calls to cold targets last `grant_ms` milliseconds at most.
-    pub fn prepare_granting(count: usize, centres: usize, grant_ms: u64) -> Self {
+    pub fn prepare_with_grant(count: usize, centres: usize, grant_ms: u64) -> Self {
         let fleet = Self::place(count, centres);
         fleet.write_settings(grant_ms);
         fleet
     }
 
     /// Prepares a fleet whose data centres can be cut off from each other.
-    pub fn prepare_relayed(count: usize, centres: usize) -> Self {
+    pub fn prepare_with_network(count: usize, centres: usize) -> Self {
         let mut fleet = Self::place(count, centres);
         fleet.network = Some(Network::new(&fleet.instances, &fleet.targets));
         fleet.write_settings(GRANT_MS);
@@ -241,7 +241,7 @@
         let targets: Vec<_> =
             (0..centres).flat_map(|at| POOLS.map(|pool| start_target(pool, &centre(at)))).collect();
         let listed = targets.iter().map(|t| t.listed.clone()).collect();
-        let list = List { instances: listed, ..List::default() };
+        let list = InstanceList { instances: listed, ..InstanceList::default() };
         let platform = PlatformThread::start(list).unwrap();
         Self { instances, targets, platform, network: None, root }
     }
@@ -289,7 +289,7 @@
     pub fn wait_ready(&self, at: usize) {
         let address = self.instances[at].listen;
         let ready = || get(address, "/ready").is_some_and(|a| a.status == 200);
-        assert!(eventually(PATIENCE, ready), "{} not ready:\n{}", at, self.log(at));
+        assert!(eventually(TEST_TIMEOUT, ready), "{} not ready:\n{}", at, self.log(at));
     }
 
     /// Submits a document at an instance until it is accepted.
@@ -298,7 +298,7 @@
             let answer = self.try_submit(at, "op", operation, expected, text);
             answer.is_some_and(|a| a.body.contains("\"accepted\""))
         };
-        assert!(eventually(PATIENCE, accepted), "document not accepted:\n{}", self.log(at));
+        assert!(eventually(TEST_TIMEOUT, accepted), "document not accepted:\n{}", self.log(at));
     }
 
     /// Submits a document at an instance once.
@@ -309,7 +309,7 @@
         operation: u64,
         expected: u64,
         text: &str,
-    ) -> Option<Answer> {
+    ) -> Option<HttpResponse> {
         let text = serde_json::to_string(text).unwrap();
         let body = format!(
             "{{\"operator\":\"{operator}\",\"operation\":{operation},\"expected\":{expected},\
@@ -319,14 +319,20 @@
     }
 
     /// Gives an order about a data centre at an instance.
-    pub fn order(&self, at: usize, order: &str, operation: u64, centre: &str) -> Option<Answer> {
+    pub fn send_order(
+        &self,
+        at: usize,
+        order: &str,
+        operation: u64,
+        centre: &str,
+    ) -> Option<HttpResponse> {
         let body =
             format!("{{\"operator\":\"op\",\"operation\":{operation},\"centre\":\"{centre}\"}}");
         post(self.instances[at].admin, &format!("/admin/{order}"), "", &body)
     }
 
     /// Calls a pipeline at an instance.
-    pub fn call(&self, at: usize, pipeline: &str, key: &str, body: &str) -> Option<Answer> {
+    pub fn call(&self, at: usize, pipeline: &str, key: &str, body: &str) -> Option<HttpResponse> {
         call_at(self.instances[at].listen, pipeline, key, body)
     }
 
@@ -352,24 +358,24 @@
             leader = (0..3).find(|at| self.own_status(*at).is_some_and(|s| leads(&s)));
             leader.is_some()
         };
-        assert!(eventually(PATIENCE, found), "no leader:\n{}", self.log(0));
+        assert!(eventually(TEST_TIMEOUT, found), "no leader:\n{}", self.log(0));
         leader.unwrap()
     }
 
     /// Returns the number of the instance that `at` takes for the leader.
-    pub fn leader_of(&self, at: usize) -> usize {
+    pub fn known_leader(&self, at: usize) -> usize {
         let mut name = String::new();
         let known = || {
             let status = self.own_status(at).unwrap_or_default();
             name = status["control"]["lead"]["leader"].as_str().unwrap_or_default().to_owned();
             !name.is_empty()
         };
-        assert!(eventually(PATIENCE, known), "no leader known:\n{}", self.log(at));
+        assert!(eventually(TEST_TIMEOUT, known), "no leader known:\n{}", self.log(at));
         self.instances.iter().position(|i| i.name == name).unwrap()
     }
 
     /// Returns the identity under which `name` votes, as the instance `at` knows it.
-    pub fn voter(&self, at: usize, name: &str) -> Option<serde_json::Value> {
+    pub fn voter_id(&self, at: usize, name: &str) -> Option<serde_json::Value> {
         let status = self.own_status(at)?;
         let members = status["control"]["members"].as_array()?;
         let votes = |m: &&serde_json::Value| m["node"]["name"] == name && m["standing"] == "Voter";
@@ -474,7 +480,7 @@
 
 fn start_target(pool: &str, centre: &str) -> Target {
     let thread = TargetThread::start(Behaviour::default()).unwrap();
-    let listed = Listed {
+    let listed = ListedInstance {
         name: format!("{pool}-{centre}"),
         address: thread.address.to_string(),
         pool: pool.to_owned(),
--- a/hawthornkeel/tests/fleet/network.rs
+++ b/hawthornkeel/tests/fleet/network.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use hawthornkeel_fakes::platform::List;
-use hawthornkeel_fakes::relay::Relay;
-use hawthornkeel_fakes::stream_relay::StreamRelay;
+use hawthornkeel_fakes::platform::InstanceList;
+use hawthornkeel_fakes::tcp_relay::TcpRelay;
 use hawthornkeel_fakes::thread::PlatformThread;
+use hawthornkeel_fakes::udp_relay::UdpRelay;
 
 use crate::fleet::Instance;
 use crate::fleet::Target;
@@ -28,14 +28,14 @@
 struct PeerWay {
     from: End,
     to: End,
-    relay: Relay,
+    relay: UdpRelay,
 }
 
 /// Way from the instances of a data centre to a target.
 struct TargetWay {
     centre: String,
     to: End,
-    relay: StreamRelay,
+    relay: TcpRelay,
 }
 
 /// Platform of a data centre, whose list has the addresses of the ways from there.
@@ -50,7 +50,7 @@
         let mut network = Self { peers: Vec::new(), targets: Vec::new(), platforms: Vec::new() };
         for from in instances {
             for to in instances.iter().filter(|i| i.name != from.name) {
-                let relay = Relay::new(to.peer).unwrap();
+                let relay = UdpRelay::new(to.peer).unwrap();
                 network.peers.push(PeerWay { from: end(from), to: end(to), relay });
             }
             if !network.platforms.iter().any(|p| p.centre == from.centre) {
@@ -61,9 +61,9 @@
     }
 
     fn add_centre(&mut self, centre: &str, targets: &[Target]) {
-        let mut list = List::default();
+        let mut list = InstanceList::default();
         for target in targets {
-            let relay = StreamRelay::new(target.thread.address).unwrap();
+            let relay = TcpRelay::new(target.thread.address).unwrap();
             let mut listed = target.listed.clone();
             listed.address = relay.address.to_string();
             list.instances.push(listed);
@@ -76,15 +76,15 @@
     }
 
     /// Cuts a data centre off from the others, silently, or heals the cut.
-    pub fn set_cut(&self, centre: &str, cut: bool) {
+    pub fn set_partitioned(&self, centre: &str, cut: bool) {
         for way in &self.peers {
             if (way.from.centre == centre) != (way.to.centre == centre) {
-                way.relay.set_cut(cut);
+                way.relay.set_blocked(cut);
             }
         }
         for way in &self.targets {
             if (way.centre == centre) != (way.to.centre == centre) {
-                way.relay.set_cut(cut).unwrap();
+                way.relay.set_blocked(cut).unwrap();
             }
         }
     }
@@ -92,22 +92,22 @@
     /// Cuts an instance off from all others, silently, or heals the cut; targets are reached.
     pub fn set_isolated(&self, name: &str, cut: bool) {
         for way in self.peers.iter().filter(|w| w.from.name == name || w.to.name == name) {
-            way.relay.set_cut(cut);
+            way.relay.set_blocked(cut);
         }
     }
 
     /// Lets what an instance sends to the others vanish, or none of it.
-    pub fn set_muted(&self, name: &str, cut: bool) {
+    pub fn set_outbound_blocked(&self, name: &str, cut: bool) {
         for way in self.peers.iter().filter(|w| w.from.name == name) {
-            way.relay.set_cut_out(cut);
+            way.relay.set_outbound_blocked(cut);
         }
         for way in self.peers.iter().filter(|w| w.to.name == name) {
-            way.relay.set_cut_back(cut);
+            way.relay.set_inbound_blocked(cut);
         }
     }
 
     /// Returns the way from a data centre to a target.
-    pub fn way(&self, centre: &str, target: &str) -> &StreamRelay {
+    pub fn target_relay(&self, centre: &str, target: &str) -> &TcpRelay {
         let way = self.targets.iter().find(|w| w.centre == centre && w.to.name == target);
         &way.unwrap().relay
     }
--- a/hawthornkeel/tests/forward_site/mod.rs
+++ b/hawthornkeel/tests/forward_harness/mod.rs
@@ -33,13 +33,13 @@
 use tempfile::TempDir;
 
 /// Time for anything to come about.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// Names of the targets, which listen on addresses of their own.
 pub const TARGETS: [&str; 3] = ["i-plain", "i-other", "i-stage"];
 
 /// Request as a target got it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct RecordedRequest {
     pub target: &'static str,
     pub line: String,
     pub headers: HeaderMap,
@@ -48,53 +48,59 @@
 
 /// Answer as a caller got it.
 #[derive(Debug)]
-pub struct Got {
+pub struct HttpResponse {
     pub status: u16,
     pub head: String,
     pub body: String,
 }
 
-/// Callers of a site's entries.
-pub struct Callers {
+/// Client of a harness's entries.
+pub struct EntryClient {
     entries: Vec<SocketAddr>,
 }
 
-impl Callers {
+impl EntryClient {
     /// Calls one of the entries once; `None` where there is no whole answer.
-    pub fn try_call(&self, entry: usize, method: &str, path: &str, fields: &str) -> Option<Got> {
+    pub fn try_call(
+        &self,
+        entry: usize,
+        method: &str,
+        path: &str,
+        fields: &str,
+    ) -> Option<HttpResponse> {
         call(self.entries[entry], method, path, fields, "")
     }
 }
 
-/// Process of the site.
+/// Process of the harness.
 struct Process {
     ip: String,
     child: Option<Child>,
 }
 
-/// Running site.
-pub struct Site {
-    pub seen: Arc<Mutex<Vec<Seen>>>,
+/// Running harness.
+pub struct Harness {
+    pub seen: Arc<Mutex<Vec<RecordedRequest>>>,
     processes: Vec<Process>,
     root: TempDir,
     operators: Vec<SocketAddr>,
     entries: Vec<SocketAddr>,
 }
 
-impl Drop for Site {
+impl Drop for Harness {
     fn drop(&mut self) {
         (0..self.processes.len()).for_each(|at| self.kill(at));
     }
 }
 
-impl Site {
-    /// Starts a site with one control instance; `net` keeps tests that run at once apart.
+impl Harness {
+    /// Starts a harness with one control instance; `net` keeps tests that run at once apart.
     pub fn start(net: u8) -> Self {
-        Self::with_controls(net, 1)
+        Self::with_control_instances(net, 1)
     }
 
-    /// Starts a site; the first processes are its control instances, two entries follow.
-    pub fn with_controls(net: u8, controls: u8) -> Self {
+    /// Starts a harness; the first processes are its control instances, two entries follow.
+    pub fn with_control_instances(net: u8, controls: u8) -> Self {
         let ip = |host: u8| format!("127.{net}.0.{host}");
         let port = free_port(&ip(1));
         let list = addr(&ip(9), port + 1);
@@ -103,7 +109,7 @@
         serve_fakes(list, targets, &seen);
         let hosts: Vec<u8> = (1..=controls).collect();
         let entries: Vec<u8> = vec![controls + 1, controls + 2];
-        let mut site = Self {
+        let mut harness = Self {
             seen,
             processes: Vec::new(),
             root: tempfile::tempdir().unwrap(),
@@ -119,13 +125,13 @@
             )
         };
         for host in hosts {
-            let data = site.root.path().join(format!("data-{host}")).display().to_string();
+            let data = harness.root.path().join(format!("data-{host}")).display().to_string();
             let (lost, operators) = (controls / 2, addr(&ip(host), port + 2));
             let role = format!(
                 "[control]\nenabled = true\ndata = {data:?}\noperators = \"{operators}\"\n\
                  lost_disks = {lost}\n[platform]\naddress = \"{list}\"\npoll_ms = 100\n"
             );
-            site.add(&ip(host), &(common(host) + &role));
+            harness.add(&ip(host), &(common(host) + &role));
         }
         for host in entries {
             let (listen, ready) = (addr(&ip(host), port + 3), addr(&ip(host), port + 4));
@@ -133,9 +139,9 @@
                 "[forward]\nlisten = \"{listen}\"\nready = \"{ready}\"\ngrace_s = 2\n\
                  retry_slack = 100\n"
             );
-            site.add(&ip(host), &(common(host) + &role));
+            harness.add(&ip(host), &(common(host) + &role));
         }
-        site
+        harness
     }
 
     fn add(&mut self, ip: &str, settings: &str) {
@@ -170,12 +176,12 @@
     }
 
     /// Tells whether a process runs, frozen or not.
-    pub fn runs(&self, at: usize) -> bool {
+    pub fn is_started(&self, at: usize) -> bool {
         self.processes[at].child.is_some()
     }
 
     /// Returns the number of processes.
-    pub fn processes(&self) -> usize {
+    pub fn process_count(&self) -> usize {
         self.processes.len()
     }
 
@@ -187,23 +193,23 @@
     }
 
     /// Returns callers, who go on while processes are killed and started.
-    pub fn callers(&self) -> Callers {
-        Callers { entries: self.entries.clone() }
+    pub fn client(&self) -> EntryClient {
+        EntryClient { entries: self.entries.clone() }
     }
 
     /// Hands a document to one control instance once.
-    pub fn try_put(&self, control: usize, document: &str) -> Option<Got> {
+    pub fn try_replace_document(&self, control: usize, document: &str) -> Option<HttpResponse> {
         call(self.operators[control], "POST", "/Configuration.Replace", "", document)
     }
 
     /// Reads the document in force from one control instance.
-    pub fn try_read(&self, control: usize) -> Option<Got> {
+    pub fn try_read_document(&self, control: usize) -> Option<HttpResponse> {
         call(self.operators[control], "GET", "/Configuration.Read", "", "")
     }
 
     /// Puts a document into force, and waits until it is acknowledged.
-    pub fn put(&self, document: &str) -> u16 {
-        let until = Instant::now() + PATIENCE;
+    pub fn replace_document(&self, document: &str) -> u16 {
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
             let got = call(self.operators[0], "POST", "/Configuration.Replace", "", document);
             match got {
@@ -215,19 +221,19 @@
     }
 
     /// Returns the document in force, as operators read it.
-    pub fn read(&self) -> Option<Got> {
+    pub fn read_document(&self) -> Option<HttpResponse> {
         call(self.operators[0], "GET", "/Configuration.Read", "", "")
     }
 
     /// Calls an entry, which must be listening.
-    pub fn call(&self, method: &str, path: &str, fields: &str, body: &str) -> Got {
+    pub fn call(&self, method: &str, path: &str, fields: &str, body: &str) -> HttpResponse {
         call(self.entries[0], method, path, fields, body)
             .unwrap_or_else(|| panic!("{}", self.logs()))
     }
 
     /// Calls an entry until the answer has a status.
-    pub fn call_until(&self, status: u16, path: &str, fields: &str) -> Got {
-        let until = Instant::now() + PATIENCE;
+    pub fn call_until(&self, status: u16, path: &str, fields: &str) -> HttpResponse {
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Some(got) = call(self.entries[0], "GET", path, fields, "")
                 && got.status == status
@@ -240,16 +246,16 @@
     }
 
     /// Returns what targets got, of requests whose first line begins so.
-    pub fn got(&self, line: &str) -> Vec<Seen> {
+    pub fn requests(&self, line: &str) -> Vec<RecordedRequest> {
         let seen = self.seen.lock().unwrap();
         seen.iter().filter(|s| s.line.starts_with(line)).cloned().collect()
     }
 
     /// Waits until targets got a request whose first line begins so.
-    pub fn wait_for(&self, line: &str) -> Seen {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_request(&self, line: &str) -> RecordedRequest {
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
-            if let Some(seen) = self.got(line).first() {
+            if let Some(seen) = self.requests(line).first() {
                 return seen.clone();
             }
             assert!(Instant::now() < until, "never {line}:\n{}", self.logs());
@@ -276,7 +282,11 @@
 }
 
 /// Serves the platform's list and the targets on a thread of their own.
-fn serve_fakes(list: SocketAddr, targets: [SocketAddr; 3], seen: &Arc<Mutex<Vec<Seen>>>) {
+fn serve_fakes(
+    list: SocketAddr,
+    targets: [SocketAddr; 3],
+    seen: &Arc<Mutex<Vec<RecordedRequest>>>,
+) {
     let seen = Arc::clone(seen);
     thread::spawn(move || {
         hawthornkeel::runtime::block_on(async move {
@@ -309,13 +319,13 @@
 }
 
 /// Notes a request and tells whether it is the first with its line.
-fn note(target: &'static str, request: &Request, seen: &Mutex<Vec<Seen>>) -> bool {
+fn note(target: &'static str, request: &Request, seen: &Mutex<Vec<RecordedRequest>>) -> bool {
     let head = &request.head;
     let line = format!("{} {}?{}", head.method, head.path, head.query);
     let mut seen = seen.lock().unwrap();
     let first = !seen.iter().any(|s| s.line == line);
     let (headers, body) = (head.headers.clone(), request.body.clone());
-    seen.push(Seen { target, line, headers, body });
+    seen.push(RecordedRequest { target, line, headers, body });
     first
 }
 
@@ -360,7 +370,13 @@
 }
 
 /// Sends one request and reads its answer, `None` where there is no connection or no answer.
-fn call(to: SocketAddr, method: &str, path: &str, fields: &str, body: &str) -> Option<Got> {
+fn call(
+    to: SocketAddr,
+    method: &str,
+    path: &str,
+    fields: &str,
+    body: &str,
+) -> Option<HttpResponse> {
     let mut stream = TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(10))).ok()?;
     let length = body.len();
@@ -374,5 +390,5 @@
     let answer = String::from_utf8_lossy(&answer).into_owned();
     let (head, body) = answer.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
-    Some(Got { status, head: head.to_lowercase(), body: body.to_owned() })
+    Some(HttpResponse { status, head: head.to_lowercase(), body: body.to_owned() })
 }
--- a/hawthornkeel/tests/forward_soak.rs
+++ b/hawthornkeel/tests/forward_soak.rs
@@ -1,6 +1,6 @@
 //! Kills and freezes random processes under load; SOAK_SEEDS sets the number of seeds.
 
-mod forward_site;
+mod forward_harness;
 
 use std::collections::BTreeMap;
 use std::sync::atomic::AtomicBool;
@@ -14,8 +14,8 @@
 use rand_chacha::ChaCha8Rng;
 use rustix::process::Signal;
 
-use crate::forward_site::Callers;
-use crate::forward_site::Site;
+use crate::forward_harness::EntryClient;
+use crate::forward_harness::Harness;
 
 /// Default number of seeds, as run in CI; longer runs use 50 and more.
 const DEFAULT_SEEDS: u64 = 3;
@@ -45,7 +45,7 @@
 type Outcomes = BTreeMap<String, Option<u16>>;
 
 /// Sends requests one after the other until `stop` is set.
-fn load(callers: &Callers, seed: u64, caller: u64, stop: &AtomicBool) -> Outcomes {
+fn load(callers: &EntryClient, seed: u64, caller: u64, stop: &AtomicBool) -> Outcomes {
     let mut rng = ChaCha8Rng::seed_from_u64(seed * 100 + caller);
     let mut outcomes = Outcomes::new();
     let mut number = 0;
@@ -67,32 +67,32 @@
 /// Kills, freezes and restarts processes and replaces documents.
 ///
 /// Returns the version of the last acknowledged document.
-fn inject_faults(site: &mut Site, rng: &mut ChaCha8Rng, stop: &AtomicBool) -> u64 {
+fn inject_faults(harness: &mut Harness, rng: &mut ChaCha8Rng, stop: &AtomicBool) -> u64 {
     let until = Instant::now() + FAULT_DURATION;
     let (mut version, mut acknowledged) = (1, 1);
     let mut frozen = Vec::new();
     while Instant::now() < until {
-        let at = rng.random_range(0..site.processes());
+        let at = rng.random_range(0..harness.process_count());
         match rng.random_range(0..4) {
-            0 if site.runs(at) => site.kill(at),
-            0 | 1 if !site.runs(at) => site.spawn(at),
+            0 if harness.is_started(at) => harness.kill(at),
+            0 | 1 if !harness.is_started(at) => harness.spawn(at),
             2 if !frozen.contains(&at) => {
-                site.signal(at, Signal::STOP);
+                harness.signal(at, Signal::STOP);
                 frozen.push(at);
             }
-            _ => frozen.drain(..).for_each(|at| site.signal(at, Signal::CONT)),
+            _ => frozen.drain(..).for_each(|at| harness.signal(at, Signal::CONT)),
         }
         version += 1;
-        let put = site.try_put(rng.random_range(0..3), &document(version));
+        let put = harness.try_replace_document(rng.random_range(0..3), &document(version));
         if put.is_some_and(|g| g.status == 200) {
             acknowledged = version;
         }
         thread::sleep(Duration::from_millis(rng.random_range(50..400)));
     }
-    for at in 0..site.processes() {
-        site.signal(at, Signal::CONT);
-        if !site.runs(at) {
-            site.spawn(at);
+    for at in 0..harness.process_count() {
+        harness.signal(at, Signal::CONT);
+        if !harness.is_started(at) {
+            harness.spawn(at);
         }
     }
     stop.store(true, Ordering::Relaxed);
@@ -100,18 +100,18 @@
 }
 
 /// Waits until a condition holds; panics with `message` after the recovery timeout.
-fn eventually(message: &str, site: &Site, mut condition: impl FnMut() -> bool) {
+fn eventually(message: &str, harness: &Harness, mut condition: impl FnMut() -> bool) {
     let until = Instant::now() + RECOVERY_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < until, "{message}:\n{}", site.logs());
+        assert!(Instant::now() < until, "{message}:\n{}", harness.logs());
         thread::sleep(Duration::from_millis(100));
     }
 }
 
 /// Asserts that non-idempotent requests ran at most once and as their response status implies.
-fn check_runs(site: &Site, outcomes: &Outcomes, seed: u64) {
+fn check_runs(harness: &Harness, outcomes: &Outcomes, seed: u64) {
     for (path, status) in outcomes.iter().filter(|(p, _)| p.starts_with("/sign/")) {
-        let runs = site.got(&format!("POST {path}?")).len();
+        let runs = harness.requests(&format!("POST {path}?")).len();
         assert!(runs <= 1, "seed {seed}: {path} ran {runs} times");
         match status {
             Some(200) => assert_eq!(runs, 1, "seed {seed}: {path} was answered but never ran"),
@@ -129,11 +129,11 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         // The fake targets of earlier seeds still listen on their addresses.
         let net = 80 + u8::try_from(seed % 150).unwrap();
-        let mut site = Site::with_controls(net, 3);
-        assert_eq!(site.put(&document(1)), 200);
-        site.call_until(200, "/lots/first", &format!("{FIELDS}Request-Id: first\r\n"));
+        let mut harness = Harness::with_control_instances(net, 3);
+        assert_eq!(harness.replace_document(&document(1)), 200);
+        harness.call_until(200, "/lots/first", &format!("{FIELDS}Request-Id: first\r\n"));
         let stop = AtomicBool::new(false);
-        let callers = site.callers();
+        let callers = harness.client();
         let (acknowledged, outcomes) = thread::scope(|scope| {
             let loads: Vec<_> = (0..3)
                 .map(|caller| {
@@ -141,18 +141,18 @@
                     scope.spawn(move || load(callers, seed, caller, stop))
                 })
                 .collect();
-            let acknowledged = inject_faults(&mut site, &mut rng, &stop);
+            let acknowledged = inject_faults(&mut harness, &mut rng, &stop);
             let outcomes: Outcomes = loads.into_iter().flat_map(|l| l.join().unwrap()).collect();
             (acknowledged, outcomes)
         });
-        check_runs(&site, &outcomes, seed);
-        eventually("requests fail after the faults", &site, || {
+        check_runs(&harness, &outcomes, seed);
+        eventually("requests fail after the faults", &harness, || {
             let fields = format!("{FIELDS}Request-Id: last\r\n");
             let answers = (0..2).map(|e| callers.try_call(e, "GET", "/lots/last", &fields));
             answers.into_iter().all(|a| a.is_some_and(|g| g.status == 200))
         });
-        eventually("acknowledged document lost", &site, || {
-            let read = site.try_read(0).filter(|g| g.status == 200);
+        eventually("acknowledged document lost", &harness, || {
+            let read = harness.try_read_document(0).filter(|g| g.status == 200);
             read.is_some_and(|g| {
                 let version = (acknowledged..acknowledged + 100).find(|v| g.body == document(*v));
                 version.is_some()
--- a/hawthornkeel/tests/hedged_calls.rs
+++ b/hawthornkeel/tests/hedged_calls.rs
@@ -3,12 +3,12 @@
 mod fleet;
 
 use fleet::Fleet;
-use fleet::PATIENCE;
+use fleet::TEST_TIMEOUT;
 use fleet::get;
 use hawthornkeel_fakes::behaviour::Behaviour;
-use hawthornkeel_fakes::platform::Instance as Listed;
+use hawthornkeel_fakes::platform::Instance as ListedInstance;
+use hawthornkeel_fakes::platform::InstanceList;
 use hawthornkeel_fakes::platform::InstanceState;
-use hawthornkeel_fakes::platform::List;
 use hawthornkeel_fakes::record::Outcome;
 use hawthornkeel_fakes::thread::TargetThread;
 use hawthornkeel_fakes::thread::eventually;
@@ -25,7 +25,7 @@
     let mut fleet = Fleet::prepare(3, 1);
     let thread = TargetThread::start(Behaviour::default()).unwrap();
     let name = format!("{pool}-second");
-    let listed = Listed {
+    let listed = ListedInstance {
         name,
         address: thread.address.to_string(),
         pool: pool.to_owned(),
@@ -34,8 +34,8 @@
     };
     fleet.targets.push(fleet::Target { thread, listed });
     let instances = fleet.targets.iter().map(|t| t.listed.clone()).collect();
-    fleet.platform.set(&List { instances, ..List::default() }).unwrap();
-    fleet.run();
+    fleet.platform.set(&InstanceList { instances, ..InstanceList::default() }).unwrap();
+    fleet.start_all();
     take(&fleet, pool, USUAL_MS);
     let mut lot = 0;
     let warm = || {
@@ -44,14 +44,14 @@
         let answer = fleet.call(0, "warm", "", &format!("{{\"lot\":{lot}}}"));
         answer.is_some_and(|a| a.status == 200) && is_warm(&fleet, pool)
     };
-    assert!(eventually(PATIENCE, warm), "not warm:\n{}", fleet.log(0));
+    assert!(eventually(TEST_TIMEOUT, warm), "not warm:\n{}", fleet.log(0));
     fleet
 }
 
 /// Makes calls to the targets of a pool take `millis` milliseconds.
 fn take(fleet: &Fleet, pool: &str, millis: u64) {
     for target in fleet.pool(pool) {
-        target.thread.behave(&format!("{{\"floor_ms\":{millis}}}")).unwrap();
+        target.thread.configure(&format!("{{\"floor_ms\":{millis}}}")).unwrap();
     }
 }
 
@@ -89,10 +89,10 @@
     fleet.call(0, "draft", "", "{\"lot\":1}").unwrap();
     let slow = last_called(&fleet, "readers");
     let before = slow.thread.report().unwrap().runs.len();
-    slow.thread.behave(&format!("{{\"floor_ms\":{SLOW_MS}}}")).unwrap();
+    slow.thread.configure(&format!("{{\"floor_ms\":{SLOW_MS}}}")).unwrap();
     let new_runs = || slow.thread.report().unwrap().runs.split_off(before);
     let cancelled = || new_runs().iter().any(|r| r.outcome == Outcome::Cancelled);
-    let beaten = eventually(PATIENCE, || {
+    let beaten = eventually(TEST_TIMEOUT, || {
         let answer = fleet.call(0, "draft", "", "{\"lot\":1}").unwrap();
         assert_eq!(answer.status, 200, "{answer:?}\n{}", fleet.log(0));
         cancelled()
--- a/hawthornkeel/tests/http_bounds.rs
+++ b/hawthornkeel/tests/http_bounds.rs
@@ -9,8 +9,8 @@
 use hawthornkeel::http::message::Response;
 use hawthornkeel::http::server::Limits;
 use hawthornkeel::http::server::Server;
-use hawthornkeel_fakes::raw;
-use hawthornkeel_fakes::raw::RawCaller;
+use hawthornkeel_fakes::raw_client;
+use hawthornkeel_fakes::raw_client::RawClient;
 use hawthornkeel_fakes::thread;
 use rstest::rstest;
 
@@ -25,13 +25,13 @@
     address.unwrap()
 }
 
-fn assert_refused(caller: &mut RawCaller, status: u16, code: &str) {
-    let answer = caller.answer().unwrap();
+fn assert_refused(caller: &mut RawClient, status: u16, code: &str) {
+    let answer = caller.read_response().unwrap();
     assert_eq!(answer.status, status, "{answer:?}");
     assert!(answer.head.contains("\r\nconnection: close\r\n"), "{answer:?}");
     assert!(answer.body.contains(&format!("\"code\":\"{code}\"")), "{answer:?}");
     assert!(answer.body.contains("\"ran\":\"not-run\""), "{answer:?}");
-    assert_eq!(caller.read_to_close().unwrap(), b"");
+    assert_eq!(caller.read_to_end().unwrap(), b"");
 }
 
 /// Returns the most memory that the process has held, in bytes.
@@ -44,7 +44,7 @@
 #[test]
 fn large_head_refused() {
     let address = start(Limits::default());
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     caller.send(format!("GET / HTTP/1.1\r\nHost: a\r\nX: {}", "x".repeat(20 * 1024))).unwrap();
     assert_refused(&mut caller, 431, "head-too-large");
 }
@@ -52,7 +52,7 @@
 #[test]
 fn many_fields_refused() {
     let address = start(Limits::default());
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     let fields: String = (0..200).map(|i| format!("X{i}: y\r\n")).collect();
     caller.send(format!("GET / HTTP/1.1\r\nHost: a\r\n{fields}\r\n")).unwrap();
     assert_refused(&mut caller, 431, "head-too-large");
@@ -61,7 +61,7 @@
 #[test]
 fn declared_body_refused_unread() {
     let address = start(Limits { max_body: 1000, ..Limits::default() });
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     caller.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1001\r\n\r\n").unwrap();
     assert_refused(&mut caller, 413, "body-too-large");
 }
@@ -71,7 +71,7 @@
 #[case::one_chunk("FFFFFFFF\r\n", 4096)]
 fn chunked_body_refused(#[case] size: &str, #[case] bytes: usize) {
     let address = start(Limits { max_body: 1000, ..Limits::default() });
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     caller.send("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
     let chunk = format!("{size}{}\r\n", "x".repeat(bytes));
     caller.send(chunk.repeat(11)).unwrap();
@@ -82,27 +82,27 @@
 fn body_at_bound_accepted() {
     let address = start(Limits { max_body: MEBIBYTE, ..Limits::default() });
     let body = "x".repeat(MEBIBYTE);
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     caller
         .send(format!("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: {MEBIBYTE}\r\n\r\n"))
         .unwrap();
     caller.send(&body).unwrap();
-    assert_eq!(caller.answer().unwrap().body, MEBIBYTE.to_string());
+    assert_eq!(caller.read_response().unwrap().body, MEBIBYTE.to_string());
     caller.send("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
     caller.send(format!("100000\r\n{body}\r\n0\r\n\r\n")).unwrap();
-    assert_eq!(caller.answer().unwrap().body, MEBIBYTE.to_string());
+    assert_eq!(caller.read_response().unwrap().body, MEBIBYTE.to_string());
 }
 
 #[test]
 fn continue_sent_before_body() {
     let address = start(Limits::default());
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     caller
         .send("POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
         .unwrap();
-    assert_eq!(caller.read_past("\r\n\r\n").unwrap(), "HTTP/1.1 100 Continue\r\n\r\n");
+    assert_eq!(caller.read_until("\r\n\r\n").unwrap(), "HTTP/1.1 100 Continue\r\n\r\n");
     caller.send("abc").unwrap();
-    assert_eq!(caller.answer().unwrap().body, "3");
+    assert_eq!(caller.read_response().unwrap().body, "3");
 }
 
 #[rstest]
@@ -111,11 +111,11 @@
 #[case::chunk("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3E8\r\n")]
 fn slow_sender_refused(#[case] part: &str) {
     let address = start(Limits { receive: Duration::from_millis(200), ..Limits::default() });
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     let begin = Instant::now();
     caller.send(part).unwrap();
     // A byte now and then must not win more time.
-    while !caller.has_bytes().unwrap() && begin.elapsed() < Duration::from_secs(3) {
+    while !caller.is_readable().unwrap() && begin.elapsed() < Duration::from_secs(3) {
         caller.send("x").unwrap();
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -126,35 +126,35 @@
 #[test]
 fn refusal_reaches_busy_sender() {
     let address = start(Limits { max_body: 1000, ..Limits::default() });
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     caller.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 131072\r\n\r\n").unwrap();
-    assert!(thread::eventually(Duration::from_secs(5), || caller.has_bytes().unwrap()));
+    assert!(thread::eventually(Duration::from_secs(5), || caller.is_readable().unwrap()));
     // A caller that is still sending isn't cut off by a reset before it looks for an answer.
     for _ in 0..8 {
         caller.send("x".repeat(16 * 1024)).unwrap();
         std::thread::sleep(Duration::from_millis(5));
     }
-    caller.end().unwrap();
+    caller.shutdown_write().unwrap();
     assert_refused(&mut caller, 413, "body-too-large");
 }
 
 #[test]
 fn idle_connection_closed() {
     let address = start(Limits { idle: Duration::from_millis(100), ..Limits::default() });
-    let mut caller = RawCaller::connect(address).unwrap();
-    assert_eq!(caller.read_to_close().unwrap(), b"");
+    let mut caller = RawClient::connect(address).unwrap();
+    assert_eq!(caller.read_to_end().unwrap(), b"");
 }
 
 #[test]
 fn new_connection_without_request_closed() {
     let address = start(Limits { receive: Duration::from_millis(100), ..Limits::default() });
-    let mut caller = RawCaller::connect(address).unwrap();
-    assert_eq!(caller.read_to_close().unwrap(), b"");
+    let mut caller = RawClient::connect(address).unwrap();
+    assert_eq!(caller.read_to_end().unwrap(), b"");
     // Between requests the longer bound holds.
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     for _ in 0..2 {
         caller.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
-        assert_eq!(caller.answer().unwrap().status, 200);
+        assert_eq!(caller.read_response().unwrap().status, 200);
         std::thread::sleep(Duration::from_millis(200));
     }
 }
@@ -164,21 +164,21 @@
     let limits = Limits { max_body: 1000, max_held: 1500, ..Limits::default() };
     let address = start(limits);
     let head = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1000\r\n\r\n";
-    let mut first = RawCaller::connect(address).unwrap();
+    let mut first = RawClient::connect(address).unwrap();
     first.send(head).unwrap();
     let refused = thread::eventually(Duration::from_secs(5), || {
-        let mut second = RawCaller::connect(address).unwrap();
+        let mut second = RawClient::connect(address).unwrap();
         second.send(head).unwrap();
         second.send("x".repeat(1000)).unwrap();
-        second.answer().unwrap().status == 503
+        second.read_response().unwrap().status == 503
     });
     assert!(refused);
     first.send("x".repeat(1000)).unwrap();
-    assert_eq!(first.answer().unwrap().status, 200);
-    let mut third = RawCaller::connect(address).unwrap();
+    assert_eq!(first.read_response().unwrap().status, 200);
+    let mut third = RawClient::connect(address).unwrap();
     third.send(head).unwrap();
     third.send("x".repeat(1000)).unwrap();
-    assert_eq!(third.answer().unwrap().status, 200);
+    assert_eq!(third.read_response().unwrap().status, 200);
 }
 
 #[test]
@@ -188,7 +188,7 @@
     let piece = "x".repeat(64 * 1024);
     let mut callers = Vec::new();
     for number in 0..64 {
-        let mut caller = RawCaller::connect(address).unwrap();
+        let mut caller = RawClient::connect(address).unwrap();
         let head = match number % 3 {
             0 => "GET / HTTP/1.1\r\nHost: a\r\nX: ",
             1 => "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4000000000\r\n\r\n",
@@ -197,7 +197,7 @@
         caller.send(head).unwrap();
         for _ in 0..64 {
             if let Err(error) = caller.send(&piece) {
-                assert!(raw::is_close(&error), "{error}");
+                assert!(raw_client::is_close(&error), "{error}");
                 break;
             }
         }
--- a/hawthornkeel/tests/http_connections.rs
+++ b/hawthornkeel/tests/http_connections.rs
@@ -11,7 +11,7 @@
 use hawthornkeel::http::message::Response;
 use hawthornkeel::http::server::Limits;
 use hawthornkeel::http::server::Server;
-use hawthornkeel_fakes::raw::RawCaller;
+use hawthornkeel_fakes::raw_client::RawClient;
 use hawthornkeel_fakes::thread;
 
 const LIMIT: Duration = Duration::from_secs(5);
@@ -48,8 +48,8 @@
     Response::json("{}")
 }
 
-fn call(address: SocketAddr, path: &str) -> RawCaller {
-    let mut caller = RawCaller::connect(address).unwrap();
+fn call(address: SocketAddr, path: &str) -> RawClient {
+    let mut caller = RawClient::connect(address).unwrap();
     caller.send(format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n")).unwrap();
     caller
 }
@@ -63,7 +63,7 @@
     sleep(Duration::from_millis(50));
     counts.released.store(1, Ordering::SeqCst);
     for caller in &mut callers {
-        assert_eq!(caller.answer().unwrap().status, 200);
+        assert_eq!(caller.read_response().unwrap().status, 200);
     }
     assert_eq!(counts.peak.load(Ordering::SeqCst), 2);
 }
@@ -72,12 +72,12 @@
 fn idle_one_makes_room() {
     let (address, counts) = start();
     let mut idle = call(address, "/");
-    assert!(!idle.answer().unwrap().head.contains("connection: close"));
+    assert!(!idle.read_response().unwrap().head.contains("connection: close"));
     let mut busy = call(address, "/held");
     assert!(thread::eventually(LIMIT, || counts.running.load(Ordering::SeqCst) == 1));
     let mut third = call(address, "/");
-    assert_eq!(third.answer().unwrap().status, 200);
-    assert_eq!(idle.read_to_close().unwrap(), b"");
+    assert_eq!(third.read_response().unwrap().status, 200);
+    assert_eq!(idle.read_to_end().unwrap(), b"");
     counts.released.store(1, Ordering::SeqCst);
-    assert_eq!(busy.answer().unwrap().status, 200);
+    assert_eq!(busy.read_response().unwrap().status, 200);
 }
--- a/hawthornkeel/tests/http_garbage.rs
+++ b/hawthornkeel/tests/http_garbage.rs
@@ -12,7 +12,7 @@
 use hawthornkeel::target::call::Call;
 use hawthornkeel::target::client::Client;
 use hawthornkeel::target::client::ClientLimits;
-use hawthornkeel_fakes::raw::RawCaller;
+use hawthornkeel_fakes::raw_client::RawClient;
 use hawthornkeel_fakes::thread;
 use rstest::rstest;
 
@@ -48,10 +48,10 @@
     });
     let address = address.unwrap();
     for byte in BYTES {
-        let mut caller = RawCaller::connect(address).unwrap();
+        let mut caller = RawClient::connect(address).unwrap();
         caller.send(fill(request, byte)).unwrap();
-        caller.end().unwrap();
-        let answer = caller.read_to_close().unwrap();
+        caller.shutdown_write().unwrap();
+        let answer = caller.read_to_end().unwrap();
         let text = String::from_utf8_lossy(&answer);
         let clear = text.starts_with("HTTP/1.1 200") || text.starts_with("HTTP/1.1 4");
         // A message that isn't whole gets no answer where its sender has gone.
--- a/hawthornkeel/tests/http_smuggling.rs
+++ b/hawthornkeel/tests/http_smuggling.rs
@@ -9,7 +9,7 @@
 use hawthornkeel::http::message::Response;
 use hawthornkeel::http::server::Limits;
 use hawthornkeel::http::server::Server;
-use hawthornkeel_fakes::raw::RawCaller;
+use hawthornkeel_fakes::raw_client::RawClient;
 use hawthornkeel_fakes::thread;
 use rstest::rstest;
 
@@ -80,16 +80,16 @@
 #[case::nul_in_value("GET / HTTP/1.1\r\nHost: a\0b\r\n\r\n")]
 fn refused_and_closed(#[case] request: &str) {
     let (address, handled) = start();
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     caller.send(request).unwrap();
     // What follows must be taken for no request, whichever way the first is understood.
     caller.send("GET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
-    let answer = caller.answer().unwrap();
+    let answer = caller.read_response().unwrap();
     assert_eq!(answer.status, 400, "{answer:?}");
     assert!(answer.head.contains("\r\nconnection: close\r\n"), "{answer:?}");
     assert!(answer.head.contains("application/problem+json"), "{answer:?}");
     assert!(answer.body.contains("\"ran\":\"not-run\""), "{answer:?}");
-    assert_eq!(caller.read_to_close().unwrap(), b"");
+    assert_eq!(caller.read_to_end().unwrap(), b"");
     assert_eq!(handled.load(Ordering::SeqCst), 0);
 }
 
@@ -103,15 +103,15 @@
 #[case::line_end_before("\r\nGET /f HTTP/1.1\r\nHost: a\r\n\r\n", "/f ")]
 fn accepted_and_kept(#[case] request: &str, #[case] expected: &str) {
     let (address, handled) = start();
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     // Two at once, then one byte at a time.
     caller.send(request.repeat(2)).unwrap();
     for _ in 0..2 {
-        assert_eq!(caller.answer().unwrap().body, expected);
+        assert_eq!(caller.read_response().unwrap().body, expected);
     }
     for byte in request.as_bytes() {
         caller.send([*byte]).unwrap();
     }
-    assert_eq!(caller.answer().unwrap().body, expected);
+    assert_eq!(caller.read_response().unwrap().body, expected);
     assert_eq!(handled.load(Ordering::SeqCst), 3);
 }
--- a/hawthornkeel/tests/http_stop.rs
+++ b/hawthornkeel/tests/http_stop.rs
@@ -12,7 +12,7 @@
 use hawthornkeel::http::server::Control;
 use hawthornkeel::http::server::Limits;
 use hawthornkeel::http::server::Server;
-use hawthornkeel_fakes::raw::RawCaller;
+use hawthornkeel_fakes::raw_client::RawClient;
 use hawthornkeel_fakes::thread;
 use monoio::time::sleep;
 
@@ -95,9 +95,9 @@
         self.phase.store(phase, Ordering::SeqCst);
     }
 
-    fn call_held(&self) -> RawCaller {
+    fn call_held(&self) -> RawClient {
         let before = self.running.load(Ordering::SeqCst);
-        let mut caller = RawCaller::connect(self.address).unwrap();
+        let mut caller = RawClient::connect(self.address).unwrap();
         caller.send("GET /held HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
         assert!(thread::eventually(LIMIT, || self.running.load(Ordering::SeqCst) > before));
         caller
@@ -107,36 +107,36 @@
 #[test]
 fn stop_answers_what_runs() {
     let server = start();
-    let mut idle = RawCaller::connect(server.address).unwrap();
+    let mut idle = RawClient::connect(server.address).unwrap();
     idle.send(REQUEST).unwrap();
-    assert!(!idle.answer().unwrap().head.contains("connection: close"));
+    assert!(!idle.read_response().unwrap().head.contains("connection: close"));
     let mut held = server.call_held();
     server.enter(STOP);
     // The idle connection is closed, the listener gone, and the running request answered whole.
-    assert_eq!(idle.read_to_close().unwrap(), b"");
-    assert!(thread::eventually(LIMIT, || RawCaller::connect(server.address).is_err()));
+    assert_eq!(idle.read_to_end().unwrap(), b"");
+    assert!(thread::eventually(LIMIT, || RawClient::connect(server.address).is_err()));
     assert!(server.ended.try_recv().is_err());
-    assert!(!held.has_bytes().unwrap());
+    assert!(!held.is_readable().unwrap());
     server.released.store(1, Ordering::SeqCst);
-    let answer = held.answer().unwrap();
+    let answer = held.read_response().unwrap();
     assert_eq!(answer.status, 200);
     assert!(answer.head.contains("connection: close"), "{answer:?}");
-    assert_eq!(held.read_to_close().unwrap(), b"");
+    assert_eq!(held.read_to_end().unwrap(), b"");
     server.ended.recv_timeout(LIMIT).unwrap();
 }
 
 #[test]
 fn stop_answers_what_is_on_its_way() {
     let server = start();
-    let mut idle = RawCaller::connect(server.address).unwrap();
+    let mut idle = RawClient::connect(server.address).unwrap();
     idle.send(REQUEST).unwrap();
-    idle.answer().unwrap();
-    let mut fresh = RawCaller::connect(server.address).unwrap();
+    idle.read_response().unwrap();
+    let mut fresh = RawClient::connect(server.address).unwrap();
     server.enter(STOP);
     assert!(thread::eventually(LIMIT, || server.stopping.load(Ordering::SeqCst) == 1));
     for caller in [&mut idle, &mut fresh] {
         caller.send(REQUEST).unwrap();
-        let answer = caller.answer().unwrap();
+        let answer = caller.read_response().unwrap();
         assert!(answer.head.contains("connection: close"), "{answer:?}");
     }
     server.ended.recv_timeout(LIMIT).unwrap();
@@ -145,19 +145,19 @@
 #[test]
 fn drain_accepts_and_closes_after_answers() {
     let server = start();
-    let mut open = RawCaller::connect(server.address).unwrap();
+    let mut open = RawClient::connect(server.address).unwrap();
     open.send(REQUEST).unwrap();
-    open.answer().unwrap();
+    open.read_response().unwrap();
     server.enter(DRAIN);
     // New connections are taken while the balancer lags; each is told to go elsewhere next.
     assert!(thread::eventually(LIMIT, || {
-        let mut fresh = RawCaller::connect(server.address).unwrap();
+        let mut fresh = RawClient::connect(server.address).unwrap();
         fresh.send(REQUEST).unwrap();
-        fresh.answer().unwrap().head.contains("connection: close")
+        fresh.read_response().unwrap().head.contains("connection: close")
     }));
     open.send(REQUEST).unwrap();
-    assert!(open.answer().unwrap().head.contains("connection: close"));
-    assert_eq!(open.read_to_close().unwrap(), b"");
+    assert!(open.read_response().unwrap().head.contains("connection: close"));
+    assert_eq!(open.read_to_end().unwrap(), b"");
 }
 
 #[test]
@@ -165,7 +165,7 @@
     let server = start();
     let mut held = server.call_held();
     server.enter(ABORT);
-    assert_eq!(held.read_to_close().unwrap(), b"");
+    assert_eq!(held.read_to_end().unwrap(), b"");
     server.ended.recv_timeout(LIMIT).unwrap();
     assert!(thread::eventually(LIMIT, || server.told.load(Ordering::SeqCst) == 1));
 }
--- a/hawthornkeel/tests/http_streams.rs
+++ b/hawthornkeel/tests/http_streams.rs
@@ -12,7 +12,7 @@
 use hawthornkeel::http::message::Response;
 use hawthornkeel::http::server::Limits;
 use hawthornkeel::http::server::Server;
-use hawthornkeel_fakes::raw::RawCaller;
+use hawthornkeel_fakes::raw_client::RawClient;
 use hawthornkeel_fakes::thread;
 
 const LIMIT: Duration = Duration::from_secs(5);
@@ -70,13 +70,13 @@
 #[test]
 fn stream_is_chunked_and_kept() {
     let (address, _) = start(Limits::default());
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     caller.send(REQUEST.repeat(2)).unwrap();
     for _ in 0..2 {
-        let head = caller.read_past("\r\n\r\n").unwrap();
+        let head = caller.read_until("\r\n\r\n").unwrap();
         assert!(head.contains("content-type: text/event-stream\r\n"), "{head}");
         assert!(head.contains("transfer-encoding: chunked\r\n"), "{head}");
-        let body = caller.read_past("0\r\n\r\n").unwrap();
+        let body = caller.read_until("0\r\n\r\n").unwrap();
         assert_eq!(body, "9\r\ndata: a\n\n\r\n9\r\ndata: b\n\n\r\n0\r\n\r\n");
     }
 }
@@ -84,18 +84,18 @@
 #[test]
 fn broken_stream_lacks_its_last_chunk() {
     let (address, _) = start(Limits::default());
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     caller.send("GET /broken HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
-    caller.read_past("\r\n\r\n").unwrap();
-    assert_eq!(caller.read_to_close().unwrap(), b"9\r\ndata: a\n\n\r\n");
+    caller.read_until("\r\n\r\n").unwrap();
+    assert_eq!(caller.read_to_end().unwrap(), b"9\r\ndata: a\n\n\r\n");
 }
 
 #[test]
 fn caller_leaving_is_told() {
     let (address, counts) = start(Limits::default());
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     caller.send("GET /wait HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
-    assert!(!caller.has_bytes().unwrap());
+    assert!(!caller.is_readable().unwrap());
     drop(caller);
     assert!(thread::eventually(LIMIT, || counts.left.load(Ordering::SeqCst) == 1));
 }
@@ -103,9 +103,9 @@
 #[test]
 fn caller_leaving_ends_stream() {
     let (address, counts) = start(Limits::default());
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     caller.send("GET /endless HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
-    caller.read_past("\r\n\r\n").unwrap();
+    caller.read_until("\r\n\r\n").unwrap();
     drop(caller);
     assert!(thread::eventually(LIMIT, || counts.failed.load(Ordering::SeqCst) == 1));
 }
@@ -114,12 +114,12 @@
 fn silent_caller_holds_stream_back() {
     let limits = Limits { stall: Duration::from_millis(300), ..Limits::default() };
     let (address, counts) = start(limits);
-    let mut caller = RawCaller::connect(address).unwrap();
+    let mut caller = RawClient::connect(address).unwrap();
     caller.send("GET /endless HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
     // Nothing is read: the stream stops once the sockets' buffers are full, then it is closed.
     assert!(thread::eventually(LIMIT, || counts.failed.load(Ordering::SeqCst) == 1));
     let sent = counts.sent.load(Ordering::SeqCst) * PIECE;
     assert!(sent < 16 << 20, "{sent} bytes were taken for a caller that reads nothing");
-    let received = caller.read_to_close().unwrap();
+    let received = caller.read_to_end().unwrap();
     assert!(!received.ends_with(b"0\r\n\r\n"));
 }
--- a/hawthornkeel/tests/late_answers.rs
+++ b/hawthornkeel/tests/late_answers.rs
@@ -2,10 +2,10 @@
 
 mod fleet;
 
-use fleet::Answer;
 use fleet::Fleet;
+use fleet::HttpResponse;
 use fleet::KEY;
-use fleet::PATIENCE;
+use fleet::TEST_TIMEOUT;
 use hawthornkeel_fakes::thread::eventually;
 use rstest::rstest;
 
@@ -16,21 +16,21 @@
 
 /// Starts a fleet with one target of each pool in each of `centres` data centres.
 fn start(centres: usize, warm: bool) -> Fleet {
-    let mut fleet = Fleet::prepare_granting(4, centres, GRANT_MS);
-    fleet.run();
+    let mut fleet = Fleet::prepare_with_grant(4, centres, GRANT_MS);
+    fleet.start_all();
     if warm {
-        fleet.warm();
+        fleet.warm_up();
         return fleet;
     }
     // One call each leaves the targets cold, with an issuer of grants known.
     let served = || fleet.call(0, "warm", "", "{}").is_some_and(|a| a.status == 200);
-    assert!(eventually(PATIENCE, served), "{}", fleet.log(0));
+    assert!(eventually(TEST_TIMEOUT, served), "{}", fleet.log(0));
     fleet
 }
 
 fn slow(fleet: &Fleet, pool: &str, millis: u64) {
     for target in fleet.pool(pool) {
-        target.thread.behave(&format!("{{\"floor_ms\":{millis}}}")).unwrap();
+        target.thread.configure(&format!("{{\"floor_ms\":{millis}}}")).unwrap();
     }
 }
 
@@ -45,7 +45,7 @@
 }
 
 /// Calls the release pipeline under a deadline of [`SHORT_DEADLINE_MS`].
-fn release_soon(fleet: &Fleet, key: &str) -> Option<Answer> {
+fn release_soon(fleet: &Fleet, key: &str) -> Option<HttpResponse> {
     let fields = format!(
         "authorization: Bearer {KEY}\r\nidempotency-key: {key}\r\n\
          x-deadline-ms: {SHORT_DEADLINE_MS}\r\n"
@@ -61,7 +61,7 @@
     slow(&fleet, "registry", SHORT_DEADLINE_MS + 200);
     let told = release_soon(&fleet, key).unwrap();
     assert_eq!(told.field("ran"), "unknown", "{told:?}\n{}", fleet.log(0));
-    let replayed = eventually(PATIENCE, || {
+    let replayed = eventually(TEST_TIMEOUT, || {
         let again = fleet.call(1, "release", key, "{\"lot\":1}");
         again.is_some_and(|a| a.status == 200)
     });
--- a/hawthornkeel/tests/lost_disk.rs
+++ b/hawthornkeel/tests/lost_disk.rs
@@ -3,7 +3,7 @@
 mod fleet;
 
 use fleet::Fleet;
-use fleet::PATIENCE;
+use fleet::TEST_TIMEOUT;
 use hawthornkeel_fakes::thread::eventually;
 
 #[test]
@@ -13,14 +13,14 @@
     assert_eq!(first.status, 200, "{first:?}\n{}", fleet.log(0));
     for lost in [0, 1] {
         let name = format!("entry-{lost}");
-        let old = fleet.voter(2, &name);
+        let old = fleet.voter_id(2, &name);
         assert!(old.is_some(), "{}", fleet.status(2));
         fleet.kill(lost);
         fleet.wipe(lost);
         fleet.spawn(lost);
         fleet.wait_ready(lost);
-        let repaired = eventually(PATIENCE, || {
-            let new = fleet.voter(2, &name);
+        let repaired = eventually(TEST_TIMEOUT, || {
+            let new = fleet.voter_id(2, &name);
             new.is_some() && new != old
         });
         assert!(repaired, "{name} not a voter again:\n{}", fleet.log(2));
--- a/hawthornkeel/tests/operator_races.rs
+++ b/hawthornkeel/tests/operator_races.rs
@@ -8,7 +8,7 @@
 
 use fleet::DOCUMENT;
 use fleet::Fleet;
-use fleet::PATIENCE;
+use fleet::TEST_TIMEOUT;
 use hawthornkeel_fakes::thread::eventually;
 
 /// Time within which an accepted document is in force everywhere.
@@ -34,14 +34,14 @@
     fleet.submit(4, 2, 1, DOCUMENT);
     let accepted = Instant::now();
     let everywhere = || (0..5).all(|at| fleet.version_at(at) == Some(2));
-    assert!(eventually(PATIENCE, everywhere), "{}", fleet.status(0));
+    assert!(eventually(TEST_TIMEOUT, everywhere), "{}", fleet.status(0));
     assert!(accepted.elapsed() < IN_FORCE, "{:?}", accepted.elapsed());
 }
 
 #[test]
 fn data_centre_taken_out_gets_no_new_work() {
     let fleet = Fleet::start(4, 2);
-    let out = fleet.order(0, "take-out", 5, "dc-0").unwrap();
+    let out = fleet.send_order(0, "take-out", 5, "dc-0").unwrap();
     assert_eq!(out.status, 200, "{out:?}");
     thread::sleep(OUT_OF_SERVICE);
     let before = fleet.runs_in("dc-0");
@@ -50,9 +50,9 @@
         assert_eq!(answer.status, 200, "{answer:?}\n{}", fleet.log(at));
     }
     assert_eq!(fleet.runs_in("dc-0"), before, "new work in the data centre that is out");
-    let back = fleet.order(3, "bring-back", 6, "dc-0").unwrap();
+    let back = fleet.send_order(3, "bring-back", 6, "dc-0").unwrap();
     assert!(back.body.contains("logged"), "{back:?}");
-    let used = eventually(PATIENCE, || {
+    let used = eventually(TEST_TIMEOUT, || {
         fleet.call(0, "draft", "", "{\"text\":\"lot\"}");
         fleet.runs_in("dc-0") > before
     });
@@ -65,8 +65,8 @@
     // Both losses are in one data centre, so that the other keeps a majority of its lease voters.
     fleet.kill(0);
     fleet.kill(2);
-    let held = eventually(PATIENCE, || {
-        let out = fleet.order(3, "take-out", 5, "dc-0");
+    let held = eventually(TEST_TIMEOUT, || {
+        let out = fleet.send_order(3, "take-out", 5, "dc-0");
         out.is_some_and(|o| o.body.contains("held"))
     });
     assert!(held, "{}", fleet.log(3));
--- a/hawthornkeel/tests/peer_silence.rs
+++ b/hawthornkeel/tests/peer_silence.rs
@@ -10,7 +10,7 @@
 use hawthornkeel::peer::frame::Followed;
 use hawthornkeel::peer::frame::FrameKind;
 use hawthornkeel_core::names::InstanceName;
-use hawthornkeel_fakes::relay::Relay;
+use hawthornkeel_fakes::udp_relay::UdpRelay;
 use support::peer;
 use support::run;
 use support::settings;
@@ -18,9 +18,9 @@
 use tempfile::TempDir;
 
 /// Returns `a`, which reaches `b` through the relay, and `b`, which answers status calls.
-fn relayed(folder: &TempDir) -> (Endpoint, Endpoint, Relay) {
+fn relayed(folder: &TempDir) -> (Endpoint, Endpoint, UdpRelay) {
     let at_b = socket();
-    let relay = Relay::new(at_b.local_addr().unwrap()).unwrap();
+    let relay = UdpRelay::new(at_b.local_addr().unwrap()).unwrap();
     let b = Endpoint::with_socket(at_b, &settings(folder.path(), "b", Vec::new())).unwrap();
     b.on_call(FrameKind::Status, |_, _| async { Frame::Followed(Followed::default()) });
     let peers = vec![peer("b", relay.address)];
@@ -35,8 +35,8 @@
         let (a, _b, relay) = relayed(&folder);
         let to = InstanceName::new("b");
         a.call(&to, &Frame::Status, support::PATIENCE).await.unwrap();
-        assert_eq!(relay.flows(), 1);
-        relay.lose_flows();
+        assert_eq!(relay.flow_count(), 1);
+        relay.blackhole_flows();
         let timeout = Duration::from_millis(700);
         let error = a.call(&to, &Frame::Status, timeout).await.unwrap_err();
         assert!(error.may_have_run());
@@ -44,7 +44,7 @@
         let start = Instant::now();
         a.call(&to, &Frame::Status, support::PATIENCE).await.unwrap();
         assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
-        assert_eq!(relay.flows(), 2);
+        assert_eq!(relay.flow_count(), 2);
     });
 }
 
@@ -59,14 +59,14 @@
         b.on_frame(FrameKind::TakeOuts, move |_, _| count.set(count.get() + 1));
         a.send(&to, &Frame::TakeOuts(Vec::new())).unwrap();
         support::until("first frame", || seen.get() == 1).await;
-        relay.lose_flows();
+        relay.blackhole_flows();
         // One-way frames go on while nobody calls: the idle timeout has to notice.
         support::until("frame on a new connection", || {
             a.send(&to, &Frame::TakeOuts(Vec::new())).unwrap();
             seen.get() > 1
         })
         .await;
-        assert_eq!(relay.flows(), 2);
+        assert_eq!(relay.flow_count(), 2);
     });
 }
 
@@ -85,7 +85,7 @@
             a.call(&to, &Frame::Lead, timeout).await.unwrap_err();
             a.call(&to, &Frame::Status, support::PATIENCE).await.unwrap();
         }
-        assert_eq!(relay.flows(), 1);
+        assert_eq!(relay.flow_count(), 1);
     });
 }
 
@@ -99,6 +99,6 @@
         assert_eq!(b.accepted(), 1);
         support::until("the unused connection to end", || b.accepted() == 0).await;
         a.call(&to, &Frame::Status, support::PATIENCE).await.unwrap();
-        assert_eq!(relay.flows(), 2);
+        assert_eq!(relay.flow_count(), 2);
     });
 }
--- a/hawthornkeel/tests/planned_stop.rs
+++ b/hawthornkeel/tests/planned_stop.rs
@@ -5,7 +5,7 @@
 use std::thread;
 
 use fleet::Fleet;
-use fleet::PATIENCE;
+use fleet::TEST_TIMEOUT;
 use hawthornkeel_fakes::thread::eventually;
 use rustix::process::Signal;
 
@@ -13,22 +13,22 @@
 fn stop_cuts_and_refuses_nothing() {
     let mut fleet = Fleet::prepare(5, 2);
     for target in fleet.pool("readers") {
-        target.thread.behave("{\"floor_ms\":400}").unwrap();
+        target.thread.configure("{\"floor_ms\":400}").unwrap();
     }
-    fleet.run();
-    fleet.warm();
+    fleet.start_all();
+    fleet.warm_up();
     let address = fleet.instances[0].listen;
     let callers: Vec<_> = (0..20)
         .map(|_| thread::spawn(move || fleet::call_at(address, "draft", "", "{\"text\":\"lot\"}")))
         .collect();
-    let busy = eventually(PATIENCE, || {
+    let busy = eventually(TEST_TIMEOUT, || {
         fleet::get(fleet.instances[0].admin, "/metrics")
             .is_some_and(|m| m.body.contains("hawthornkeel_open_requests 20"))
     });
     assert!(busy, "{}", fleet.log(0));
     fleet.signal(0, Signal::TERM);
     let unready =
-        eventually(PATIENCE, || fleet::get(address, "/ready").is_none_or(|a| a.status == 503));
+        eventually(TEST_TIMEOUT, || fleet::get(address, "/ready").is_none_or(|a| a.status == 503));
     assert!(unready, "the balancer is not told");
     for caller in callers {
         let answer = caller.join().unwrap().unwrap();
@@ -49,7 +49,7 @@
     let before = waits(&fleet);
     fleet.signal(leader, Signal::TERM);
     assert_eq!(fleet.wait_exit(leader), Some(0), "{}", fleet.log(leader));
-    let signed = eventually(PATIENCE, || {
+    let signed = eventually(TEST_TIMEOUT, || {
         let answer = fleet.call(3, "release", "after-stop", "{}");
         answer.is_some_and(|a| a.status == 200)
     });
--- a/hawthornkeel/tests/pool_removal.rs
+++ b/hawthornkeel/tests/pool_removal.rs
@@ -6,7 +6,7 @@
 
 use fleet::DOCUMENT;
 use fleet::Fleet;
-use fleet::PATIENCE;
+use fleet::TEST_TIMEOUT;
 use hawthornkeel_fakes::thread::eventually;
 
 /// Longest call to a cold target, in milliseconds: longer than any deadline.
@@ -24,18 +24,18 @@
 
 #[test]
 fn admitted_request_is_served_by_the_pool_that_a_new_document_removes() {
-    let mut fleet = Fleet::prepare_granting(4, 2, GRANT_MS);
-    fleet.run();
-    fleet.warm();
+    let mut fleet = Fleet::prepare_with_grant(4, 2, GRANT_MS);
+    fleet.start_all();
+    fleet.warm_up();
     for target in fleet.pool("readers") {
-        target.thread.behave("{\"floor_ms\":4000}").unwrap();
+        target.thread.configure("{\"floor_ms\":4000}").unwrap();
     }
     let address = fleet.instances[3].listen;
     let caller = thread::spawn(move || fleet::call_at(address, "draft", "", "{\"lot\":1}"));
     let runs = || fleet.pool("readers").any(|t| t.thread.report().unwrap().running > 0);
-    assert!(eventually(PATIENCE, runs), "first stage not called:\n{}", fleet.log(3));
+    assert!(eventually(TEST_TIMEOUT, runs), "first stage not called:\n{}", fleet.log(3));
     fleet.submit(0, 2, 1, &without_writers());
-    assert!(eventually(PATIENCE, || fleet.version_at(3) == Some(2)), "{}", fleet.log(3));
+    assert!(eventually(TEST_TIMEOUT, || fleet.version_at(3) == Some(2)), "{}", fleet.log(3));
     assert!(!caller.is_finished(), "the first stage was not held until the document was in force");
     let answer = caller.join().unwrap().unwrap();
     assert_eq!(answer.status, 200, "{answer:?}\n{}", fleet.log(3));
--- a/hawthornkeel/tests/silent_targets.rs
+++ b/hawthornkeel/tests/silent_targets.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use fleet::Fleet;
-use fleet::PATIENCE;
+use fleet::TEST_TIMEOUT;
 use hawthornkeel_fakes::thread::eventually;
 
 /// Data centre of the test.
@@ -18,9 +18,9 @@
 const DEADLINE: Duration = Duration::from_secs(8);
 
 fn start() -> Fleet {
-    let mut fleet = Fleet::prepare_relayed(3, 1);
-    fleet.run();
-    fleet.warm();
+    let mut fleet = Fleet::prepare_with_network(3, 1);
+    fleet.start_all();
+    fleet.warm_up();
     fleet
 }
 
@@ -28,7 +28,7 @@
 fn silent_connections_are_replaced() {
     let fleet = start();
     for target in TARGETS {
-        fleet.network().way(CENTRE, target).lose_connections();
+        fleet.network().target_relay(CENTRE, target).blackhole_connections();
     }
     for at in [0, 1, 2, 0, 1, 2] {
         let asked = Instant::now();
@@ -46,11 +46,11 @@
 fn signature_gone_silent_is_unknown() {
     let fleet = start();
     let registry = fleet.pool("registry").next().unwrap();
-    registry.thread.behave("{\"floor_ms\":1000}").unwrap();
+    registry.thread.configure("{\"floor_ms\":1000}").unwrap();
     let address = fleet.instances[0].listen;
     let caller = thread::spawn(move || fleet::call_at(address, "release", "lot-1", "{\"lot\":1}"));
-    assert!(eventually(PATIENCE, || fleet.runs("registry", "lot-1") == 1));
-    fleet.network().way(CENTRE, TARGETS[2]).lose_connections();
+    assert!(eventually(TEST_TIMEOUT, || fleet.runs("registry", "lot-1") == 1));
+    fleet.network().target_relay(CENTRE, TARGETS[2]).blackhole_connections();
     // Another entry's idle connections are silent as well; its signature takes none of them.
     let other = fleet.call(1, "release", "lot-2", "{\"lot\":2}").unwrap();
     assert_eq!(other.status, 200, "{other:?}\n{}", fleet.log(1));
@@ -62,7 +62,7 @@
             let again = fleet.call(at, "release", "lot-1", "{\"lot\":1}").unwrap();
             again.field("code") == "outcome-unknown" && again.field("ran") == "unknown"
         };
-        assert!(eventually(PATIENCE, told), "{}", fleet.log(at));
+        assert!(eventually(TEST_TIMEOUT, told), "{}", fleet.log(at));
     }
     assert_eq!(fleet.runs("registry", "lot-1"), 1);
 }
@@ -70,13 +70,13 @@
 #[test]
 fn signature_that_found_no_connection_runs_once_later() {
     let fleet = start();
-    let way = fleet.network().way(CENTRE, TARGETS[2]);
-    way.set_cut(true).unwrap();
+    let way = fleet.network().target_relay(CENTRE, TARGETS[2]);
+    way.set_blocked(true).unwrap();
     let answer = fleet.call(0, "release", "lot-3", "{\"lot\":3}").unwrap();
     assert!(answer.status != 200 && answer.field("ran") != "done", "{answer:?}");
     assert_eq!(fleet.runs("registry", "lot-3"), 0);
-    way.set_cut(false).unwrap();
+    way.set_blocked(false).unwrap();
     let again = || fleet.call(0, "release", "lot-3", "{\"lot\":3}").unwrap().status == 200;
-    assert!(eventually(PATIENCE, again), "{}", fleet.log(0));
+    assert!(eventually(TEST_TIMEOUT, again), "{}", fleet.log(0));
     assert_eq!(fleet.runs("registry", "lot-3"), 1);
 }
--- a/hawthornkeel/tests/support/cluster.rs
+++ b/hawthornkeel/tests/support/cluster.rs
@@ -20,7 +20,7 @@
 use hawthornkeel_config::settings::Settings;
 use hawthornkeel_core::names::CentreName;
 use hawthornkeel_core::names::InstanceName;
-use hawthornkeel_fakes::relay::Relay;
+use hawthornkeel_fakes::udp_relay::UdpRelay;
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 use tempfile::TempDir;
@@ -44,7 +44,7 @@
     tuning: Tuning,
     instances: Vec<Placed>,
     /// Relays between instances, by who sends and who is sent to.
-    relays: Mutex<Vec<((String, String), Relay)>>,
+    relays: Mutex<Vec<((String, String), UdpRelay)>>,
     /// Whether instances reach each other through relays.
     relayed: bool,
     /// Log entries between snapshots.
@@ -116,7 +116,7 @@
         let within = |name: &String| side.contains(&name.as_str());
         for ((from, to), relay) in &*self.relays.lock().unwrap() {
             if within(from) != within(to) {
-                relay.set_cut(cut);
+                relay.set_blocked(cut);
             }
         }
     }
@@ -126,7 +126,7 @@
         let is_other = |name: &String| others.contains(&name.as_str());
         for ((from, to), relay) in &*self.relays.lock().unwrap() {
             if (from == one && is_other(to)) || (to == one && is_other(from)) {
-                relay.set_cut(cut);
+                relay.set_blocked(cut);
             }
         }
     }
@@ -142,7 +142,7 @@
         if let Some((_, relay)) = relays.iter().find(|(known, _)| *known == ends) {
             return relay.address;
         }
-        let relay = Relay::new(address).unwrap();
+        let relay = UdpRelay::new(address).unwrap();
         let address = relay.address;
         relays.push((ends, relay));
         address
--- a/hawthornkeel/tests/target_answers.rs
+++ b/hawthornkeel/tests/target_answers.rs
@@ -41,14 +41,14 @@
 
 #[rstest]
 #[case::late(Fault::Late, CallError::Silent)]
-#[case::silent(Fault::Silent, CallError::Silent)]
+#[case::silent(Fault::NoResponse, CallError::Silent)]
 #[case::stalled(Fault::Stall, CallError::Silent)]
-#[case::crossed(Fault::Crossed, CallError::Crossed)]
+#[case::crossed(Fault::WrongCall, CallError::Crossed)]
 #[case::truncated(Fault::Truncated, CallError::Truncated)]
-#[case::closed(Fault::Close, CallError::Reset("closed before the answer".to_owned()))]
-#[case::dropped(Fault::Drop, CallError::Reset("closed before the answer".to_owned()))]
-#[case::garbage(Fault::Garbage, CallError::Malformed("head can't be parsed"))]
-#[case::failed(Fault::Fail, CallError::Status(500))]
+#[case::closed(Fault::CloseBeforeRun, CallError::Reset("closed before the answer".to_owned()))]
+#[case::dropped(Fault::CloseAfterRun, CallError::Reset("closed before the answer".to_owned()))]
+#[case::garbage(Fault::Malformed, CallError::Malformed("head can't be parsed"))]
+#[case::failed(Fault::ServerError, CallError::Status(500))]
 #[case::refused(Fault::Refuse, refused(true))]
 fn fault_ends_its_call_only(
     #[case] fault: Fault,
@@ -69,7 +69,7 @@
     })
     .unwrap();
     let report = target.report().unwrap();
-    let ran = u32::from(!matches!(fault, Fault::Close | Fault::Refuse));
+    let ran = u32::from(!matches!(fault, Fault::CloseBeforeRun | Fault::Refuse));
     assert_eq!(report.runs.len(), 58 + ran as usize);
     assert_eq!(report.running, 0);
 }
@@ -78,7 +78,7 @@
 #[case::unrepeatable(false, CallError::Status(503))]
 #[case::idempotent(true, refused(false))]
 fn bare_refusal_proves_nothing(#[case] idempotent: bool, #[case] expected: CallError) {
-    let faulty = Behaviour { fault: Fault::RefuseBare, ..Behaviour::default() };
+    let faulty = Behaviour { fault: Fault::RefuseAmbiguous, ..Behaviour::default() };
     let target = TargetThread::start(faulty).unwrap();
     thread::block_on(async {
         let client = Client::new(ClientLimits::default());
@@ -92,10 +92,10 @@
 
 #[rstest]
 fn doubled_answer_reaches_none(
-    #[values(true, false)] echo: bool,
-    #[values(Fault::Twice, Fault::TwiceLate)] fault: Fault,
+    #[values(true, false)] echo_id: bool,
+    #[values(Fault::Duplicate, Fault::LateDuplicate)] fault: Fault,
 ) {
-    let faulty = Behaviour { fault, echo, late_ms: 10, ..Behaviour::default() };
+    let faulty = Behaviour { fault, echo_id, late_ms: 10, ..Behaviour::default() };
     let target = TargetThread::start(faulty).unwrap();
     thread::block_on(async {
         let client = Client::new(ClientLimits::default());
@@ -105,7 +105,7 @@
     })
     .unwrap();
     // A call that met a late second answer ran again on a fresh connection.
-    let most = if fault == Fault::TwiceLate && echo { 37 } else { 19 };
+    let most = if fault == Fault::LateDuplicate && echo_id { 37 } else { 19 };
     assert!((19..=most).contains(&target.report().unwrap().runs.len()));
 }
 
--- a/hawthornkeel/tests/target_connections.rs
+++ b/hawthornkeel/tests/target_connections.rs
@@ -13,7 +13,7 @@
 use hawthornkeel_fakes::behaviour::Behaviour;
 use hawthornkeel_fakes::behaviour::Fault;
 use hawthornkeel_fakes::record::Outcome;
-use hawthornkeel_fakes::stream_relay::StreamRelay;
+use hawthornkeel_fakes::tcp_relay::TcpRelay;
 use hawthornkeel_fakes::thread;
 use hawthornkeel_fakes::thread::TargetThread;
 use monoio::time::timeout;
@@ -70,7 +70,7 @@
 
 #[test]
 fn target_without_echo_gets_fresh_ones() {
-    let (target, client) = start(Behaviour { echo: false, ..Behaviour::default() });
+    let (target, client) = start(Behaviour { echo_id: false, ..Behaviour::default() });
     thread::block_on(call_all(&client, target, 3, true)).unwrap();
     assert_eq!(target.report().unwrap().connections, 3);
 }
@@ -93,7 +93,7 @@
     let (target, client) = start(Behaviour::default());
     thread::block_on(async {
         call_all(&client, target, 1, true).await;
-        target.silence().unwrap();
+        target.hang_connections().unwrap();
         // The target is not blamed: the call is answered on a fresh connection.
         call_all(&client, target, 3, true).await;
     })
@@ -115,7 +115,7 @@
         for task in tasks {
             task.await.unwrap();
         }
-        target.silence().unwrap();
+        target.hang_connections().unwrap();
         // A poll has no time for a second try; the next call does not meet the other connection.
         let poll = Call { timeout: POLL, progress: POLL, ..call(3) };
         assert_eq!(client.call(target.address, &poll).await.unwrap_err(), CallError::Silent);
@@ -129,8 +129,8 @@
 #[test]
 fn unanswered_connect_is_given_up() {
     let (target, client) = start(Behaviour::default());
-    let relay = StreamRelay::new(target.address).unwrap();
-    relay.set_cut(true).unwrap();
+    let relay = TcpRelay::new(target.address).unwrap();
+    relay.set_blocked(true).unwrap();
     let patient = Call { progress: LIMIT, ..call(1) };
     let start = Instant::now();
     let result = thread::block_on(client.call(relay.address, &patient)).unwrap();
@@ -140,7 +140,7 @@
 
 #[test]
 fn silent_target_gets_one_run() {
-    let (target, client) = start(Behaviour { fault: Fault::Silent, ..Behaviour::default() });
+    let (target, client) = start(Behaviour { fault: Fault::NoResponse, ..Behaviour::default() });
     thread::block_on(async {
         let call = Call { idempotent: false, ..call(1) };
         let result = client.call(target.address, &call).await;
--- a/hawthornkeel/tests/target_orders.rs
+++ b/hawthornkeel/tests/target_orders.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn load_report_tells_restart() {
-    let cold = Behaviour { cold_bears: Some(1), ..Behaviour::default() };
+    let cold = Behaviour { cold_capacity: Some(1), ..Behaviour::default() };
     let target = TargetThread::start(cold).unwrap();
     thread::block_on(async {
         let client = Client::new(ClientLimits::default());
--- a/hawthornkeel/tests/target_restarts.rs
+++ b/hawthornkeel/tests/target_restarts.rs
@@ -45,11 +45,11 @@
 
 /// Calls once, restarts the target, and returns the error of a call and what was heard on it.
 fn call_after_restart(
-    named: bool,
+    send_incarnation: bool,
     process: Process,
     idempotent: bool,
 ) -> (CallError, Option<Incarnation>) {
-    let (target, client) = start(Behaviour { named, ..Behaviour::default() });
+    let (target, client) = start(Behaviour { send_incarnation, ..Behaviour::default() });
     let call = call(process, idempotent);
     let result = thread::block_on(async {
         client.call(target.address, &self::call(Process::Any, true)).await.unwrap();
@@ -98,9 +98,9 @@
 
 #[rstest]
 #[case::refusal(Fault::Refuse)]
-#[case::bare_refusal(Fault::RefuseBare)]
-#[case::failure(Fault::Fail)]
-#[case::cut(Fault::Cut)]
+#[case::bare_refusal(Fault::RefuseAmbiguous)]
+#[case::failure(Fault::ServerError)]
+#[case::cut(Fault::Disconnect)]
 #[case::whole(Fault::None)]
 fn every_answer_names_its_process(#[case] fault: Fault, #[values(true, false)] stream: bool) {
     let (target, client) = start(Behaviour { fault, ..Behaviour::default() });
--- a/hawthornkeel/tests/target_streams.rs
+++ b/hawthornkeel/tests/target_streams.rs
@@ -74,7 +74,7 @@
 }
 
 #[rstest]
-#[case::cut(Fault::Cut, CallError::Truncated)]
+#[case::cut(Fault::Disconnect, CallError::Truncated)]
 #[case::stalled(Fault::Stall, CallError::Silent)]
 fn broken_stream_goes_on(#[case] fault: Fault, #[case] expected: CallError) {
     let faulty = Behaviour { fault, fault_calls: Some(1), cut_after: 3, ..Behaviour::default() };
@@ -103,8 +103,8 @@
 }
 
 #[rstest]
-#[case::twice(Fault::Twice, None)]
-#[case::crossed(Fault::Crossed, Some(CallError::Crossed))]
+#[case::twice(Fault::Duplicate, None)]
+#[case::crossed(Fault::WrongCall, Some(CallError::Crossed))]
 fn foreign_text_never_comes(#[case] fault: Fault, #[case] expected: Option<CallError>) {
     let (target, client) = start(Behaviour { fault, ..Behaviour::default() });
     thread::block_on(async {
@@ -119,7 +119,7 @@
 
 #[test]
 fn stream_without_its_marker_is_not_whole() {
-    let (target, client) = start(Behaviour { fault: Fault::Unmarked, ..Behaviour::default() });
+    let (target, client) = start(Behaviour { fault: Fault::MissingDone, ..Behaviour::default() });
     thread::block_on(async {
         let result = read(&client, target.address, &call(0)).await;
         assert_eq!(result, (TEXT.to_owned(), Some(CallError::Truncated)));
--- a/hawthornkeel_fakes/src/behaviour.rs
+++ b/hawthornkeel_fakes/src/behaviour.rs
@@ -11,35 +11,46 @@
     #[default]
     None,
     /// The call runs and no byte of an answer is ever sent.
-    Silent,
+    #[serde(rename = "silent")]
+    NoResponse,
     /// The stream is cut after `cut_after` tokens.
-    Cut,
+    #[serde(rename = "cut")]
+    Disconnect,
     /// The stream goes silent after `cut_after` tokens, its connection stays open.
     Stall,
     /// The answer comes `late_ms` late.
     Late,
     /// The answer comes twice.
-    Twice,
+    #[serde(rename = "twice")]
+    Duplicate,
     /// The answer comes again `late_ms` after it came.
-    TwiceLate,
+    #[serde(rename = "twice-late")]
+    LateDuplicate,
     /// The stream ends without its marker.
-    Unmarked,
+    #[serde(rename = "unmarked")]
+    MissingDone,
     /// The answer carries the identity of another call.
-    Crossed,
+    #[serde(rename = "crossed")]
+    WrongCall,
     /// The answer ends in the middle, under the length of the whole.
     Truncated,
     /// The call is refused with 503 before it runs, and the answer says so.
     Refuse,
     /// The call is refused with 503 before it runs, and the answer does not say so.
-    RefuseBare,
+    #[serde(rename = "refuse-bare")]
+    RefuseAmbiguous,
     /// The call runs and ends in a 500.
-    Fail,
+    #[serde(rename = "fail")]
+    ServerError,
     /// The connection is closed before the call runs.
-    Close,
+    #[serde(rename = "close")]
+    CloseBeforeRun,
     /// The call runs and the connection is closed before an answer.
-    Drop,
+    #[serde(rename = "drop")]
+    CloseAfterRun,
     /// The answer is no HTTP.
-    Garbage,
+    #[serde(rename = "garbage")]
+    Malformed,
 }
 
 /// How a stand-in target behaves.
@@ -53,15 +64,18 @@
     /// Tokens of an answer where the request asks for no fewer.
     pub tokens: usize,
     /// Factor on all times.
-    pub slow: f64,
+    #[serde(rename = "slow")]
+    pub slowdown: f64,
     /// Calls run at once without slowing each other; more share the speed.
     pub batch: u32,
     /// Calls that the target bears at once while cold; it falls over above that.
-    pub cold_bears: Option<u32>,
+    #[serde(rename = "cold_bears")]
+    pub cold_capacity: Option<u32>,
     /// Answers after which a cold target is warm.
     pub warm_after: u32,
     /// Calls that the target bears at once while warm, where there is a bound.
-    pub warm_bears: Option<u32>,
+    #[serde(rename = "warm_bears")]
+    pub warm_capacity: Option<u32>,
     /// What goes wrong with calls.
     pub fault: Fault,
     /// Calls that the fault still hits; all where absent.
@@ -75,9 +89,11 @@
     /// Whether orders with an old fencing number are refused.
     pub fencing: bool,
     /// Whether answers echo the call's identity.
-    pub echo: bool,
+    #[serde(rename = "echo")]
+    pub echo_id: bool,
     /// Whether answers name the incarnation; load reports always do.
-    pub named: bool,
+    #[serde(rename = "named")]
+    pub send_incarnation: bool,
     /// Whether streams go on from an offset.
     pub resume: bool,
 }
@@ -88,19 +104,19 @@
             floor_ms: 0,
             token_ms: 0,
             tokens: 16,
-            slow: 1.0,
+            slowdown: 1.0,
             batch: u32::MAX,
-            cold_bears: None,
+            cold_capacity: None,
             warm_after: 16,
-            warm_bears: None,
+            warm_capacity: None,
             fault: Fault::None,
             fault_calls: None,
             cut_after: 4,
             late_ms: 1_000,
             load_lag_ms: 0,
             fencing: false,
-            echo: true,
-            named: true,
+            echo_id: true,
+            send_incarnation: true,
             resume: true,
         }
     }
--- a/hawthornkeel_fakes/src/generate.rs
+++ b/hawthornkeel_fakes/src/generate.rs
@@ -4,12 +4,12 @@
 use serde_json::json;
 
 /// Prefix of a word that a request carries so that its answer can be recognised.
-pub const MARK: &str = "ref-";
+pub const MARKER_PREFIX: &str = "ref-";
 
 /// Request of the completions protocol, as far as it is used.
 #[derive(Default, Deserialize)]
 #[serde(default)]
-pub struct Ask {
+pub struct CompletionRequest {
     /// Text that the answer goes on from.
     pub prompt: String,
     /// Conversation, for the chat form.
@@ -28,24 +28,24 @@
     pub content: String,
 }
 
-impl Ask {
+impl CompletionRequest {
     /// Returns the tokens of the answer: the request's marks, then numbered words.
     pub fn tokens(&self, count: usize) -> Vec<String> {
         let prompt = self.messages.last().map_or(&self.prompt, |m| &m.content);
-        let marks = marks(prompt).map(|m| format!("{m} "));
+        let markers = markers(prompt).map(|m| format!("{m} "));
         let words = (0..).map(|i| format!("t{i} "));
-        marks.chain(words).take(self.max_tokens.unwrap_or(count).min(count)).collect()
+        markers.chain(words).take(self.max_tokens.unwrap_or(count).min(count)).collect()
     }
 }
 
 /// Returns the marks in `text`.
-pub fn marks(text: &str) -> impl Iterator<Item = &str> {
+pub fn markers(text: &str) -> impl Iterator<Item = &str> {
     let split = |c: char| !c.is_ascii_alphanumeric() && c != '-';
-    text.split(split).filter(|w| w.starts_with(MARK))
+    text.split(split).filter(|w| w.starts_with(MARKER_PREFIX))
 }
 
 /// Returns the event that carries `text`.
-pub fn event(text: &str, chat: bool) -> Vec<u8> {
+pub fn completion_event(text: &str, chat: bool) -> Vec<u8> {
     let choice = match chat {
         true => json!({"index": 0, "delta": {"content": text}}),
         false => json!({"index": 0, "text": text}),
@@ -54,7 +54,7 @@
 }
 
 /// Returns a service's answer to `input` at `path`.
-pub fn service(path: &str, input: &[u8]) -> Vec<u8> {
+pub fn service_response(path: &str, input: &[u8]) -> Vec<u8> {
     let input: serde_json::Value = serde_json::from_slice(input).unwrap_or_default();
     json!({"service": path, "input": input}).to_string().into_bytes()
 }
--- a/hawthornkeel_fakes/src/wire.rs
+++ b/hawthornkeel_fakes/src/http1.rs
@@ -30,34 +30,34 @@
 const CONTROL_TIME: Duration = Duration::from_secs(10);
 
 /// Connection with a read buffer.
-pub struct Wire {
+pub struct HttpConnection {
     read: OwnedReadHalf<TcpStream>,
     write: OwnedWriteHalf<TcpStream>,
     buffer: BytesMut,
 }
 
 /// Request as received.
-pub struct Received {
+pub struct ReceivedRequest {
     /// Head.
     pub head: Parts,
     /// Body.
     pub body: Bytes,
 }
 
-impl Received {
+impl ReceivedRequest {
     /// Returns the field called `name`, empty where it is absent.
     pub fn header(&self, name: &str) -> &str {
         text_of(&self.head.headers, name)
     }
 
     /// Tells whether the connection is to be closed after the answer.
-    pub fn asks_close(&self) -> bool {
+    pub fn wants_close(&self) -> bool {
         self.header("connection") == "close"
     }
 }
 
 /// Answer as received.
-pub struct Reply {
+pub struct ReceivedResponse {
     /// Status.
     pub status: u16,
     /// Header fields.
@@ -66,7 +66,7 @@
     pub body: Bytes,
 }
 
-impl Wire {
+impl HttpConnection {
     /// Takes over `stream`.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
@@ -98,18 +98,18 @@
     }
 
     /// Reads the next request, `None` at the end of the connection.
-    pub async fn receive(&mut self) -> io::Result<Option<Received>> {
+    pub async fn read_request(&mut self) -> io::Result<Option<ReceivedRequest>> {
         let Some(mut head) = self.read_head().await? else { return Ok(None) };
         let head = match RequestHeadDecoder.decode(&mut head) {
             Ok(Decoded::Some(head)) => head,
             _ => return Err(invalid("request head")),
         };
         let body = self.read_body(&head.headers).await?;
-        Ok(Some(Received { head, body }))
+        Ok(Some(ReceivedRequest { head, body }))
     }
 
     /// Reads the next answer.
-    pub async fn reply(&mut self) -> io::Result<Reply> {
+    pub async fn read_response(&mut self) -> io::Result<ReceivedResponse> {
         loop {
             let Some(mut head) = self.read_head().await? else { return Err(early()) };
             let head = match ResponseHeadDecoder.decode(&mut head) {
@@ -120,7 +120,11 @@
                 continue;
             }
             let body = self.read_body(&head.headers).await?;
-            return Ok(Reply { status: head.status.as_u16(), headers: head.headers, body });
+            return Ok(ReceivedResponse {
+                status: head.status.as_u16(),
+                headers: head.headers,
+                body,
+            });
         }
     }
 
@@ -180,7 +184,7 @@
 }
 
 /// Encodes an answer with a whole body and the further `fields`, each ended by a line end.
-pub fn encode_answer(status: u16, fields: &str, body: &[u8]) -> Vec<u8> {
+pub fn encode_response(status: u16, fields: &str, body: &[u8]) -> Vec<u8> {
     let length = body.len();
     let head = format!("HTTP/1.1 {status} X\r\n{fields}content-length: {length}\r\n\r\n");
     [head.as_bytes(), body].concat()
@@ -192,7 +196,12 @@
 }
 
 /// Sends a control request over a blocking socket and returns the answer's body.
-pub fn control(address: SocketAddr, method: &str, path: &str, body: &str) -> io::Result<String> {
+pub fn control_request(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &str,
+) -> io::Result<String> {
     let mut stream = std::net::TcpStream::connect(address)?;
     stream.set_read_timeout(Some(CONTROL_TIME))?;
     let length = body.len();
--- a/hawthornkeel_fakes/src/lib.rs
+++ b/hawthornkeel_fakes/src/lib.rs
@@ -1,15 +1,15 @@
 //! Stand-in targets, platform list and callers for tests and benches; not shipped.
 
 pub mod behaviour;
-pub mod caller;
-pub mod control;
 pub mod document;
 pub mod generate;
+pub mod http1;
+pub mod load_generator;
 pub mod platform;
-pub mod raw;
+pub mod raw_client;
 pub mod record;
-pub mod relay;
-pub mod stream_relay;
 pub mod target;
+pub mod target_control;
+pub mod tcp_relay;
 pub mod thread;
-pub mod wire;
+pub mod udp_relay;
--- a/hawthornkeel_fakes/src/caller.rs
+++ b/hawthornkeel_fakes/src/load_generator.rs
@@ -15,8 +15,8 @@
 use serde::Deserialize;
 
 use crate::generate;
-use crate::wire::Reply;
-use crate::wire::Wire;
+use crate::http1::HttpConnection;
+use crate::http1::ReceivedResponse;
 
 /// Latency that is recorded, in microseconds at most.
 const MAX_LATENCY: u64 = 120_000_000;
@@ -26,7 +26,7 @@
 
 /// What a caller sends.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct LoadProfile {
     /// Address called.
     pub address: SocketAddr,
     /// Path.
@@ -40,18 +40,18 @@
     /// Requests in all.
     pub count: u64,
     /// Number of the first request, so that callers at once have marks of their own.
-    pub first: u64,
+    pub first_number: u64,
     /// Time after which a request is given up.
     pub timeout: Duration,
     /// Whether latencies run from the sending, not from when it was due.
     ///
     /// Timers are a millisecond off: this leaves the caller's own delay out of short latencies.
-    pub from_sending: bool,
+    pub from_send_time: bool,
     /// Whether the answer must carry the request's mark.
-    pub check: bool,
+    pub check_marker: bool,
 }
 
-impl Default for Load {
+impl Default for LoadProfile {
     fn default() -> Self {
         Self {
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
@@ -60,23 +60,23 @@
             fields: String::new(),
             rate: 100.0,
             count: 100,
-            first: 0,
+            first_number: 0,
             timeout: Duration::from_secs(30),
-            from_sending: false,
-            check: true,
+            from_send_time: false,
+            check_marker: true,
         }
     }
 }
 
 /// What a caller saw.
-pub struct Seen {
+pub struct LoadResult {
     /// Requests by outcome.
     pub outcomes: IndexMap<String, u64>,
     /// Latencies of whole answers, in microseconds.
     pub latency: Histogram<u64>,
 }
 
-impl Seen {
+impl LoadResult {
     /// Returns the number of requests with `outcome`.
     pub fn count(&self, outcome: &str) -> u64 {
         self.outcomes.get(outcome).copied().unwrap_or(0)
@@ -87,18 +87,18 @@
 pub const ANSWERED: &str = "answered";
 
 /// Outcome of a request that got an answer without its mark.
-pub const CROSSED: &str = "crossed";
+pub const WRONG_RESPONSE: &str = "crossed";
 
 struct State {
-    load: Load,
-    idle: RefCell<VecDeque<Wire>>,
-    seen: RefCell<Seen>,
+    load: LoadProfile,
+    idle: RefCell<VecDeque<HttpConnection>>,
+    seen: RefCell<LoadResult>,
 }
 
 /// Sends `load` and returns what was seen once every request has ended.
-pub async fn run(load: Load) -> io::Result<Seen> {
+pub async fn run(load: LoadProfile) -> io::Result<LoadResult> {
     let latency = Histogram::new_with_bounds(1, MAX_LATENCY, DIGITS).map_err(io::Error::other)?;
-    let seen = RefCell::new(Seen { outcomes: IndexMap::new(), latency });
+    let seen = RefCell::new(LoadResult { outcomes: IndexMap::new(), latency });
     let state = Rc::new(State { load, idle: RefCell::default(), seen });
     let start = Instant::now();
     let mut tasks = Vec::new();
@@ -118,8 +118,8 @@
 }
 
 async fn one(state: Rc<State>, number: u64, due: Instant) {
-    let start = if state.load.from_sending { Instant::now() } else { due };
-    let mark = format!("{}{}", generate::MARK, state.load.first + number);
+    let start = if state.load.from_send_time { Instant::now() } else { due };
+    let mark = format!("{}{}", generate::MARKER_PREFIX, state.load.first_number + number);
     let outcome = match timeout(state.load.timeout, exchange(&state, &mark)).await {
         Ok(Ok(reply)) => judge(&state.load, &mark, &reply),
         Ok(Err(error)) => format!("broken: {}", error.kind()),
@@ -133,7 +133,7 @@
     *seen.outcomes.entry(outcome).or_default() += 1;
 }
 
-async fn exchange(state: &State, mark: &str) -> io::Result<Reply> {
+async fn exchange(state: &State, mark: &str) -> io::Result<ReceivedResponse> {
     let load = &state.load;
     let body = load.body.replace("{mark}", mark);
     let fields = load.fields.replace("{mark}", mark);
@@ -145,10 +145,10 @@
     let idle = state.idle.borrow_mut().pop_back();
     let mut wire = match idle {
         Some(wire) => wire,
-        None => Wire::connect(load.address).await?,
+        None => HttpConnection::connect(load.address).await?,
     };
     wire.write(request).await?;
-    let reply = wire.reply().await?;
+    let reply = wire.read_response().await?;
     let close = reply.headers.get("connection").is_some_and(|c| c == "close");
     if !close {
         state.idle.borrow_mut().push_back(wire);
@@ -163,13 +163,13 @@
     ran: String,
 }
 
-fn judge(load: &Load, mark: &str, reply: &Reply) -> String {
+fn judge(load: &LoadProfile, mark: &str, reply: &ReceivedResponse) -> String {
     if reply.status == 200 {
         let body = String::from_utf8_lossy(&reply.body);
-        let own = generate::marks(&body).all(|m| m == mark);
-        let present = generate::marks(&body).next().is_some();
-        let fits = !load.check || (own && present);
-        return if fits { ANSWERED } else { CROSSED }.to_owned();
+        let own = generate::markers(&body).all(|m| m == mark);
+        let present = generate::markers(&body).next().is_some();
+        let fits = !load.check_marker || (own && present);
+        return if fits { ANSWERED } else { WRONG_RESPONSE }.to_owned();
     }
     let problem: Problem = serde_json::from_slice(&reply.body).unwrap_or_default();
     format!("refused: {} {} {}", reply.status, problem.code, problem.ran)
--- a/hawthornkeel_fakes/src/main.rs
+++ b/hawthornkeel_fakes/src/main.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use hawthornkeel_fakes::behaviour::Behaviour;
-use hawthornkeel_fakes::caller;
-use hawthornkeel_fakes::caller::Load;
+use hawthornkeel_fakes::load_generator;
+use hawthornkeel_fakes::load_generator::LoadProfile;
 use hawthornkeel_fakes::platform::Platform;
 use hawthornkeel_fakes::target::Target;
 use lexopt::Arg;
@@ -36,7 +36,7 @@
     listen: Option<SocketAddr>,
     behave: Option<String>,
     list: Option<String>,
-    load: Load,
+    load: LoadProfile,
 }
 
 fn main() -> ExitCode {
@@ -85,12 +85,12 @@
             }
             Arg::Long("rate") => load.rate = parser.value()?.parse()?,
             Arg::Long("count") => load.count = parser.value()?.parse()?,
-            Arg::Long("first") => load.first = parser.value()?.parse()?,
+            Arg::Long("first") => load.first_number = parser.value()?.parse()?,
             Arg::Long("timeout-ms") => {
                 load.timeout = Duration::from_millis(parser.value()?.parse()?);
             }
-            Arg::Long("from-sending") => load.from_sending = true,
-            Arg::Long("any") => load.check = false,
+            Arg::Long("from-sending") => load.from_send_time = true,
+            Arg::Long("any") => load.check_marker = false,
             _ => return Err(arg.unexpected()),
         }
     }
@@ -124,8 +124,8 @@
     Ok(())
 }
 
-async fn run_caller(load: Load) -> Result<(), Box<dyn Error>> {
-    let seen = caller::run(load).await?;
+async fn run_caller(load: LoadProfile) -> Result<(), Box<dyn Error>> {
+    let seen = load_generator::run(load).await?;
     for (outcome, count) in &seen.outcomes {
         println!("outcome={outcome:?} count={count}");
     }
--- a/hawthornkeel_fakes/src/platform.rs
+++ b/hawthornkeel_fakes/src/platform.rs
@@ -11,9 +11,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::wire;
-use crate::wire::Received;
-use crate::wire::Wire;
+use crate::http1;
+use crate::http1::HttpConnection;
+use crate::http1::ReceivedRequest;
 
 /// State of an instance in the list.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
@@ -23,7 +23,8 @@
     #[default]
     Live,
     /// It finishes its work and takes no more.
-    Leaving,
+    #[serde(rename = "leaving")]
+    Draining,
 }
 
 /// Instance in the list.
@@ -44,7 +45,7 @@
 
 /// List of instances.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct List {
+pub struct InstanceList {
     /// Instances.
     pub instances: Vec<Instance>,
     /// Lag with which this list and later ones show, in milliseconds; unchanged where absent.
@@ -60,15 +61,15 @@
 
 #[derive(Default)]
 struct Shared {
-    shown: List,
+    shown: InstanceList,
     /// Lists that don't show yet, with the time from which they do.
-    pending: Vec<(Instant, List)>,
+    pending: Vec<(Instant, InstanceList)>,
     lag: Duration,
 }
 
 impl Platform {
     /// Replaces the list; it shows after the lag.
-    pub fn set(&self, list: List) {
+    pub fn set(&self, list: InstanceList) {
         let mut shared = self.shared.borrow_mut();
         if let Some(lag) = list.lag_ms {
             shared.lag = Duration::from_millis(lag);
@@ -78,7 +79,7 @@
     }
 
     /// Returns the list as it shows now.
-    pub fn list(&self) -> List {
+    pub fn list(&self) -> InstanceList {
         let mut shared = self.shared.borrow_mut();
         let now = Instant::now();
         let due = shared.pending.iter().take_while(|(from, _)| *from <= now).count();
@@ -95,28 +96,28 @@
             let platform = self.clone();
             monoio::spawn(async move {
                 // A connection that breaks is the other end's to open again.
-                let _ = platform.connection(Wire::new(stream)).await;
+                let _ = platform.connection(HttpConnection::new(stream)).await;
             });
         }
     }
 
-    async fn connection(&self, mut wire: Wire) -> io::Result<()> {
-        while let Some(request) = wire.receive().await? {
+    async fn connection(&self, mut wire: HttpConnection) -> io::Result<()> {
+        while let Some(request) = wire.read_request().await? {
             let (status, body) = self.answer(&request);
             let id = request.header("x-request-id");
             let echo = match id {
                 "" => String::new(),
                 _ => format!("x-request-id: {id}\r\n"),
             };
-            wire.write(wire::encode_answer(status, &echo, &body)).await?;
-            if request.asks_close() {
+            wire.write(http1::encode_response(status, &echo, &body)).await?;
+            if request.wants_close() {
                 break;
             }
         }
         Ok(())
     }
 
-    fn answer(&self, request: &Received) -> (u16, Vec<u8>) {
+    fn answer(&self, request: &ReceivedRequest) -> (u16, Vec<u8>) {
         match (&request.head.method, request.head.uri.path()) {
             (&Method::GET, "/instances") => {
                 (200, serde_json::to_vec(&self.list()).unwrap_or_default())
--- a/hawthornkeel_fakes/src/raw.rs
+++ b/hawthornkeel_fakes/src/raw_client.rs
@@ -13,14 +13,14 @@
 const READ_TIME: Duration = Duration::from_secs(10);
 
 /// Caller over a blocking socket.
-pub struct RawCaller {
+pub struct RawClient {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 /// Answer as text.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct RawAnswer {
+pub struct RawResponse {
     /// Status.
     pub status: u16,
     /// Head, in lower case.
@@ -29,7 +29,7 @@
     pub body: String,
 }
 
-impl RawCaller {
+impl RawClient {
     /// Connects to `address`.
     pub fn connect(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address)?;
@@ -45,13 +45,13 @@
     }
 
     /// Ends the sending side.
-    pub fn end(&mut self) -> io::Result<()> {
+    pub fn shutdown_write(&mut self) -> io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
     }
 
     /// Reads one answer with a length.
-    pub fn answer(&mut self) -> io::Result<RawAnswer> {
-        let head = self.read_past("\r\n\r\n")?.to_ascii_lowercase();
+    pub fn read_response(&mut self) -> io::Result<RawResponse> {
+        let head = self.read_until("\r\n\r\n")?.to_ascii_lowercase();
         let length = field(&head, "content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
         while self.buffer.len() < length {
             self.fill()?;
@@ -59,11 +59,11 @@
         let body = self.buffer.drain(..length).collect();
         let status = head.get(9..12).and_then(|s| s.parse().ok()).unwrap_or(0);
         let body = String::from_utf8(body).map_err(io::Error::other)?;
-        Ok(RawAnswer { status, head, body })
+        Ok(RawResponse { status, head, body })
     }
 
     /// Reads up to and with `end`.
-    pub fn read_past(&mut self, end: &str) -> io::Result<String> {
+    pub fn read_until(&mut self, end: &str) -> io::Result<String> {
         loop {
             let found = self.buffer.windows(end.len()).position(|w| w == end.as_bytes());
             if let Some(start) = found {
@@ -75,7 +75,7 @@
     }
 
     /// Reads up to the end of the connection, which a reset counts as too.
-    pub fn read_to_close(&mut self) -> io::Result<Vec<u8>> {
+    pub fn read_to_end(&mut self) -> io::Result<Vec<u8>> {
         loop {
             match self.fill() {
                 Ok(()) => {}
@@ -86,7 +86,7 @@
     }
 
     /// Tells whether anything can be read now, without waiting for it.
-    pub fn has_bytes(&mut self) -> io::Result<bool> {
+    pub fn is_readable(&mut self) -> io::Result<bool> {
         self.stream.set_nonblocking(true)?;
         let peeked = self.stream.peek(&mut [0]);
         self.stream.set_nonblocking(false)?;
--- a/hawthornkeel_fakes/src/record.rs
+++ b/hawthornkeel_fakes/src/record.rs
@@ -15,7 +15,8 @@
     /// The other end closed the connection before the end.
     Cancelled,
     /// A fault or a fall ended it.
-    Broken,
+    #[serde(rename = "broken")]
+    Failed,
 }
 
 /// Run of a call.
@@ -64,7 +65,8 @@
     /// Calls refused before they ran.
     pub refused: u32,
     /// Falls because of too many calls at once.
-    pub falls: u32,
+    #[serde(rename = "falls")]
+    pub crashes: u32,
     /// Connections that carried a call.
     pub connections: u32,
     /// Incarnation.
--- a/hawthornkeel_fakes/src/target.rs
+++ b/hawthornkeel_fakes/src/target.rs
@@ -12,15 +12,15 @@
 
 use crate::behaviour::Behaviour;
 use crate::behaviour::Fault;
-use crate::control;
 use crate::generate;
-use crate::generate::Ask;
+use crate::generate::CompletionRequest;
+use crate::http1;
+use crate::http1::HttpConnection;
+use crate::http1::ReceivedRequest;
 use crate::record::Outcome;
 use crate::record::Report;
 use crate::record::Run;
-use crate::wire;
-use crate::wire::Received;
-use crate::wire::Wire;
+use crate::target_control;
 
 /// Time between looks at whether the target fell over, while nothing else happens.
 const LOOK: Duration = Duration::from_millis(20);
@@ -77,7 +77,7 @@
             self.shared.accepted.set(number + 1);
             let connection = Connection {
                 target: self.clone(),
-                wire: Wire::new(stream),
+                wire: HttpConnection::new(stream),
                 number,
                 calls: 0,
                 incarnation: self.shared.report.borrow().incarnation,
@@ -97,7 +97,8 @@
     /// Tells whether the target is cold.
     pub fn is_cold(&self) -> bool {
         let behaviour = self.shared.behaviour.borrow();
-        behaviour.cold_bears.is_some() && self.shared.report.borrow().answers < behaviour.warm_after
+        behaviour.cold_capacity.is_some()
+            && self.shared.report.borrow().answers < behaviour.warm_after
     }
 
     fn micros(&self) -> u64 {
@@ -118,10 +119,10 @@
     }
 
     /// Records the start of a run and returns its index; falls over where it is one too many.
-    fn begin(&self, request: &Received) -> Option<usize> {
+    fn begin(&self, request: &ReceivedRequest) -> Option<usize> {
         let cold = self.is_cold();
         let behaviour = self.shared.behaviour.borrow();
-        let bears = if cold { behaviour.cold_bears } else { behaviour.warm_bears };
+        let bears = if cold { behaviour.cold_capacity } else { behaviour.warm_capacity };
         let mut report = self.shared.report.borrow_mut();
         report.running += 1;
         report.peak = report.peak.max(report.running);
@@ -138,8 +139,8 @@
         });
         let index = report.runs.len() - 1;
         if bears.is_some_and(|b| report.running > b) {
-            report.falls += 1;
-            report.runs[index].outcome = Outcome::Broken;
+            report.crashes += 1;
+            report.runs[index].outcome = Outcome::Failed;
             drop(report);
             drop(behaviour);
             self.restart();
@@ -164,13 +165,13 @@
         let behaviour = self.shared.behaviour.borrow();
         let running = f64::from(self.shared.report.borrow().running);
         let shared = (running / f64::from(behaviour.batch.max(1))).max(1.0);
-        Duration::from_secs_f64(millis as f64 * behaviour.slow * shared / 1000.0)
+        Duration::from_secs_f64(millis as f64 * behaviour.slowdown * shared / 1000.0)
     }
 }
 
 struct Connection {
     target: Target,
-    wire: Wire,
+    wire: HttpConnection,
     number: u32,
     calls: u32,
     incarnation: u64,
@@ -178,8 +179,8 @@
 
 impl Connection {
     async fn run(mut self) {
-        while let Ok(Some(request)) = self.wire.receive().await {
-            let last = request.asks_close();
+        while let Ok(Some(request)) = self.wire.read_request().await {
+            let last = request.wants_close();
             if self.is_fallen() || self.exchange(request).await.is_err() || last {
                 return;
             }
@@ -194,10 +195,10 @@
         self.number < self.target.shared.silent_before.get()
     }
 
-    async fn exchange(&mut self, request: Received) -> Result<(), End> {
-        if let Some((status, body)) = control::handle(&self.target, &request) {
+    async fn exchange(&mut self, request: ReceivedRequest) -> Result<(), End> {
+        if let Some((status, body)) = target_control::handle(&self.target, &request) {
             let echo = self.echo(request.header("x-request-id"));
-            return Ok(self.wire.write(wire::encode_answer(status, &echo, &body)).await?);
+            return Ok(self.wire.write(http1::encode_response(status, &echo, &body)).await?);
         }
         self.calls += 1;
         self.target.shared.report.borrow_mut().connections += u32::from(self.calls == 1);
@@ -207,57 +208,62 @@
         }
         let fault = self.target.next_fault();
         match fault {
-            Fault::Close => return Err(End),
+            Fault::CloseBeforeRun => return Err(End),
             Fault::Refuse => return self.refuse(&request, b"{\"ran\":\"not-run\"}").await,
-            Fault::RefuseBare => return self.refuse(&request, b"{}").await,
+            Fault::RefuseAmbiguous => return self.refuse(&request, b"{}").await,
             _ => {}
         }
         let Some(index) = self.target.begin(&request) else { return Err(End) };
         let result = self.answer(&request, fault, index).await;
         let outcome = match result {
             Ok(()) => Outcome::Done,
-            Err(_) if fault != Fault::None || self.is_fallen() => Outcome::Broken,
+            Err(_) if fault != Fault::None || self.is_fallen() => Outcome::Failed,
             Err(_) => Outcome::Cancelled,
         };
         self.target.finish(index, self.incarnation, outcome);
         result
     }
 
-    async fn refuse(&mut self, request: &Received, body: &[u8]) -> Result<(), End> {
+    async fn refuse(&mut self, request: &ReceivedRequest, body: &[u8]) -> Result<(), End> {
         self.target.shared.report.borrow_mut().refused += 1;
         let fields = format!("{}retry-after: 1\r\n", self.echo(request.header("x-request-id")));
-        Ok(self.wire.write(wire::encode_answer(503, &fields, body)).await?)
+        Ok(self.wire.write(http1::encode_response(503, &fields, body)).await?)
     }
 
-    async fn answer(&mut self, request: &Received, fault: Fault, run: usize) -> Result<(), End> {
+    async fn answer(
+        &mut self,
+        request: &ReceivedRequest,
+        fault: Fault,
+        run: usize,
+    ) -> Result<(), End> {
         let (floor, late) = {
             let behaviour = self.target.shared.behaviour.borrow();
             (behaviour.floor_ms, behaviour.late_ms)
         };
         self.pause(self.target.stretch(floor)).await?;
         match fault {
-            Fault::Silent => return self.hang().await,
-            Fault::Drop => return Err(End),
-            Fault::Garbage => {
+            Fault::NoResponse => return self.hang().await,
+            Fault::CloseAfterRun => return Err(End),
+            Fault::Malformed => {
                 self.wire.write("\x01\x02 garbage\r\n\r\n").await?;
                 return Err(End);
             }
-            Fault::Fail => {
+            Fault::ServerError => {
                 let echo = self.echo(request.header("x-request-id"));
-                return Ok(self.wire.write(wire::encode_answer(500, &echo, b"{}")).await?);
+                return Ok(self.wire.write(http1::encode_response(500, &echo, b"{}")).await?);
             }
             Fault::Late => self.pause(Duration::from_millis(late)).await?,
             _ => {}
         }
         let path = request.head.uri.path();
-        let ask: Ask = serde_json::from_slice(&request.body).unwrap_or_default();
+        let ask: CompletionRequest = serde_json::from_slice(&request.body).unwrap_or_default();
         if path.ends_with("/completions") && ask.stream {
             return self.answer_stream(request, &ask, fault, run).await;
         }
-        let body = generate::service(path, &request.body);
-        let answer = wire::encode_answer(200, &self.fields(request, fault), &body);
+        let body = generate::service_response(path, &request.body);
+        let answer = http1::encode_response(200, &self.fields(request, fault), &body);
         match fault {
-            Fault::Truncated | Fault::Cut => {
+            Fault::Truncated | Fault::Disconnect => {
                 self.wire.write(&answer[..answer.len() - body.len() / 2]).await?;
                 Err(End)
             }
@@ -265,20 +271,20 @@
                 self.wire.write(&answer[..answer.len() - body.len() / 2]).await?;
                 self.hang().await
             }
-            Fault::TwiceLate => {
+            Fault::LateDuplicate => {
                 self.wire.write(answer.clone()).await?;
                 self.pause(Duration::from_millis(late)).await?;
                 Ok(self.wire.write(answer).await?)
             }
-            Fault::Twice => Ok(self.wire.write([answer.clone(), answer].concat()).await?),
+            Fault::Duplicate => Ok(self.wire.write([answer.clone(), answer].concat()).await?),
             _ => Ok(self.wire.write(answer).await?),
         }
     }
 
     async fn answer_stream(
         &mut self,
-        request: &Received,
-        ask: &Ask,
+        request: &ReceivedRequest,
+        ask: &CompletionRequest,
         fault: Fault,
         run: usize,
     ) -> Result<(), End> {
@@ -295,7 +301,7 @@
         );
         self.wire.write(head.as_bytes()).await?;
         let chat = request.head.uri.path().ends_with("/chat/completions");
-        let cut = matches!(fault, Fault::Cut | Fault::Stall | Fault::Truncated);
+        let cut = matches!(fault, Fault::Disconnect | Fault::Stall | Fault::Truncated);
         let mut sent = 0;
         for token in ask.tokens(behaviour.tokens) {
             if cut && sent == behaviour.cut_after {
@@ -309,28 +315,28 @@
             if sent > 0 {
                 self.pause(self.target.stretch(behaviour.token_ms)).await?;
             }
-            self.wire.write(wire::encode_chunk(&generate::event(rest, chat))).await?;
+            self.wire.write(http1::encode_chunk(&generate::completion_event(rest, chat))).await?;
             sent += 1;
             self.target.shared.report.borrow_mut().runs[run].tokens = sent;
         }
         let mut end = match fault {
-            Fault::Unmarked => Vec::new(),
-            _ => wire::encode_chunk(b"data: [DONE]\n\n"),
+            Fault::MissingDone => Vec::new(),
+            _ => http1::encode_chunk(b"data: [DONE]\n\n"),
         };
         end.extend_from_slice(b"0\r\n\r\n");
-        if fault == Fault::Twice {
+        if fault == Fault::Duplicate {
             end.extend(head.as_bytes());
-            end.extend(wire::encode_chunk(&generate::event("again ", chat)));
+            end.extend(http1::encode_chunk(&generate::completion_event("again ", chat)));
             end.extend(b"0\r\n\r\n");
         }
         Ok(self.wire.write(end).await?)
     }
 
-    fn fields(&self, request: &Received, fault: Fault) -> String {
+    fn fields(&self, request: &ReceivedRequest, fault: Fault) -> String {
         let id = request.header("x-request-id");
         match fault {
             // The identity of a call that another connection carries.
-            Fault::Crossed => {
+            Fault::WrongCall => {
                 let first = if id.starts_with('f') { 'e' } else { 'f' };
                 format!("x-request-id: {first}{}\r\n", id.get(1..).unwrap_or(""))
             }
@@ -342,10 +348,10 @@
     fn echo(&self, id: &str) -> String {
         let behaviour = self.target.shared.behaviour.borrow();
         let mut fields = String::new();
-        if behaviour.echo && !id.is_empty() {
+        if behaviour.echo_id && !id.is_empty() {
             fields.push_str(&format!("x-request-id: {id}\r\n"));
         }
-        if behaviour.named {
+        if behaviour.send_incarnation {
             fields.push_str(&format!("x-incarnation: {}\r\n", self.incarnation));
         }
         fields
--- a/hawthornkeel_fakes/src/control.rs
+++ b/hawthornkeel_fakes/src/target_control.rs
@@ -9,12 +9,12 @@
 use serde_json::json;
 
 use crate::behaviour::Behaviour;
+use crate::http1::ReceivedRequest;
 use crate::record::OrderRecord;
 use crate::target::Target;
-use crate::wire::Received;
 
 /// Answers a control request with a status and a body, `None` where it is a call.
-pub(crate) fn handle(target: &Target, request: &Received) -> Option<(u16, Vec<u8>)> {
+pub(crate) fn handle(target: &Target, request: &ReceivedRequest) -> Option<(u16, Vec<u8>)> {
     let answer = match (&request.head.method, request.head.uri.path()) {
         (&Method::GET, "/runs") => (200, to_json(&*target.shared.report.borrow())),
         (&Method::GET, "/load") => (200, load(target)),
--- a/hawthornkeel_fakes/src/stream_relay.rs
+++ b/hawthornkeel_fakes/src/tcp_relay.rs
@@ -34,7 +34,7 @@
 const PIECE: usize = 16 * 1024;
 
 /// Relay of connections to one address; dropping it ends it.
-pub struct StreamRelay {
+pub struct TcpRelay {
     /// Address that is connected to.
     pub address: SocketAddr,
     shared: Arc<Shared>,
@@ -55,7 +55,7 @@
     fillers: Mutex<Vec<TcpStream>>,
 }
 
-impl StreamRelay {
+impl TcpRelay {
     /// Starts a relay to `target`.
     ///
     /// # Errors
@@ -79,13 +79,13 @@
     }
 
     /// Loses track of the connections that are open now: nothing passes on them any more.
-    pub fn lose_connections(&self) {
+    pub fn blackhole_connections(&self) {
         let opened = self.shared.opened.load(Ordering::SeqCst);
         self.shared.silent_before.store(opened, Ordering::SeqCst);
     }
 
     /// Returns the number of connections opened so far.
-    pub fn opened(&self) -> u64 {
+    pub fn connection_count(&self) -> u64 {
         self.shared.opened.load(Ordering::SeqCst)
     }
 
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// Fails where the listener's queue can't be changed.
-    pub fn set_cut(&self, cut: bool) -> io::Result<()> {
+    pub fn set_blocked(&self, cut: bool) -> io::Result<()> {
         let mut fillers = self.shared.fillers.lock().unwrap_or_else(PoisonError::into_inner);
         self.shared.cut.store(cut, Ordering::SeqCst);
         fillers.clear();
@@ -112,7 +112,7 @@
     }
 }
 
-impl Drop for StreamRelay {
+impl Drop for TcpRelay {
     fn drop(&mut self) {
         self.shared.stop.store(true, Ordering::SeqCst);
         // Ends the wait for a connection.
--- a/hawthornkeel_fakes/src/thread.rs
+++ b/hawthornkeel_fakes/src/thread.rs
@@ -12,11 +12,11 @@
 use monoio::net::TcpListener;
 
 use crate::behaviour::Behaviour;
-use crate::platform::List;
+use crate::http1;
+use crate::platform::InstanceList;
 use crate::platform::Platform;
 use crate::record::Report;
 use crate::target::Target;
-use crate::wire;
 
 /// Time between looks at a condition.
 const STEP: Duration = Duration::from_millis(2);
@@ -36,23 +36,23 @@
     }
 
     /// Overlays the behaviour with the fields of the JSON object `fields`.
-    pub fn behave(&self, fields: &str) -> io::Result<()> {
-        wire::control(self.address, "POST", "/behave", fields).map(drop)
+    pub fn configure(&self, fields: &str) -> io::Result<()> {
+        http1::control_request(self.address, "POST", "/behave", fields).map(drop)
     }
 
     /// Restarts the target: a new incarnation, cold again.
     pub fn restart(&self) -> io::Result<()> {
-        wire::control(self.address, "POST", "/restart", "").map(drop)
+        http1::control_request(self.address, "POST", "/restart", "").map(drop)
     }
 
     /// Makes the connections that are open now silent for good.
-    pub fn silence(&self) -> io::Result<()> {
-        wire::control(self.address, "POST", "/silence", "").map(drop)
+    pub fn hang_connections(&self) -> io::Result<()> {
+        http1::control_request(self.address, "POST", "/silence", "").map(drop)
     }
 
     /// Returns what the target has recorded.
     pub fn report(&self) -> io::Result<Report> {
-        let body = wire::control(self.address, "GET", "/runs", "")?;
+        let body = http1::control_request(self.address, "GET", "/runs", "")?;
         serde_json::from_str(&body).map_err(io::Error::other)
     }
 }
@@ -66,7 +66,7 @@
 
 impl PlatformThread {
     /// Starts a platform on a free port with `list`.
-    pub fn start(list: List) -> io::Result<Self> {
+    pub fn start(list: InstanceList) -> io::Result<Self> {
         let address = listen(move |listener| {
             let platform = Platform::default();
             platform.set(list);
@@ -76,11 +76,11 @@
     }
 
     /// Replaces the list.
-    pub fn set(&self, list: &List) -> io::Result<()> {
+    pub fn set(&self, list: &InstanceList) -> io::Result<()> {
         let lag = list.lag_ms.map(|l| format!("\"lag_ms\":{l},")).unwrap_or_default();
         let instances = serde_json::to_string(&list.instances).map_err(io::Error::other)?;
         let body = format!("{{{lag}\"instances\":{instances}}}");
-        wire::control(self.address, "POST", "/instances", &body).map(drop)
+        http1::control_request(self.address, "POST", "/instances", &body).map(drop)
     }
 }
 
--- a/hawthornkeel_fakes/src/relay.rs
+++ b/hawthornkeel_fakes/src/udp_relay.rs
@@ -19,7 +19,7 @@
 const MAX_DATAGRAM: usize = 2048;
 
 /// Relay of datagrams to one address; dropping it ends it.
-pub struct Relay {
+pub struct UdpRelay {
     /// Address that is sent to.
     pub address: SocketAddr,
     shared: Arc<Shared>,
@@ -53,7 +53,7 @@
     }
 }
 
-impl Relay {
+impl UdpRelay {
     /// Starts a relay to `target`.
     ///
     /// # Errors
@@ -68,34 +68,34 @@
     }
 
     /// Loses track of every flow so far: their datagrams vanish from now on.
-    pub fn lose_flows(&self) {
+    pub fn blackhole_flows(&self) {
         let known = lock(&self.shared.known).clone();
         lock(&self.shared.lost).extend(known);
     }
 
     /// Lets every datagram vanish, or none.
-    pub fn set_cut(&self, cut: bool) {
-        self.set_cut_out(cut);
-        self.set_cut_back(cut);
+    pub fn set_blocked(&self, cut: bool) {
+        self.set_outbound_blocked(cut);
+        self.set_inbound_blocked(cut);
     }
 
     /// Lets the datagrams to the address vanish, or none of them.
-    pub fn set_cut_out(&self, cut: bool) {
+    pub fn set_outbound_blocked(&self, cut: bool) {
         self.shared.cut_out.store(cut, Ordering::Relaxed);
     }
 
     /// Lets the datagrams from the address vanish, or none of them.
-    pub fn set_cut_back(&self, cut: bool) {
+    pub fn set_inbound_blocked(&self, cut: bool) {
         self.shared.cut_back.store(cut, Ordering::Relaxed);
     }
 
     /// Returns the number of flows seen.
-    pub fn flows(&self) -> usize {
+    pub fn flow_count(&self) -> usize {
         lock(&self.shared.known).len()
     }
 }
 
-impl Drop for Relay {
+impl Drop for UdpRelay {
     fn drop(&mut self) {
         self.shared.stop.store(true, Ordering::Relaxed);
     }
--- a/hawthornkeel_fakes/tests/cold_target.rs
+++ b/hawthornkeel_fakes/tests/cold_target.rs
@@ -1,22 +1,22 @@
 //! A cold stand-in target bears what it is told to, falls over above it and warms up.
 
 use hawthornkeel_fakes::behaviour::Behaviour;
-use hawthornkeel_fakes::caller;
-use hawthornkeel_fakes::caller::ANSWERED;
-use hawthornkeel_fakes::caller::Load;
+use hawthornkeel_fakes::load_generator;
+use hawthornkeel_fakes::load_generator::ANSWERED;
+use hawthornkeel_fakes::load_generator::LoadProfile;
 use hawthornkeel_fakes::record::Report;
 use hawthornkeel_fakes::thread;
 use hawthornkeel_fakes::thread::TargetThread;
 
 /// Sends `count` calls at once and returns how many were answered.
 fn burst(target: TargetThread, count: u64) -> u64 {
-    let load = Load { address: target.address, rate: 1e6, count, ..Load::default() };
-    thread::block_on(caller::run(load)).unwrap().unwrap().count(ANSWERED)
+    let load = LoadProfile { address: target.address, rate: 1e6, count, ..LoadProfile::default() };
+    thread::block_on(load_generator::run(load)).unwrap().unwrap().count(ANSWERED)
 }
 
 fn start() -> TargetThread {
     let behaviour =
-        Behaviour { floor_ms: 100, cold_bears: Some(2), warm_after: 4, ..Behaviour::default() };
+        Behaviour { floor_ms: 100, cold_capacity: Some(2), warm_after: 4, ..Behaviour::default() };
     TargetThread::start(behaviour).unwrap()
 }
 
@@ -25,7 +25,7 @@
     let target = start();
     assert_eq!(burst(target, 3), 0);
     let report = target.report().unwrap();
-    assert_eq!((report.falls, report.incarnation, report.running), (1, 2, 0));
+    assert_eq!((report.crashes, report.incarnation, report.running), (1, 2, 0));
     assert_eq!(report.cold_peak, 3);
 }
 
@@ -38,5 +38,5 @@
     target.restart().unwrap();
     assert_eq!(burst(target, 3), 0);
     let report: Report = target.report().unwrap();
-    assert_eq!((report.falls, report.incarnation, report.peak), (1, 3, 8));
+    assert_eq!((report.crashes, report.incarnation, report.peak), (1, 3, 8));
 }
--- a/hawthornkeel_fakes/tests/platform_list.rs
+++ b/hawthornkeel_fakes/tests/platform_list.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use hawthornkeel_fakes::http1;
 use hawthornkeel_fakes::platform::Instance;
+use hawthornkeel_fakes::platform::InstanceList;
 use hawthornkeel_fakes::platform::InstanceState;
-use hawthornkeel_fakes::platform::List;
 use hawthornkeel_fakes::thread;
 use hawthornkeel_fakes::thread::PlatformThread;
-use hawthornkeel_fakes::wire;
 
 const LAG: Duration = Duration::from_millis(200);
 
-fn list(state: InstanceState, lag_ms: Option<u64>) -> List {
+fn list(state: InstanceState, lag_ms: Option<u64>) -> InstanceList {
     let instance = Instance {
         name: "reader-1".to_owned(),
         address: "127.0.0.1:9000".to_owned(),
@@ -20,20 +20,20 @@
         data_centre: "kumamoto".to_owned(),
         state,
     };
-    List { instances: vec![instance], lag_ms }
+    InstanceList { instances: vec![instance], lag_ms }
 }
 
 #[test]
 fn change_shows_after_lag() {
     let platform = PlatformThread::start(list(InstanceState::Live, None)).unwrap();
     let shown = || {
-        let body = wire::control(platform.address, "GET", "/instances", "").unwrap();
-        serde_json::from_str::<List>(&body).unwrap().instances[0].state
+        let body = http1::control_request(platform.address, "GET", "/instances", "").unwrap();
+        serde_json::from_str::<InstanceList>(&body).unwrap().instances[0].state
     };
     assert_eq!(shown(), InstanceState::Live);
     let begin = Instant::now();
-    platform.set(&list(InstanceState::Leaving, Some(LAG.as_millis() as u64))).unwrap();
-    let changed = thread::eventually(Duration::from_secs(5), || shown() == InstanceState::Leaving);
+    platform.set(&list(InstanceState::Draining, Some(LAG.as_millis() as u64))).unwrap();
+    let changed = thread::eventually(Duration::from_secs(5), || shown() == InstanceState::Draining);
     assert!(changed);
     assert!(begin.elapsed() >= LAG);
 }
