--- a/hawthornkeel/tests/fenced_orders.rs
+++ b/hawthornkeel/tests/fenced_orders.rs
@@ -3,7 +3,7 @@
 mod fleet;
 
 use fleet::Fleet;
-use fleet::PATIENCE;
+use fleet::TEST_TIMEOUT;
 use fleet::post;
 use hawthornkeel_fakes::thread::eventually;
 
@@ -13,7 +13,7 @@
 /// Sends the order to an instance until the target has accepted it.
 fn send_order(fleet: &Fleet, at: usize) {
     let mut last = None;
-    let accepted = eventually(PATIENCE, || {
+    let accepted = eventually(TEST_TIMEOUT, || {
         last = post(fleet.instances[at].admin, "/admin/order", "", ORDER);
         last.as_ref().is_some_and(|a| a.body.contains("\"accepted\""))
     });
