--- a/hawthornkeel/tests/control_isolation.rs
+++ b/hawthornkeel/tests/control_isolation.rs
@@ -105,7 +105,10 @@
         assert!(start.elapsed() < MAX_PROPAGATION, "{:?}", start.elapsed());
         // Its return neither causes an election nor changes the leader.
         let after = control_status(&a, other(&old_leader)).await.unwrap();
-        assert_eq!((after.term, &after.lead.leader), (before.term, &before.lead.leader));
+        assert_eq!(
+            (after.term, &after.leadership.leader),
+            (before.term, &before.leadership.leader)
+        );
         assert_eq!(submit(&b, request(500, 301, "last")).await, accepted(302));
     });
 }
