--- a/hawthornkeel/benches/http_edge.rs
+++ b/hawthornkeel/benches/http_edge.rs
@@ -1,8 +1,8 @@
-//! What the HTTP server and the target client add to a call, and what open streams hold in memory.
+//! Latency added to a call by the HTTP server and the target client, and memory of open streams.
 //!
-//! Calls go to a stand-in directly and through a proxy on one thread, in turns of one run, so that
-//! the figures are a ratio on the same machine at the same time. The run fails where the added p99
-//! passes 5% of the 30 ms gap between tokens.
+//! Calls go to a fake target directly and through a single-threaded proxy, alternating within one
+//! run, so that both are measured on the same machine at the same time. The run fails if the added
+//! p99 exceeds 5% of the 30 ms gap between tokens.
 
 mod own_process;
 
@@ -45,28 +45,28 @@
 
 use crate::own_process::OwnProcess;
 
-/// Requests a second.
+/// Requests per second.
 const RATE: f64 = 2_000.0;
 
-/// Requests of one turn.
+/// Requests per turn.
 const COUNT: u64 = 2_000;
 
-/// Turns of each kind.
+/// Turns of each path.
 const TURNS: usize = 15;
 
-/// Added p99, in microseconds at most: 5% of the 30 ms gap between tokens.
-const MAX_ADDED: i64 = 1_500;
+/// Maximum added p99 in microseconds: 5% of the 30 ms gap between tokens.
+const MAX_ADDED_P99_US: i64 = 1_500;
 
-/// Unit of the processor time in `/proc`, in milliseconds.
+/// Unit of CPU time in `/proc`, in milliseconds.
 const TICK_MS: u64 = 10;
 
-/// Streams held open.
+/// Number of open streams.
 const STREAMS: usize = 1_000;
 
-/// Requests in flight when the rate is not bounded.
+/// Requests in flight when the rate is not limited.
 const IN_FLIGHT: usize = 32;
 
-/// Time that the rate is measured for.
+/// Duration of the rate measurement.
 const RATE_TIME: Duration = Duration::from_secs(3);
 
 type Failure = Box<dyn Error>;
@@ -98,36 +98,36 @@
         waited.as_millis()
     );
     measure_rate("direct", target.address)?;
-    let before = busy(&proxy)?;
+    let before = cpu_time(&proxy)?;
     let done = measure_rate("proxied", proxy.address)?;
-    let busy = busy(&proxy)?.saturating_sub(before).as_secs_f64() * 1e6 / done as f64;
+    let busy = cpu_time(&proxy)?.saturating_sub(before).as_secs_f64() * 1e6 / done as f64;
     println!("busy=proxy us_a_request={busy:.1}");
     measure_streams(&proxy)?;
-    let kept = added <= MAX_ADDED;
-    println!("bound=added_p99_us measured={added} max={MAX_ADDED} kept={kept}");
+    let kept = added <= MAX_ADDED_P99_US;
+    println!("bound=added_p99_us measured={added} max={MAX_ADDED_P99_US} kept={kept}");
     Ok(kept)
 }
 
-/// Prints latencies of both ways in turns and returns the median added p99, in microseconds.
+/// Prints the latencies of both paths per turn and returns the median added p99 in microseconds.
 fn measure_latency(direct: SocketAddr, proxied: SocketAddr) -> Result<i64, Failure> {
     let mut added = Vec::new();
     println!("turn  direct p50    p99  proxied p50    p99  added p50    p99  ratio p50   p99");
     for turn in 0..TURNS {
         let direct = quantiles(direct)?;
         let proxied = quantiles(proxied)?;
-        let more = [proxied[0] - direct[0], proxied[1] - direct[1]];
+        let added_us = [proxied[0] - direct[0], proxied[1] - direct[1]];
         println!(
             "{turn:4}  {:7} us {:6}  {:8} us {:6}  {:6} us {:6}  {:9.2} {:5.2}",
             direct[0],
             direct[1],
             proxied[0],
             proxied[1],
-            more[0],
-            more[1],
+            added_us[0],
+            added_us[1],
             proxied[0] as f64 / direct[0] as f64,
             proxied[1] as f64 / direct[1] as f64,
         );
-        added.push(more[1]);
+        added.push(added_us[1]);
     }
     added.sort_unstable();
     Ok(added[TURNS / 2])
@@ -151,7 +151,7 @@
     Ok([at(0.5), at(0.99)])
 }
 
-/// Prints the requests a second with a fixed number in flight, and returns the requests.
+/// Prints the request rate with a fixed number in flight and returns the number of requests.
 fn measure_rate(name: &str, address: SocketAddr) -> Result<u128, Failure> {
     let done = thread::block_on(async {
         let end = Instant::now() + RATE_TIME;
@@ -177,7 +177,7 @@
     Ok(done)
 }
 
-/// Prints the proxy's memory before and with many open streams.
+/// Prints the proxy's memory without and with many open streams.
 fn measure_streams(proxy: &OwnProcess) -> Result<(), Failure> {
     let before = proxy.memory()?;
     let body = "{\"prompt\":\"ref-1\",\"stream\":true}";
@@ -197,8 +197,8 @@
     Ok(())
 }
 
-/// Returns the processor time that a process has used.
-fn busy(process: &OwnProcess) -> Result<Duration, Failure> {
+/// Returns the CPU time that a process has used.
+fn cpu_time(process: &OwnProcess) -> Result<Duration, Failure> {
     let stat = fs::read_to_string(format!("/proc/{}/stat", process.id()))?;
     let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or("").split(' ').collect();
     let ticks = fields[11].parse::<u64>()? + fields[12].parse::<u64>()?;
@@ -212,12 +212,14 @@
         println!("{}", server.address());
         let client = Client::new(ClientLimits::default());
         let numbers = Rc::new(Cell::new(0));
-        server.serve(move |request| pass(client.clone(), target, call(&numbers), request)).await;
+        server
+            .serve(move |request| proxy_call(client.clone(), target, call(&numbers), request))
+            .await;
         Ok(true)
     })?
 }
 
-/// Returns a call with a number of its own.
+/// Returns a call with a unique number.
 fn call(numbers: &Cell<u128>) -> Call {
     numbers.set(numbers.get() + 1);
     let id = CallId { request: RequestId(numbers.get()), ..CallId::default() };
@@ -229,7 +231,7 @@
     }
 }
 
-async fn pass(client: Client, target: SocketAddr, call: Call, request: Request) -> Response {
+async fn proxy_call(client: Client, target: SocketAddr, call: Call, request: Request) -> Response {
     let call = Call { path: request.head.path, body: request.body, ..call };
     let result = match call.path.as_str() {
         COMPLETIONS => client.stream(target, &call).await.map(events),
@@ -243,11 +245,11 @@
 
 fn events(stream: TokenStream) -> Response {
     let (sender, receiver) = channel::bounded(16);
-    monoio::spawn(give_on(stream, sender));
+    monoio::spawn(forward_tokens(stream, sender));
     Response::events(receiver)
 }
 
-async fn give_on(mut stream: TokenStream, sender: Sender) {
+async fn forward_tokens(mut stream: TokenStream, sender: Sender) {
     while let Ok(Event::Token { text, .. }) = stream.next().await {
         if sender.send(format!("data: {text}\n\n").into()).await.is_err() {
             return;
--- a/hawthornkeel/src/http/channel.rs
+++ b/hawthornkeel/src/http/channel.rs
@@ -1,4 +1,4 @@
-//! Bounded channel of body pieces between tasks of one thread.
+//! Bounded channel for body data between tasks on one thread.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -12,26 +12,26 @@
 
 use bytes::Bytes;
 
-/// Error of sending into a channel whose receiver is gone: the caller left.
+/// Error of sending to a channel whose receiver was dropped: the caller has disconnected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Closed;
 
 impl fmt::Display for Closed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the receiver is gone")
+        f.write_str("the receiver was dropped")
     }
 }
 
 impl Error for Closed {}
 
-/// What a receiver sees next.
+/// Next item that a receiver gets.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BodyEvent {
-    /// Bytes of the body.
+    /// Body data.
     Data(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
-    /// The sender was dropped before the body was whole.
+    /// The sender was dropped before the body was complete.
     Aborted,
 }
 
@@ -40,8 +40,8 @@
     queue: VecDeque<Bytes>,
     capacity: usize,
     finished: bool,
-    sender_gone: bool,
-    receiver_gone: bool,
+    sender_dropped: bool,
+    receiver_dropped: bool,
     sender: Option<Waker>,
     receiver: Option<Waker>,
 }
@@ -60,15 +60,15 @@
     }
 }
 
-/// Creates a channel that holds up to `capacity` pieces.
+/// Creates a channel with room for `capacity` items.
 pub fn bounded(capacity: usize) -> (Sender, Receiver) {
     let shared = Rc::new(RefCell::new(Shared { capacity: capacity.max(1), ..Shared::default() }));
     (Sender { shared: shared.clone() }, Receiver { shared })
 }
 
-/// Sending end of a body.
+/// Sending half of a body channel.
 ///
-/// Dropping it without [`Sender::finish`] tells the receiver that the body is broken.
+/// Dropping it without [`Sender::finish`] aborts the body.
 pub struct Sender {
     shared: Rc<RefCell<Shared>>,
 }
@@ -77,13 +77,13 @@
     /// Sends `data`, waiting while the channel is full.
     ///
     /// # Errors
-    /// Fails once the receiver is gone.
+    /// Fails once the receiver was dropped.
     pub async fn send(&self, data: Bytes) -> Result<(), Closed> {
         let mut data = Some(data);
         poll_fn(|cx| self.poll_send(&mut data, cx)).await
     }
 
-    /// Marks the body as whole.
+    /// Marks the body as complete.
     pub fn finish(self) {
         let mut shared = self.shared.borrow_mut();
         shared.finished = true;
@@ -96,7 +96,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Result<(), Closed>> {
         let mut shared = self.shared.borrow_mut();
-        if shared.receiver_gone {
+        if shared.receiver_dropped {
             return Poll::Ready(Err(Closed));
         }
         if shared.queue.len() >= shared.capacity {
@@ -114,23 +114,23 @@
 impl Drop for Sender {
     fn drop(&mut self) {
         let mut shared = self.shared.borrow_mut();
-        shared.sender_gone = true;
+        shared.sender_dropped = true;
         shared.wake_receiver();
     }
 }
 
-/// Receiving end of a body.
+/// Receiving half of a body channel.
 pub struct Receiver {
     shared: Rc<RefCell<Shared>>,
 }
 
 impl Receiver {
-    /// Returns the next piece, waiting for it where needed.
+    /// Waits for the next item.
     pub async fn next(&mut self) -> BodyEvent {
         poll_fn(|cx| self.poll_next(cx)).await
     }
 
-    /// Returns the next piece that waits already, if any.
+    /// Returns the next queued data without waiting, if any.
     pub fn try_next(&mut self) -> Option<Bytes> {
         let mut shared = self.shared.borrow_mut();
         let data = shared.queue.pop_front()?;
@@ -147,7 +147,7 @@
         if shared.finished {
             return Poll::Ready(BodyEvent::End);
         }
-        if shared.sender_gone {
+        if shared.sender_dropped {
             return Poll::Ready(BodyEvent::Aborted);
         }
         shared.receiver = Some(cx.waker().clone());
@@ -158,7 +158,7 @@
 impl Drop for Receiver {
     fn drop(&mut self) {
         let mut shared = self.shared.borrow_mut();
-        shared.receiver_gone = true;
+        shared.receiver_dropped = true;
         shared.queue.clear();
         shared.wake_sender();
     }
--- a/hawthornkeel/src/http/connection.rs
+++ b/hawthornkeel/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: requests in, answers out, one after the other.
+//! Connection of one caller: requests are served one after the other.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -32,81 +32,84 @@
 use crate::http::signal::Signal;
 use crate::http::writer::Writer;
 
-/// Bytes that are read and dropped after a refusal, so that the caller gets to read it.
-const MAX_DISCARDED: usize = 256 * 1024;
+/// Bytes read and discarded after an error response: closing with unread data would reset the
+/// connection before the caller has read the response.
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
-/// Time that is spent on reading and dropping them.
-const DISCARD_TIME: Duration = Duration::from_secs(1);
+/// Maximum time for reading and discarding them.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time to come back after the bodies held for all callers reached their bound.
-const HELD_RETRY: Duration = Duration::from_secs(1);
+/// `Retry-After` when the limit on buffered request bodies is reached.
+const BUFFER_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time that an idle connection which is to end waits for a request that may be on its way.
-const LAST_LOOK: Duration = Duration::from_millis(500);
+/// Time that an idle connection stays open before closing, for a request that may be in flight.
+const CLOSE_GRACE: Duration = Duration::from_millis(500);
 
-/// What becomes of a connection after an answer.
+/// State of a connection after a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Next {
-    Keep,
+enum Persistence {
+    KeepAlive,
     Close,
 }
 
-/// Refusal that ends the connection, or nothing to say.
-enum Refused {
-    Silently,
-    With(Problem),
+/// Why a request was rejected, which closes the connection.
+enum Rejection {
+    /// The caller is gone or the connection failed, so no response is sent.
+    Disconnected,
+    /// The problem is sent as the response.
+    Problem(Problem),
 }
 
-/// Counts a body's bytes among those held until it is dropped.
-struct Held<'a> {
+/// Accounts a body's bytes as buffered until dropped.
+struct BufferedBytes<'a> {
     total: &'a Cell<usize>,
     bytes: usize,
 }
 
-impl Drop for Held<'_> {
+impl Drop for BufferedBytes<'_> {
     fn drop(&mut self) {
         self.total.set(self.total.get().saturating_sub(self.bytes));
     }
 }
 
-/// Sets `left` on being dropped before the answer was sent whole, also where an abort drops it.
-struct Watching {
-    left: Signal,
-    done: bool,
+/// Sets `disconnected` if dropped before the response was sent completely, as on an abort.
+struct DisconnectGuard {
+    disconnected: Signal,
+    sent: bool,
 }
 
-impl Drop for Watching {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
-        if !self.done {
-            self.left.set();
+        if !self.sent {
+            self.disconnected.set();
         }
     }
 }
 
-/// Serves one connection to its end.
-pub(crate) async fn run<H: Handler>(stream: TcpStream, peer: SocketAddr, shared: &Shared<H>) {
-    // Answers are written whole or by the token: waiting for more would only add delay.
+/// Serves a connection until it ends.
+pub(crate) async fn serve<H: Handler>(stream: TcpStream, peer: SocketAddr, shared: &Shared<H>) {
+    // Responses are written as a whole or per token, so Nagle's algorithm would only add latency.
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
     let mut reader = Reader::new(read);
     let mut writer = Writer::new(write, shared.limits.write_timeout);
-    // A new connection is for a request: one that brings none gets no longer than one that does.
+    // A new connection must begin its first request within the time allowed for a whole one.
     let mut idle = shared.limits.receive_timeout.min(shared.limits.idle_timeout);
-    while wait_for_bytes(&mut reader, idle, shared).await {
+    while wait_for_request(&mut reader, idle, shared).await {
         idle = shared.limits.idle_timeout;
-        match exchange(&mut reader, &mut writer, peer, shared).await {
-            Next::Keep => {}
-            Next::Close => break,
+        match serve_request(&mut reader, &mut writer, peer, shared).await {
+            Persistence::KeepAlive => {}
+            Persistence::Close => break,
         }
     }
     writer.shutdown().await;
 }
 
-/// Waits for the first byte of a request and tells whether one came.
-async fn wait_for_bytes<H>(reader: &mut Reader, idle: Duration, shared: &Shared<H>) -> bool {
+/// Waits for the first byte of a request and tells whether it arrived.
+async fn wait_for_request<H>(reader: &mut Reader, idle: Duration, shared: &Shared<H>) -> bool {
     let mut stripped = false;
     loop {
-        // One line end before a request is allowed and means nothing.
+        // One empty line before a request is ignored (RFC 9112, section 2.2).
         let buffer = reader.buffer();
         if !stripped && buffer.starts_with(b"\r\n") {
             let _ = buffer.split_to(2);
@@ -121,9 +124,9 @@
                     return false;
                 }
             }
-            () = must_end(shared) => {
-                // A request that is on its way is still answered.
-                let filled = timeout(LAST_LOOK, reader.fill(0)).await;
+            () = wait_close(shared) => {
+                // A request that is already in flight is still served.
+                let filled = timeout(CLOSE_GRACE, reader.fill(0)).await;
                 if !matches!(filled, Ok(Ok(1..))) {
                     return false;
                 }
@@ -132,127 +135,133 @@
     }
 }
 
-/// Waits until idle connections are to end: for a stop, or to make room for others.
-async fn must_end<H>(shared: &Shared<H>) {
+/// Waits until idle connections are to close: on a stop, or to make room for others.
+async fn wait_close<H>(shared: &Shared<H>) {
     monoio::select! {
         () = shared.shutdown.stop.wait() => {}
-        () = shared.wait_crowded() => {}
+        () = shared.wait_idle_close() => {}
     }
 }
 
-/// Reads one request, has it answered and writes the answer.
-async fn exchange<H: Handler>(
+/// Reads one request, passes it to the handler and writes the response.
+async fn serve_request<H: Handler>(
     reader: &mut Reader,
     writer: &mut Writer,
     peer: SocketAddr,
     shared: &Shared<H>,
-) -> Next {
-    let received = timeout(shared.limits.receive_timeout, receive(reader, writer, shared)).await;
-    let refused = match received {
-        Ok(Ok((parts, body, held))) => {
-            let next = answer(reader, writer, peer, shared, parts, body).await;
-            drop(held);
+) -> Persistence {
+    let received =
+        timeout(shared.limits.receive_timeout, read_request(reader, writer, shared)).await;
+    let rejection = match received {
+        Ok(Ok((parts, body, buffered))) => {
+            let next = respond(reader, writer, peer, shared, parts, body).await;
+            drop(buffered);
             return next;
         }
-        Ok(Err(refused)) => refused,
-        Err(_) => Refused::With(Problem::not_run(Code::ReceiveTimeout)),
+        Ok(Err(rejection)) => rejection,
+        Err(_) => Rejection::Problem(Problem::not_run(Code::ReceiveTimeout)),
     };
-    if let Refused::With(problem) = refused {
+    if let Rejection::Problem(problem) = rejection {
         tracing::info!(event = "request-refused", code = %problem.code, detail = %problem.detail, %peer);
-        refuse(reader, writer, problem).await;
+        reject(reader, writer, problem).await;
     }
-    Next::Close
+    Persistence::Close
 }
 
-/// Reads one request within all bounds.
-async fn receive<'a, H: Handler>(
+/// Reads one request within all limits.
+async fn read_request<'a, H: Handler>(
     reader: &mut Reader,
     writer: &mut Writer,
     shared: &'a Shared<H>,
-) -> Result<(Parts, Bytes, Held<'a>), Refused> {
+) -> Result<(Parts, Bytes, BufferedBytes<'a>), Rejection> {
     let limits = &shared.limits;
-    let parts = framing::read_request_head(reader, limits.max_head).await.map_err(refusal)?;
-    let length = framing::body_length(parts.version, &parts.headers).map_err(refusal)?;
-    check_host(&parts).map_err(refusal)?;
+    let parts = framing::read_request_head(reader, limits.max_head).await.map_err(rejection)?;
+    let length = framing::body_length(parts.version, &parts.headers).map_err(rejection)?;
+    check_host(&parts).map_err(rejection)?;
     let max = shared.handler.max_body(&head_of(&parts)).unwrap_or(limits.max_body);
-    let mut body = BodyReader::new(length, max).map_err(refusal)?;
-    let held = hold(shared, length, max)?;
+    let mut body = BodyReader::new(length, max).map_err(rejection)?;
+    let buffered = account_body(shared, length, max)?;
     if !body.is_done() && expects_continue(&parts) {
-        let go_on = Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n");
-        writer.write_all(go_on).await.map_err(|_| Refused::Silently)?;
+        let interim = Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n");
+        writer.write_all(interim).await.map_err(|_| Rejection::Disconnected)?;
     }
-    let body = body.read_to_end(reader).await.map_err(refusal)?;
-    Ok((parts, body, held))
+    let body = body.read_to_end(reader).await.map_err(rejection)?;
+    Ok((parts, body, buffered))
 }
 
-/// Counts the body among the bytes held, or refuses where they are at their bound.
-fn hold<H>(shared: &Shared<H>, length: BodyLength, max: usize) -> Result<Held<'_>, Refused> {
+/// Accounts for the body as buffered, or rejects it if the limit is reached.
+fn account_body<H>(
+    shared: &Shared<H>,
+    length: BodyLength,
+    max: usize,
+) -> Result<BufferedBytes<'_>, Rejection> {
     let bytes = match length {
         BodyLength::Absent => 0,
         BodyLength::Fixed(length) => length,
         BodyLength::Chunked => max,
     };
-    let total = shared.held.get().saturating_add(bytes);
+    let total = shared.buffered.get().saturating_add(bytes);
     if total > shared.limits.max_buffered {
-        let problem = Problem::not_run(Code::Overloaded).with_retry_after(HELD_RETRY);
-        return Err(Refused::With(problem));
+        let problem = Problem::not_run(Code::Overloaded).with_retry_after(BUFFER_RETRY_AFTER);
+        return Err(Rejection::Problem(problem));
     }
-    shared.held.set(total);
-    Ok(Held { total: &shared.held, bytes })
+    shared.buffered.set(total);
+    Ok(BufferedBytes { total: &shared.buffered, bytes })
 }
 
-/// Has a request answered, writes the answer and says what becomes of the connection.
-async fn answer<H: Handler>(
+/// Passes a request to the handler, writes the response and returns the connection's state.
+async fn respond<H: Handler>(
     reader: &mut Reader,
     writer: &mut Writer,
     peer: SocketAddr,
     shared: &Shared<H>,
     parts: Parts,
     body: Bytes,
-) -> Next {
-    let left = Signal::new();
-    let mut watching = Watching { left: left.clone(), done: false };
-    let wants_close = asks_close(&parts);
+) -> Persistence {
+    let disconnected = Signal::new();
+    let mut guard = DisconnectGuard { disconnected: disconnected.clone(), sent: false };
+    let wants_close = requests_close(&parts);
     let chunked = parts.version == Version::HTTP_11;
     let head_only = parts.method == Method::HEAD;
-    let request = Request { head: head_of(&parts), body, peer, disconnected: left.clone() };
-    let response = response_sender::watch(reader, &left, shared.handler.handle(request)).await;
-    if left.is_set() {
-        return Next::Close;
+    let request = Request { head: head_of(&parts), body, peer, disconnected: disconnected.clone() };
+    let response =
+        response_sender::watch(reader, &disconnected, shared.handler.handle(request)).await;
+    if disconnected.is_set() {
+        return Persistence::Close;
     }
-    let ending = shared.shutdown.drain.is_set() || shared.shutdown.stop.is_set();
-    let close = wants_close || ending || shared.is_full();
+    let stopping = shared.shutdown.drain.is_set() || shared.shutdown.stop.is_set();
+    let close = wants_close || stopping || shared.is_full();
     let sent = response_sender::send(
         reader,
         writer,
         response,
-        &left,
+        &disconnected,
         SendOptions { close, chunked, head_only },
     )
     .await;
-    watching.done = sent.is_ok();
+    guard.sent = sent.is_ok();
     match sent {
-        Ok(()) if !close => Next::Keep,
-        _ => Next::Close,
+        Ok(()) if !close => Persistence::KeepAlive,
+        _ => Persistence::Close,
     }
 }
 
-/// Writes a refusal and closes, reading what is still on its way so that the refusal arrives.
-async fn refuse(reader: &mut Reader, writer: &mut Writer, problem: Problem) {
+/// Writes an error response and closes, discarding further input so that the response arrives.
+async fn reject(reader: &mut Reader, writer: &mut Writer, problem: Problem) {
     let response = problem.into_response();
-    let how = SendOptions { close: true, chunked: true, head_only: false };
-    if response_sender::send(reader, writer, response, &Signal::new(), how).await.is_err() {
+    let options = SendOptions { close: true, chunked: true, head_only: false };
+    if response_sender::send(reader, writer, response, &Signal::new(), options).await.is_err() {
         return;
     }
     writer.shutdown().await;
-    let _ = timeout(DISCARD_TIME, discard(reader)).await;
+    let _ = timeout(DISCARD_TIMEOUT, discard(reader)).await;
 }
 
 async fn discard(reader: &mut Reader) {
     let mut total = reader.buffered();
     reader.buffer().clear();
-    while total < MAX_DISCARDED {
-        match reader.fill(MAX_DISCARDED).await {
+    while total < MAX_DISCARDED_BYTES {
+        match reader.fill(MAX_DISCARDED_BYTES).await {
             Ok(count @ 1..) => total = total.saturating_add(count),
             _ => return,
         }
@@ -260,23 +269,25 @@
     }
 }
 
-fn refusal(error: ReadError) -> Refused {
+fn rejection(error: ReadError) -> Rejection {
     let code = match error {
-        ReadError::Closed | ReadError::Truncated | ReadError::Io(_) => return Refused::Silently,
+        ReadError::Closed | ReadError::Truncated | ReadError::Io(_) => {
+            return Rejection::Disconnected;
+        }
         ReadError::HeadTooLarge => Code::HeadTooLarge,
         ReadError::BodyTooLarge => Code::BodyTooLarge,
         ReadError::Malformed(what) => {
-            return Refused::With(Problem::not_run(Code::BadRequest).with_detail(what));
+            return Rejection::Problem(Problem::not_run(Code::BadRequest).with_detail(what));
         }
     };
-    Refused::With(Problem::not_run(code))
+    Rejection::Problem(Problem::not_run(code))
 }
 
 fn check_host(parts: &Parts) -> Result<(), ReadError> {
     let count = parts.headers.get_all(HOST).iter().count();
     match (parts.version, count) {
         (_, 1) | (Version::HTTP_10, 0) => Ok(()),
-        _ => Err(ReadError::Malformed("exactly one Host is required")),
+        _ => Err(ReadError::Malformed("exactly one Host field is required")),
     }
 }
 
@@ -293,15 +304,15 @@
     parts.headers.get(EXPECT).is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"100-continue"))
 }
 
-fn asks_close(parts: &Parts) -> bool {
+fn requests_close(parts: &Parts) -> bool {
     match parts.version {
         Version::HTTP_11 => has_connection_option(&parts.headers, "close"),
         _ => true,
     }
 }
 
-/// Tells whether the `Connection` field lists `token`.
-pub(crate) fn has_connection_option(headers: &HeaderMap, token: &str) -> bool {
+/// Tells whether the `Connection` field lists `option`.
+pub(crate) fn has_connection_option(headers: &HeaderMap, option: &str) -> bool {
     let values = headers.get_all(CONNECTION).iter().filter_map(|v| v.to_str().ok());
-    values.flat_map(|v| v.split(',')).any(|t| t.trim().eq_ignore_ascii_case(token))
+    values.flat_map(|v| v.split(',')).any(|t| t.trim().eq_ignore_ascii_case(option))
 }
--- a/hawthornkeel/src/http/framing.rs
+++ b/hawthornkeel/src/http/framing.rs
@@ -1,7 +1,7 @@
-//! Bounded reading of heads and bodies, strict about what frames them.
+//! Bounded reading of message heads and bodies, with strict checks of their framing.
 //!
-//! The library decodes; the checks here close what it lets through: conflicting lengths, lone line
-//! ends, empty chunk sizes, and heads and bodies without a bound.
+//! The HTTP library decodes messages but accepts conflicting lengths, bare CR and LF, empty chunk
+//! sizes, and heads and bodies of any size; the checks here reject these.
 
 use std::error::Error;
 use std::fmt;
@@ -24,24 +24,24 @@
 
 use crate::http::reader::Reader;
 
-/// End of a head.
+/// Terminator of a message head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Bytes that frame one chunk, at most: sixteen digits and two line ends.
-const CHUNK_OVERHEAD: usize = 20;
+/// Maximum framing overhead of a chunk, in bytes: sixteen hex digits and two CRLF.
+const CHUNK_OVERHEAD_BYTES: usize = 20;
 
-/// Why a message could not be read.
+/// Error of reading a message.
 #[derive(Debug)]
 pub enum ReadError {
-    /// The connection ended before the first byte.
+    /// The connection was closed before the first byte.
     Closed,
-    /// The connection ended inside the message.
+    /// The connection was closed within the message.
     Truncated,
-    /// The head is longer than the bound.
+    /// The head exceeds its limit.
     HeadTooLarge,
-    /// The body is longer than the bound.
+    /// The body exceeds its limit.
     BodyTooLarge,
-    /// The message breaks the protocol.
+    /// The message violates the protocol.
     Malformed(&'static str),
     /// The connection failed.
     Io(io::Error),
@@ -71,18 +71,18 @@
 /// How the body of a message is framed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BodyLength {
-    /// There is neither a length nor chunks.
+    /// No `Content-Length` and not chunked.
     Absent,
-    /// Length in bytes.
+    /// `Content-Length` in bytes.
     Fixed(usize),
-    /// In chunks.
+    /// Chunked transfer coding.
     Chunked,
 }
 
-/// Reads the head of a request of `max` bytes at most.
+/// Reads a request head of at most `max` bytes.
 ///
 /// # Errors
-/// Fails where the connection ends, the head is too large or breaks the protocol.
+/// Fails where the connection is closed, or the head is too large or malformed.
 pub async fn read_request_head(reader: &mut Reader, max: usize) -> Result<Parts, ReadError> {
     let mut head = read_head(reader, max).await?;
     match RequestHeadDecoder.decode(&mut head) {
@@ -92,10 +92,10 @@
     }
 }
 
-/// Reads the head of a response of `max` bytes at most.
+/// Reads a response head of at most `max` bytes.
 ///
 /// # Errors
-/// Fails where the connection ends, the head is too large or breaks the protocol.
+/// Fails where the connection is closed, or the head is too large or malformed.
 pub async fn read_response_head(
     reader: &mut Reader,
     max: usize,
@@ -113,7 +113,7 @@
     let mut scanned = 0;
     loop {
         let buffer = reader.buffer();
-        if let Some(end) = find_end(buffer, scanned) {
+        if let Some(end) = find_head_end(buffer, scanned) {
             if end > max {
                 return Err(ReadError::HeadTooLarge);
             }
@@ -124,7 +124,7 @@
         if buffer.len() > max {
             return Err(ReadError::HeadTooLarge);
         }
-        // Starts again where an end might have begun, so that slow senders cost little.
+        // Resumes the scan where a terminator may have started, so that slow senders don't cause rescans.
         scanned = buffer.len().saturating_sub(HEAD_END.len() - 1);
         let started = !buffer.is_empty();
         if reader.fill(0).await? == 0 {
@@ -133,18 +133,18 @@
     }
 }
 
-fn find_end(buffer: &[u8], from: usize) -> Option<usize> {
+fn find_head_end(buffer: &[u8], from: usize) -> Option<usize> {
     let rest = buffer.get(from..)?;
     let start = rest.windows(HEAD_END.len()).position(|w| w == HEAD_END)?;
     Some(from + start + HEAD_END.len())
 }
 
-/// Refuses lone carriage returns and line feeds, which others may take for line ends.
+/// Rejects bare CR and LF, which other parsers may treat as line ends.
 fn check_lines(head: &[u8]) -> Result<(), ReadError> {
     let mut previous = 0;
     for &byte in head {
         if (byte == b'\n') != (previous == b'\r') {
-            return Err(ReadError::Malformed("lone line end in the head"));
+            return Err(ReadError::Malformed("bare CR or LF in the head"));
         }
         previous = byte;
     }
@@ -153,12 +153,12 @@
 
 fn head_error(error: &DecodeError) -> ReadError {
     match error {
-        // The library's bound on the number of fields.
+        // The HTTP library's limit on the number of fields.
         DecodeError::Parse(error) if error.to_string() == "too many headers" => {
             ReadError::HeadTooLarge
         }
         DecodeError::Parse(_) => ReadError::Malformed("head can't be parsed"),
-        DecodeError::Uri(_) => ReadError::Malformed("target can't be parsed"),
+        DecodeError::Uri(_) => ReadError::Malformed("request target can't be parsed"),
         _ => ReadError::Malformed("head can't be decoded"),
     }
 }
@@ -166,13 +166,15 @@
 /// Returns how the body of a message with `headers` is framed.
 ///
 /// # Errors
-/// Fails where the fields conflict, are repeated or can't be understood in one way only.
+/// Fails where the fields conflict, are repeated or are ambiguous.
 pub fn body_length(version: Version, headers: &HeaderMap) -> Result<BodyLength, ReadError> {
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     match (codings.next(), lengths.next()) {
         (None, None) => Ok(BodyLength::Absent),
-        (Some(_), Some(_)) => Err(ReadError::Malformed("both a length and a transfer coding")),
+        (Some(_), Some(_)) => {
+            Err(ReadError::Malformed("both Content-Length and Transfer-Encoding are present"))
+        }
         (Some(coding), None) => {
             let chunked = coding.as_bytes().eq_ignore_ascii_case(b"chunked");
             if !chunked || codings.next().is_some() || version != Version::HTTP_11 {
@@ -182,7 +184,7 @@
         }
         (None, Some(length)) => {
             if lengths.next().is_some() {
-                return Err(ReadError::Malformed("more than one length"));
+                return Err(ReadError::Malformed("more than one Content-Length"));
             }
             parse_length(length.as_bytes()).map(BodyLength::Fixed)
         }
@@ -192,29 +194,29 @@
 fn parse_length(text: &[u8]) -> Result<usize, ReadError> {
     let digits = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
     let length = str::from_utf8(text).ok().filter(|_| digits).and_then(|t| t.parse().ok());
-    length.ok_or(ReadError::Malformed("length can't be parsed"))
+    length.ok_or(ReadError::Malformed("Content-Length can't be parsed"))
 }
 
-/// Body that is being read.
+/// Reader of a message body.
 pub struct BodyReader {
     state: State,
     max: usize,
-    taken: usize,
+    received: usize,
 }
 
 enum State {
-    /// Bytes left of a body with a length.
+    /// Remaining bytes of a body with a `Content-Length`.
     Fixed(usize),
-    /// Body in chunks, with whether a chunk's data is being waited for.
+    /// Chunked body; the flag tells whether the decoder is within a chunk.
     Chunked(ChunkedBodyDecoder, bool),
     Done,
 }
 
 impl BodyReader {
-    /// Creates a reader of a body of `max` bytes at most.
+    /// Creates a reader of a body of at most `max` bytes.
     ///
     /// # Errors
-    /// Fails where the declared length is over `max`, before a byte of it is read.
+    /// Fails where the declared length exceeds `max`, before any of the body is read.
     pub fn new(length: BodyLength, max: usize) -> Result<Self, ReadError> {
         let state = match length {
             BodyLength::Absent | BodyLength::Fixed(0) => State::Done,
@@ -222,28 +224,28 @@
             BodyLength::Fixed(length) => State::Fixed(length),
             BodyLength::Chunked => State::Chunked(ChunkedBodyDecoder::default(), false),
         };
-        Ok(Self { state, max, taken: 0 })
+        Ok(Self { state, max, received: 0 })
     }
 
-    /// Tells whether the whole body has been read.
+    /// Tells whether the body has been read completely.
     pub fn is_done(&self) -> bool {
         matches!(self.state, State::Done)
     }
 
-    /// Returns the next piece of the body, `None` once it is whole.
+    /// Returns the next data of the body, or `None` at its end.
     ///
     /// # Errors
-    /// Fails where the body is too large, breaks the protocol or ends early.
+    /// Fails where the body is too large, malformed or truncated.
     pub async fn next(&mut self, reader: &mut Reader) -> Result<Option<Bytes>, ReadError> {
         loop {
-            if let Some(piece) = self.take_buffered(reader)? {
-                return Ok(Some(piece));
+            if let Some(data) = self.take_buffered(reader)? {
+                return Ok(Some(data));
             }
             if self.is_done() {
                 return Ok(None);
             }
             let wanted = match self.state {
-                State::Fixed(left) => left,
+                State::Fixed(remaining) => remaining,
                 _ => 0,
             };
             if reader.fill(wanted).await? == 0 {
@@ -252,7 +254,7 @@
         }
     }
 
-    /// Reads the rest of the body and returns it whole.
+    /// Reads the body to its end and returns it.
     ///
     /// # Errors
     /// Fails as [`BodyReader::next`] does.
@@ -261,17 +263,17 @@
         if self.is_done() {
             return Ok(first);
         }
-        let mut whole = BytesMut::from(first.as_ref());
-        while let Some(piece) = self.next(reader).await? {
-            whole.extend_from_slice(&piece);
+        let mut body = BytesMut::from(first.as_ref());
+        while let Some(data) = self.next(reader).await? {
+            body.extend_from_slice(&data);
         }
-        Ok(whole.freeze())
+        Ok(body.freeze())
     }
 
-    /// Returns the next piece of what was read already, if any.
+    /// Returns the next data that is already buffered, if any.
     ///
     /// # Errors
-    /// Fails where the body is too large or breaks the protocol.
+    /// Fails where the body is too large or malformed.
     pub fn take_buffered(&mut self, reader: &mut Reader) -> Result<Option<Bytes>, ReadError> {
         let buffer = reader.buffer();
         if buffer.is_empty() {
@@ -279,30 +281,30 @@
         }
         match &mut self.state {
             State::Done => Ok(None),
-            State::Fixed(left) => {
-                let piece = buffer.split_to(buffer.len().min(*left)).freeze();
-                *left -= piece.len();
-                if *left == 0 {
+            State::Fixed(remaining) => {
+                let data = buffer.split_to(buffer.len().min(*remaining)).freeze();
+                *remaining -= data.len();
+                if *remaining == 0 {
                     self.state = State::Done;
                 }
-                Ok(Some(piece))
+                Ok(Some(data))
             }
             State::Chunked(..) => self.decode_chunk(buffer),
         }
     }
 
     fn decode_chunk(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, ReadError> {
-        let State::Chunked(decoder, inside) = &mut self.state else { return Ok(None) };
-        // The library takes a size without digits for the last chunk.
-        if !*inside && !buffer.first().is_some_and(u8::is_ascii_hexdigit) {
+        let State::Chunked(decoder, in_chunk) = &mut self.state else { return Ok(None) };
+        // The HTTP library treats a chunk size without digits as the last chunk.
+        if !*in_chunk && !buffer.first().is_some_and(u8::is_ascii_hexdigit) {
             return Err(ReadError::Malformed("chunk size has no digits"));
         }
         let before = buffer.len();
         match decoder.decode(buffer) {
             Ok(Decoded::Some(Some(data))) => {
-                *inside = false;
-                self.taken = self.taken.saturating_add(data.len());
-                if self.taken > self.max {
+                *in_chunk = false;
+                self.received = self.received.saturating_add(data.len());
+                if self.received > self.max {
                     return Err(ReadError::BodyTooLarge);
                 }
                 Ok(Some(data))
@@ -312,9 +314,10 @@
                 Ok(None)
             }
             Ok(_) => {
-                *inside |= buffer.len() != before;
-                // What waits in the buffer counts: one huge chunk must not grow it.
-                if self.taken.saturating_add(buffer.len()) > self.max.saturating_add(CHUNK_OVERHEAD)
+                *in_chunk |= buffer.len() != before;
+                // Counts buffered bytes too: a huge chunk must not grow the buffer without bound.
+                if self.received.saturating_add(buffer.len())
+                    > self.max.saturating_add(CHUNK_OVERHEAD_BYTES)
                 {
                     return Err(ReadError::BodyTooLarge);
                 }
--- a/hawthornkeel/src/http/message.rs
+++ b/hawthornkeel/src/http/message.rs
@@ -1,4 +1,4 @@
-//! Requests and responses as handlers see them.
+//! Requests and responses that handlers work with.
 
 use std::net::SocketAddr;
 
@@ -13,43 +13,43 @@
 use crate::http::channel::Receiver;
 use crate::http::signal::Signal;
 
-/// Head of a request.
+/// Request head.
 #[derive(Clone, Debug)]
 pub struct Head {
     /// Method.
     pub method: Method,
     /// Path without the query.
     pub path: String,
-    /// Query without the question mark, empty where there is none.
+    /// Query without the question mark; empty if there is none.
     pub query: String,
     /// Header fields.
     pub headers: HeaderMap,
 }
 
 impl Head {
-    /// Returns the field called `name` where it is present and plain text.
+    /// Returns the field `name` if it is present and visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|v| v.to_str().ok())
     }
 }
 
-/// Whole request.
+/// Request with its complete body.
 pub struct Request {
     /// Head.
     pub head: Head,
-    /// Body, whole and within the bound.
+    /// Complete body, within the size limit.
     pub body: Bytes,
-    /// Address of the other end of the connection.
+    /// Remote address of the connection.
     pub peer: SocketAddr,
-    /// Set once the caller has left: work for it may stop.
+    /// Set once the caller has disconnected, so that work for it can stop.
     pub disconnected: Signal,
 }
 
 /// Body of a response.
 pub enum Body {
-    /// Whole body, sent with its length.
+    /// Complete body, sent with a `Content-Length`.
     Full(Bytes),
-    /// Body in pieces, sent chunked as each arrives; a broken one ends without its last chunk.
+    /// Streamed body, sent chunked as data arrives; an aborted one ends without the last chunk.
     Stream(Receiver),
 }
 
@@ -57,26 +57,26 @@
 pub struct Response {
     /// Status.
     pub status: StatusCode,
-    /// Header fields; those that frame the body are added on sending.
+    /// Header fields; the framing fields are added when the response is sent.
     pub headers: HeaderMap,
     /// Body.
     pub body: Body,
 }
 
 impl Response {
-    /// Creates a response with a whole body of the type `content_type`.
+    /// Creates a response with a complete body of type `content_type`.
     pub fn full(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Self {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
         Self { status, headers, body: Body::Full(body.into()) }
     }
 
-    /// Creates a response of status 200 with a JSON body.
+    /// Creates a response with status 200 and a JSON body.
     pub fn json(body: impl Into<Bytes>) -> Self {
         Self::full(StatusCode::OK, "application/json", body)
     }
 
-    /// Creates a response of status 200 that streams server-sent events from `receiver`.
+    /// Creates a response with status 200 that streams server-sent events from `receiver`.
     pub fn events(receiver: Receiver) -> Self {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
@@ -84,7 +84,7 @@
         Self { status: StatusCode::OK, headers, body: Body::Stream(receiver) }
     }
 
-    /// Returns the response with a field added; a `value` that no header may hold is left out.
+    /// Adds a header field; an invalid `value` is ignored.
     pub fn with_header(mut self, name: &'static str, value: &str) -> Self {
         if let Ok(value) = HeaderValue::from_str(value) {
             self.headers.insert(HeaderName::from_static(name), value);
--- a/hawthornkeel/src/http/mod.rs
+++ b/hawthornkeel/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers and operators: bounded reading, answers and refusals.
+//! HTTP/1 server for callers and operators, with bounded reading and problem responses.
 
 pub mod channel;
 pub(crate) mod connection;
--- a/hawthornkeel/src/http/problem.rs
+++ b/hawthornkeel/src/http/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as `application/problem+json` (RFC 9457) with stable codes.
+//! Error responses as `application/problem+json` (RFC 9457) with stable codes.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,34 +9,34 @@
 
 use crate::http::message::Response;
 
-/// Content type of a refusal.
+/// Content type of a problem response.
 const CONTENT_TYPE: &str = "application/problem+json";
 
 /// Defines the codes with their texts, statuses and titles.
 macro_rules! codes {
     ($($(#[$doc:meta])* $name:ident, $text:literal, $status:ident, $title:literal;)*) => {
-        /// Stable code of a refusal.
+        /// Stable code of a problem.
         #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
         pub enum Code {
             $($(#[$doc])* $name,)*
         }
 
         impl Code {
-            /// Returns the code as it stands in refusals, logs and metrics.
+            /// Returns the code as used in responses, logs and metrics.
             pub const fn as_str(self) -> &'static str {
                 match self {
                     $(Self::$name => $text,)*
                 }
             }
 
-            /// Returns the status that the refusal is sent with.
+            /// Returns the HTTP status of the response.
             pub const fn status(self) -> StatusCode {
                 match self {
                     $(Self::$name => StatusCode::$status,)*
                 }
             }
 
-            /// Returns a short description for people.
+            /// Returns a short human-readable summary.
             pub const fn title(self) -> &'static str {
                 match self {
                     $(Self::$name => $title,)*
@@ -47,53 +47,53 @@
 }
 
 codes! {
-    /// The request breaks the protocol or its body can't be read.
+    /// The request violates the protocol or its body can't be read.
     BadRequest, "bad-request", BAD_REQUEST, "The request is malformed.";
-    /// The head is longer than the bound.
+    /// The request head exceeds its limit.
     HeadTooLarge, "head-too-large", REQUEST_HEADER_FIELDS_TOO_LARGE, "The request head is too large.";
-    /// The body is longer than the bound.
+    /// The request body exceeds its limit.
     BodyTooLarge, "body-too-large", PAYLOAD_TOO_LARGE, "The request body is too large.";
-    /// The whole request did not arrive in time.
+    /// The request did not arrive completely in time.
     ReceiveTimeout, "receive-timeout", REQUEST_TIMEOUT, "The request did not arrive in time.";
-    /// The caller's key is missing or not known.
+    /// The caller's key is missing or unknown.
     Unauthorized, "unauthorized", UNAUTHORIZED, "The key is missing or not known.";
-    /// The caller may not do this.
+    /// The caller is not allowed to do this.
     Forbidden, "forbidden", FORBIDDEN, "The key does not allow this.";
     /// There is no such path, pipeline or result.
     NotFound, "not-found", NOT_FOUND, "There is no such resource.";
-    /// The path does not take this method.
+    /// The path does not support this method.
     MethodNotAllowed, "method-not-allowed", METHOD_NOT_ALLOWED, "The method is not allowed.";
-    /// The pipeline needs an idempotency key.
+    /// The pipeline requires an idempotency key.
     KeyRequired, "key-required", BAD_REQUEST, "An Idempotency-Key is required.";
-    /// The idempotency key was used with another body.
+    /// The idempotency key was used with another request body.
     KeyReused, "key-reused", UNPROCESSABLE_ENTITY, "The Idempotency-Key was used with another request.";
-    /// A request with this idempotency key is being worked on.
+    /// A request with this idempotency key is in progress.
     InProgress, "in-progress", CONFLICT, "A request with this Idempotency-Key is in progress.";
-    /// The operators' document or order is not valid.
+    /// The operators' document or order is invalid.
     Invalid, "invalid", UNPROCESSABLE_ENTITY, "The document or order is not valid.";
-    /// Another operator's change came first.
+    /// Another operator's change was applied first.
     Conflict, "conflict", CONFLICT, "Another change came first.";
-    /// The workspace has all the requests in progress that it may have.
+    /// The workspace has reached its limit of concurrent requests.
     WorkspaceLimit, "workspace-limit", TOO_MANY_REQUESTS, "The workspace is at its limit.";
-    /// The system has no room for the request now.
+    /// The system has no capacity for the request now.
     Overloaded, "overloaded", SERVICE_UNAVAILABLE, "The system is at its limit.";
     /// The deadline can't be met.
     DeadlineUnreachable, "deadline-unreachable", SERVICE_UNAVAILABLE, "The deadline can't be met.";
-    /// The deadline passed during the work.
+    /// The deadline passed while the request was processed.
     DeadlineExceeded, "deadline-exceeded", GATEWAY_TIMEOUT, "The deadline passed.";
-    /// No target of a stage can take the work now.
+    /// No target of a stage can accept the work now.
     NoTarget, "no-target", SERVICE_UNAVAILABLE, "No target can take the work now.";
-    /// A stage failed on all the targets tried.
+    /// A stage failed on every target that was tried.
     StageFailed, "stage-failed", BAD_GATEWAY, "A stage failed.";
-    /// A stage that may not be repeated was dispatched and its outcome is not known.
+    /// A non-idempotent stage was dispatched and its outcome is unknown.
     OutcomeUnknown, "outcome-unknown", BAD_GATEWAY, "The outcome is not known.";
-    /// No quorum can be reached to claim the request.
+    /// No quorum can be reached to claim the request's idempotency key.
     NoQuorum, "no-quorum", SERVICE_UNAVAILABLE, "No quorum can be reached.";
     /// The instance has no configuration yet or knows no leader.
     NotReady, "not-ready", SERVICE_UNAVAILABLE, "The instance is not ready.";
     /// The instance is stopping.
     Stopping, "stopping", SERVICE_UNAVAILABLE, "The instance is stopping.";
-    /// The system failed.
+    /// Internal error.
     Internal, "internal", INTERNAL_SERVER_ERROR, "The system failed.";
 }
 
@@ -103,16 +103,16 @@
     }
 }
 
-/// Refusal of a request.
+/// Problem that a request is answered with.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Problem {
     /// Stable code.
     pub code: Code,
     /// Whether the request ran.
     pub ran: RunStatus,
-    /// Particulars for people, without the caller's content.
+    /// Human-readable detail, without the caller's content.
     pub detail: String,
-    /// Time after which coming back makes sense, where it does; sent in whole seconds, rounded up.
+    /// Time after which a retry makes sense, if it does; sent in whole seconds, rounded up.
     pub retry_after: Option<Duration>,
 }
 
@@ -130,29 +130,29 @@
 }
 
 impl Problem {
-    /// Creates a refusal with `code`.
+    /// Creates a problem with `code`.
     pub fn new(code: Code, ran: RunStatus) -> Self {
         Self { code, ran, detail: String::new(), retry_after: None }
     }
 
-    /// Creates a refusal of a request that did not run and will not.
+    /// Creates a problem for a request that did not run and will not run.
     pub fn not_run(code: Code) -> Self {
         Self::new(code, RunStatus::NotRun)
     }
 
-    /// Returns the refusal with particulars.
+    /// Sets the detail.
     pub fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = detail.into();
         self
     }
 
-    /// Returns the refusal with a time after which coming back makes sense.
+    /// Sets the time after which a retry makes sense.
     pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// Returns the refusal as JSON.
+    /// Serialises the problem as JSON.
     pub fn to_json(&self) -> Vec<u8> {
         let document = Document {
             r#type: format!("urn:hawthornkeel:problem:{}", self.code),
@@ -166,7 +166,7 @@
         serde_json::to_vec(&document).unwrap_or_default()
     }
 
-    /// Returns the refusal as a response.
+    /// Converts the problem into a response.
     pub fn into_response(self) -> Response {
         let seconds = self.retry_after.map(whole_seconds);
         let response = Response::full(self.code.status(), CONTENT_TYPE, self.to_json());
@@ -183,7 +183,7 @@
     }
 }
 
-/// Returns `duration` in whole seconds, rounded up, one at least.
+/// Returns `duration` in whole seconds, rounded up, at least one.
 fn whole_seconds(duration: Duration) -> u64 {
     let seconds = duration.as_secs();
     let rest = u64::from(duration.subsec_nanos() > 0);
--- a/hawthornkeel/src/http/reader.rs
+++ b/hawthornkeel/src/http/reader.rs
@@ -1,4 +1,4 @@
-//! Reading side of a connection with its own bounded buffer.
+//! Reading half of a connection with a bounded buffer.
 
 use std::io;
 use std::mem;
@@ -8,16 +8,16 @@
 use monoio::io::OwnedReadHalf;
 use monoio::net::TcpStream;
 
-/// Bytes that one read asks for, at least.
-const READ_MIN: usize = 4 * 1024;
+/// Minimum size of a read, in bytes.
+const MIN_READ_BYTES: usize = 4 * 1024;
 
-/// Bytes that one read asks for, at most.
-const READ_MAX: usize = 64 * 1024;
+/// Maximum size of a read, in bytes.
+const MAX_READ_BYTES: usize = 64 * 1024;
 
-/// Reading side of a connection.
+/// Reading half of a connection.
 ///
-/// The buffer grows only by what [`Reader::fill`] reads, so callers bound it by asking for no more
-/// once it holds what they allow.
+/// The buffer grows only in [`Reader::fill`], so users bound it by not calling it any more once the
+/// buffer has reached their limit.
 pub struct Reader {
     half: OwnedReadHalf<TcpStream>,
     buffer: BytesMut,
@@ -30,25 +30,24 @@
         Self { half, buffer: BytesMut::new(), scratch: Vec::new() }
     }
 
-    /// Returns the bytes received and not yet used.
+    /// Returns the received bytes that are not consumed yet.
     pub fn buffer(&mut self) -> &mut BytesMut {
         &mut self.buffer
     }
 
-    /// Returns the number of bytes received and not yet used.
+    /// Returns the number of received bytes that are not consumed yet.
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Reads once, asking for about `wanted` bytes, and returns how many came; zero at the end.
+    /// Reads once, requesting about `wanted` bytes, and returns the number read; zero at the end.
     ///
-    /// Dropping the future loses no byte: the read goes into a buffer of its own, and epoll reads
-    /// only when polled.
+    /// Cancel-safe: it reads into a separate buffer, and the epoll driver reads only when polled.
     ///
     /// # Errors
-    /// Fails where the connection does.
+    /// Fails where the connection fails.
     pub async fn fill(&mut self, wanted: usize) -> io::Result<usize> {
-        let wanted = wanted.clamp(READ_MIN, READ_MAX);
+        let wanted = wanted.clamp(MIN_READ_BYTES, MAX_READ_BYTES);
         let mut scratch = mem::take(&mut self.scratch);
         scratch.clear();
         if scratch.capacity() < wanted {
@@ -57,8 +56,8 @@
         let (result, scratch) = self.half.read(scratch).await;
         let count = result?;
         self.buffer.extend_from_slice(scratch.get(..count).unwrap_or_default());
-        // A large scratch buffer isn't kept: thousands of connections may be idle.
-        if scratch.capacity() <= READ_MIN {
+        // Large scratch buffers are freed, as thousands of connections may be idle.
+        if scratch.capacity() <= MIN_READ_BYTES {
             self.scratch = scratch;
         }
         Ok(count)
--- a/hawthornkeel/src/http/response_sender.rs
+++ b/hawthornkeel/src/http/response_sender.rs
@@ -1,4 +1,4 @@
-//! Sending of answers, and watching for callers who leave meanwhile.
+//! Sending of responses, with detection of callers that disconnect meanwhile.
 
 use std::future::Future;
 use std::io;
@@ -17,28 +17,28 @@
 use crate::http::writer::Framing;
 use crate::http::writer::Writer;
 
-/// Bytes of later requests that are read while one is worked on, at most.
-const MAX_AHEAD: usize = 64 * 1024;
+/// Maximum number of bytes of pipelined requests that are read while a request is processed.
+const MAX_PIPELINED_BYTES: usize = 64 * 1024;
 
-/// Bytes from which no further piece is added to a write.
-const MAX_WRITE: usize = 16 * 1024;
+/// Size from which no further body data is added to a write, in bytes.
+const MAX_WRITE_BYTES: usize = 16 * 1024;
 
-/// Bytes that frame a chunk, about.
-const CHUNK_BYTES: usize = 16;
+/// Buffer capacity reserved for the framing of a chunk, in bytes.
+const CHUNK_FRAMING_BYTES: usize = 16;
 
-/// Runs `work` to its end and sets `left` where the caller closes the connection before.
+/// Runs `work` to completion; sets `disconnected` if the caller closes the connection before.
 pub(crate) async fn watch<T>(
     reader: &mut Reader,
-    left: &Signal,
+    disconnected: &Signal,
     work: impl Future<Output = T>,
 ) -> T {
     let mut work = pin!(work);
-    while reader.buffered() < MAX_AHEAD {
+    while reader.buffered() < MAX_PIPELINED_BYTES {
         monoio::select! {
-            done = &mut work => return done,
+            output = &mut work => return output,
             filled = reader.fill(0) => {
                 if !matches!(filled, Ok(1..)) {
-                    left.set();
+                    disconnected.set();
                     break;
                 }
             }
@@ -47,23 +47,24 @@
     work.await
 }
 
-/// How an answer is sent.
+/// Options of sending a response.
 #[derive(Clone, Copy)]
 pub(crate) struct SendOptions {
-    /// Whether the connection is closed after it.
+    /// Whether the connection is closed afterwards.
     pub(crate) close: bool,
-    /// Whether the caller understands chunks.
+    /// Whether the caller supports the chunked transfer coding.
     pub(crate) chunked: bool,
-    /// Whether only the head is sent.
+    /// Whether only the head is sent, for HEAD requests.
     pub(crate) head_only: bool,
 }
 
-/// Writes a response whole, or as its pieces come until it ends or the caller leaves.
+/// Writes a response; a streamed body is written as it arrives until it ends or the caller
+/// disconnects.
 pub(crate) async fn send(
     reader: &mut Reader,
     writer: &mut Writer,
     response: Response,
-    left: &Signal,
+    disconnected: &Signal,
     options: SendOptions,
 ) -> io::Result<()> {
     let mut out = BytesMut::new();
@@ -89,37 +90,39 @@
             if options.head_only {
                 return Ok(());
             }
-            send_stream(reader, writer, receiver, left, framing).await
+            send_stream(reader, writer, receiver, disconnected, framing).await
         }
     }
 }
 
-/// Writes the pieces as they come, watching the caller with one read for the whole stream.
+/// Writes a streamed body, with a single read for the whole stream to detect a disconnect.
 async fn send_stream(
     reader: &mut Reader,
     writer: &mut Writer,
     receiver: Receiver,
-    left: &Signal,
+    disconnected: &Signal,
     framing: Framing,
 ) -> io::Result<()> {
-    watch(reader, left, write_pieces(writer, receiver, left, framing)).await
+    watch(reader, disconnected, write_body(writer, receiver, disconnected, framing)).await
 }
 
-async fn write_pieces(
+async fn write_body(
     writer: &mut Writer,
     mut receiver: Receiver,
-    left: &Signal,
+    disconnected: &Signal,
     framing: Framing,
 ) -> io::Result<()> {
-    let mut leaving = pin!(left.wait());
+    let mut disconnect = pin!(disconnected.wait());
     loop {
-        let piece = monoio::select! {
-            piece = receiver.next() => piece,
-            // The missing last chunk tells the caller that the answer is not whole.
-            () = &mut leaving => return Err(io::ErrorKind::ConnectionAborted.into()),
+        let event = monoio::select! {
+            event = receiver.next() => event,
+            // Without the last chunk the caller can tell that the response is incomplete.
+            () = &mut disconnect => return Err(io::ErrorKind::ConnectionAborted.into()),
         };
-        match piece {
-            BodyEvent::Data(data) => writer.write_all(join(data, &mut receiver, framing)).await?,
+        match event {
+            BodyEvent::Data(data) => {
+                writer.write_all(coalesce(data, &mut receiver, framing)).await?
+            }
             BodyEvent::End if framing == Framing::Chunked => {
                 return writer.write_all(Bytes::from_static(b"0\r\n\r\n")).await;
             }
@@ -130,9 +133,9 @@
     }
 }
 
-/// Returns the bytes of a piece and of those that wait behind it already, to be written at once.
-fn join(first: Bytes, receiver: &mut Receiver, framing: Framing) -> Bytes {
-    let mut out = BytesMut::with_capacity(first.len().saturating_add(CHUNK_BYTES));
+/// Encodes `first` and the data queued behind it, to be sent in one write.
+fn coalesce(first: Bytes, receiver: &mut Receiver, framing: Framing) -> Bytes {
+    let mut out = BytesMut::with_capacity(first.len().saturating_add(CHUNK_FRAMING_BYTES));
     let mut next = Some(first);
     while let Some(data) = next {
         match framing {
@@ -141,7 +144,7 @@
             Framing::Chunked => writer::encode_chunk(&data, &mut out),
             _ => out.extend_from_slice(&data),
         }
-        next = if out.len() < MAX_WRITE { receiver.try_next() } else { None };
+        next = if out.len() < MAX_WRITE_BYTES { receiver.try_next() } else { None };
     }
     out.freeze()
 }
--- a/hawthornkeel/src/http/server.rs
+++ b/hawthornkeel/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Accept loop, its bounds and its planned stop.
+//! Accept loop with connection limits and graceful shutdown.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -22,28 +22,29 @@
 use crate::http::signal::Signal;
 use crate::http::signal::Wait;
 
-/// Pause after an accept that failed, which is most often a lack of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, which most often means that file descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Time without a new connection after which a stopping server closes its listener.
-const LAST_ACCEPT: Duration = Duration::from_millis(20);
+const BACKLOG_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Bounds of a server.
+/// Limits and timeouts of a server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Request head, in bytes at most.
+    /// Maximum size of a request head, in bytes.
     pub max_head: usize,
-    /// Request body, in bytes at most, where the handler sets no other bound.
+    /// Maximum size of a request body, in bytes, unless the handler sets another limit.
     pub max_body: usize,
-    /// Bytes of bodies held for all connections together, at most.
+    /// Maximum size of the buffered request bodies of all connections together, in bytes.
     pub max_buffered: usize,
-    /// Open connections, at most; more wait to be accepted, and idle ones make room for them.
+    /// Maximum number of open connections; further ones wait in the backlog, and idle ones are
+    /// closed to make room.
     pub max_connections: usize,
-    /// Time for a caller to send a whole request, and for a new connection to begin one.
+    /// Timeout for receiving a complete request, and for a new connection to begin one.
     pub receive_timeout: Duration,
-    /// Time that a connection may stay open between requests.
+    /// Timeout of a connection between requests.
     pub idle_timeout: Duration,
-    /// Time after which a write that makes no progress closes the connection.
+    /// Time without progress of a write after which the connection is closed.
     pub write_timeout: Duration,
 }
 
@@ -61,12 +62,12 @@
     }
 }
 
-/// Answers requests.
+/// Handler of requests.
 pub trait Handler: 'static {
-    /// Answers `request`; its `left` signal is set once the caller has gone.
+    /// Responds to `request`; its `disconnected` signal is set once the caller has disconnected.
     fn handle(&self, request: Request) -> impl Future<Output = Response>;
 
-    /// Returns the bound on the body of a request with `head`, in bytes, where it has one.
+    /// Returns the limit on the body of a request with `head`, in bytes, if it has its own.
     fn max_body(&self, _head: &Head) -> Option<usize> {
         None
     }
@@ -82,21 +83,21 @@
     }
 }
 
-/// Steps of a planned stop, set one after the other; clones share them.
+/// Signals of the phases of a graceful shutdown, set in order; clones share them.
 #[derive(Clone, Default)]
 pub struct ShutdownSignals {
-    /// Connections are still accepted, and each answer says `Connection: close`.
+    /// Connections are still accepted, but each response has `Connection: close`.
     pub drain: Signal,
-    /// No connection is accepted, idle ones are closed and running requests are answered.
+    /// No connections are accepted, idle ones are closed and running requests are completed.
     pub stop: Signal,
-    /// All connections are closed at once.
+    /// All connections are closed immediately.
     pub abort: Signal,
 }
 
-/// Why a server could not listen.
+/// Error of listening on an address.
 #[derive(Debug)]
 pub struct ListenError {
-    /// Address asked for.
+    /// Requested address.
     pub address: SocketAddr,
     /// Cause.
     pub cause: io::Error,
@@ -110,35 +111,35 @@
 
 impl Error for ListenError {}
 
-/// What the connections of a server share.
+/// State shared by the connections of a server.
 pub(crate) struct Shared<H> {
     pub(crate) handler: H,
     pub(crate) limits: Limits,
     pub(crate) shutdown: ShutdownSignals,
-    /// Bytes of bodies held now.
-    pub(crate) held: Cell<usize>,
+    /// Size of the request bodies buffered now, in bytes.
+    pub(crate) buffered: Cell<usize>,
     open: Cell<usize>,
-    /// Set, and replaced by a new one, while connections wait for room.
-    crowded: RefCell<Signal>,
+    /// Signal to idle connections to close; set and replaced when the connection limit is reached.
+    idle_close: RefCell<Signal>,
 }
 
 impl<H> Shared<H> {
-    /// Tells whether no further connection would be accepted.
+    /// Tells whether the connection limit is reached.
     pub(crate) fn is_full(&self) -> bool {
         self.open.get() >= self.limits.max_connections
     }
 
-    /// Waits until idle connections should make room.
-    pub(crate) fn wait_crowded(&self) -> Wait {
-        self.crowded.borrow().wait()
+    /// Waits until idle connections are to close to make room.
+    pub(crate) fn wait_idle_close(&self) -> Wait {
+        self.idle_close.borrow().wait()
     }
 
-    fn make_room(&self) {
-        self.crowded.take().set();
+    fn close_idle(&self) {
+        self.idle_close.take().set();
     }
 }
 
-/// Server that listens and has not begun to accept.
+/// Server that is listening but not accepting yet.
 pub struct Server {
     listener: TcpListener,
     address: SocketAddr,
@@ -147,10 +148,10 @@
 }
 
 impl Server {
-    /// Listens on `address`; port 0 takes a free one.
+    /// Listens on `address`; port 0 selects a free port.
     ///
     /// # Errors
-    /// Fails where the address can't be taken.
+    /// Fails where the address can't be bound.
     pub fn bind(address: SocketAddr, limits: Limits) -> Result<Self, ListenError> {
         let listen = || {
             let listener = TcpListener::bind(address)?;
@@ -161,27 +162,27 @@
         Ok(Self { listener, address, limits, shutdown: ShutdownSignals::default() })
     }
 
-    /// Returns the address listened on.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the steps of the server's planned stop.
+    /// Returns the signals that shut the server down.
     pub fn shutdown_signals(&self) -> ShutdownSignals {
         self.shutdown.clone()
     }
 
-    /// Accepts and answers until stopped, and returns once every connection has ended.
+    /// Serves connections until stopped, and returns once all of them have ended.
     pub async fn serve<H: Handler>(self, handler: H) {
         let shared = Rc::new(Shared {
             handler,
             limits: self.limits,
             shutdown: self.shutdown,
-            held: Cell::new(0),
+            buffered: Cell::new(0),
             open: Cell::new(0),
-            crowded: RefCell::default(),
+            idle_close: RefCell::default(),
         });
-        let ended = Rc::new(Ended::default());
+        let ended = Rc::new(ConnectionEnded::default());
         accept_loop(&self.listener, &shared, &ended).await;
         drop(self.listener);
         while shared.open.get() > 0 {
@@ -190,13 +191,13 @@
     }
 }
 
-/// Wakes the accept loop after each connection that ends.
+/// Wakes the accept loop when a connection ends.
 #[derive(Default)]
-struct Ended {
+struct ConnectionEnded {
     signal: Cell<Signal>,
 }
 
-impl Ended {
+impl ConnectionEnded {
     async fn wait(&self) {
         let signal = Signal::new();
         self.signal.set(signal.clone());
@@ -211,12 +212,12 @@
 async fn accept_loop<H: Handler>(
     listener: &TcpListener,
     shared: &Rc<Shared<H>>,
-    ended: &Rc<Ended>,
+    ended: &Rc<ConnectionEnded>,
 ) {
     let stop = &shared.shutdown.stop;
     while !stop.is_set() {
         if shared.is_full() {
-            shared.make_room();
+            shared.close_idle();
             monoio::select! {
                 () = ended.wait() => {}
                 () = stop.wait() => {}
@@ -225,37 +226,37 @@
         }
         monoio::select! {
             accepted = listener.accept() => match accepted {
-                Ok((stream, peer)) => start(stream, peer, shared, ended),
+                Ok((stream, peer)) => spawn_connection(stream, peer, shared, ended),
                 Err(error) => {
                     tracing::warn!(event = "accept-failed", %error);
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
             () = stop.wait() => {}
         }
     }
-    accept_rest(listener, shared, ended).await;
+    accept_backlog(listener, shared, ended).await;
 }
 
-/// Accepts what had connected before the stop, which closing the listener would reset.
-async fn accept_rest<H: Handler>(
+/// Accepts connections that are still in the backlog, which closing the listener would reset.
+async fn accept_backlog<H: Handler>(
     listener: &TcpListener,
     shared: &Rc<Shared<H>>,
-    ended: &Rc<Ended>,
+    ended: &Rc<ConnectionEnded>,
 ) {
     while !shared.is_full() {
-        match timeout(LAST_ACCEPT, listener.accept()).await {
-            Ok(Ok((stream, peer))) => start(stream, peer, shared, ended),
+        match timeout(BACKLOG_TIMEOUT, listener.accept()).await {
+            Ok(Ok((stream, peer))) => spawn_connection(stream, peer, shared, ended),
             _ => return,
         }
     }
 }
 
-fn start<H: Handler>(
+fn spawn_connection<H: Handler>(
     stream: TcpStream,
     peer: SocketAddr,
     shared: &Rc<Shared<H>>,
-    ended: &Rc<Ended>,
+    ended: &Rc<ConnectionEnded>,
 ) {
     let shared = shared.clone();
     let ended = ended.clone();
@@ -263,7 +264,7 @@
     monoio::spawn(async move {
         let abort = shared.shutdown.abort.clone();
         monoio::select! {
-            () = connection::run(stream, peer, &shared) => {}
+            () = connection::serve(stream, peer, &shared) => {}
             () = abort.wait() => {}
         }
         shared.open.set(shared.open.get().saturating_sub(1));
--- a/hawthornkeel/src/http/signal.rs
+++ b/hawthornkeel/src/http/signal.rs
@@ -1,4 +1,4 @@
-//! One-way signal between tasks of one thread.
+//! One-shot signal between tasks on one thread.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -11,7 +11,7 @@
 
 use indexmap::IndexMap;
 
-/// Signal that is set once and stays set; clones share it.
+/// Signal that stays set once it is set; clones share its state.
 #[derive(Clone, Default)]
 pub struct Signal {
     inner: Rc<Inner>,
@@ -25,12 +25,12 @@
 }
 
 impl Signal {
-    /// Creates a signal that is not set.
+    /// Creates an unset signal.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets the signal and wakes all who wait for it.
+    /// Sets the signal and wakes all waiting tasks.
     pub fn set(&self) {
         self.inner.set.set(true);
         let wakers = self.inner.wakers.take();
@@ -52,11 +52,11 @@
     }
 }
 
-/// Future that ends once a signal is set.
+/// Future that completes once a signal is set.
 pub struct Wait {
     inner: Rc<Inner>,
     key: u64,
-    /// Waker that is registered, so that polls by the same task cost no second registration.
+    /// Registered waker, so that repeated polls by the same task don't register it again.
     waker: Option<Waker>,
 }
 
--- a/hawthornkeel/src/http/time_limit.rs
+++ b/hawthornkeel/src/http/time_limit.rs
@@ -1,4 +1,4 @@
-//! Time limits that cost nothing where the work is done at once.
+//! Time limits that set no timer where the work is ready at once.
 
 use std::future::Future;
 use std::future::poll_fn;
@@ -8,14 +8,14 @@
 
 use monoio::time::timeout;
 
-/// Returns what `work` comes to within `limit`, `None` where the time passes before.
+/// Returns the output of `work`, or `None` if it isn't ready within `limit`.
 ///
-/// A timer is set only where the work has to wait: most writes and buffered reads need none.
+/// The timer is set only if the first poll is pending: most writes and buffered reads need none.
 pub(crate) async fn within<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
     let mut work = pin!(work);
     let first = poll_fn(|cx| Poll::Ready(work.as_mut().poll(cx))).await;
     match first {
-        Poll::Ready(done) => Some(done),
+        Poll::Ready(output) => Some(output),
         Poll::Pending => timeout(limit, work).await.ok(),
     }
 }
--- a/hawthornkeel/src/http/writer.rs
+++ b/hawthornkeel/src/http/writer.rs
@@ -1,4 +1,4 @@
-//! Writing side of a connection, watched for progress.
+//! Writing half of a connection, with a timeout on writes without progress.
 
 use std::fmt::Write;
 use std::io;
@@ -22,35 +22,36 @@
 /// How the body of a response is framed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Framing {
-    /// With its length in bytes.
+    /// `Content-Length` in bytes.
     Length(usize),
-    /// In chunks.
+    /// Chunked transfer coding.
     Chunked,
-    /// Up to the end of the connection, for callers of HTTP/1.0.
+    /// Delimited by the end of the connection, for HTTP/1.0 callers.
     Close,
 }
 
-/// Writing side of a connection.
+/// Writing half of a connection.
 pub struct Writer {
     half: OwnedWriteHalf<TcpStream>,
-    stall: Duration,
+    timeout: Duration,
 }
 
 impl Writer {
-    /// Creates a writer whose writes fail after making no progress for `stall`.
-    pub fn new(half: OwnedWriteHalf<TcpStream>, stall: Duration) -> Self {
-        Self { half, stall }
+    /// Creates a writer whose writes fail after `timeout` without progress.
+    pub fn new(half: OwnedWriteHalf<TcpStream>, timeout: Duration) -> Self {
+        Self { half, timeout }
     }
 
     /// Writes all of `data`.
     ///
     /// # Errors
-    /// Fails where the connection does, and with `TimedOut` where nothing is taken for the stall
-    /// time; nothing more may be written after that.
+    /// Fails where the connection fails, and with `TimedOut` after the timeout without progress;
+    /// nothing more may be written after that.
     pub async fn write_all(&mut self, mut data: Bytes) -> io::Result<()> {
         while data.has_remaining() {
             let write = self.half.write(data.clone());
-            let (result, _) = time_limit::within(self.stall, write).await.ok_or_else(stalled)?;
+            let (result, _) =
+                time_limit::within(self.timeout, write).await.ok_or_else(timed_out)?;
             let count = result?;
             if count == 0 {
                 return Err(io::ErrorKind::WriteZero.into());
@@ -60,18 +61,18 @@
         Ok(())
     }
 
-    /// Tells the other end that nothing more comes.
+    /// Shuts down the writing direction.
     pub async fn shutdown(&mut self) {
-        // The connection is dropped next, whatever the other end makes of this.
+        // The connection is dropped next, so a failure doesn't matter.
         let _ = self.half.shutdown().await;
     }
 }
 
-fn stalled() -> io::Error {
+fn timed_out() -> io::Error {
     io::ErrorKind::TimedOut.into()
 }
 
-/// Encodes the head of a response into `out`.
+/// Encodes a response head into `out`.
 pub fn encode_head(
     status: StatusCode,
     headers: &HeaderMap,
--- a/hawthornkeel/src/peer/certificate.rs
+++ b/hawthornkeel/src/peer/certificate.rs
@@ -1,4 +1,4 @@
-//! Makes the authority and the instances' certificates.
+//! Issues the certificate authority's and the instances' certificates.
 
 use std::fs;
 use std::io;
@@ -19,70 +19,70 @@
 use rcgen::KeyPair;
 use rcgen::KeyUsagePurpose;
 
-/// File of the authority's certificate, in PEM.
+/// File name of the certificate authority's certificate, in PEM.
 const AUTHORITY_FILE: &str = "authority.pem";
-/// File of the authority's private key, in PEM.
+/// File name of the certificate authority's private key, in PEM.
 const AUTHORITY_KEY_FILE: &str = "authority.key";
-/// Name in the authority's certificate.
+/// Common name in the certificate authority's certificate.
 const AUTHORITY_NAME: &str = "hawthornkeel authority";
-/// Access rights of a file with a private key.
+/// File mode of a private key.
 const KEY_MODE: u32 = 0o600;
 /// Validity of the authority's certificate.
 const AUTHORITY_VALIDITY: Duration = Duration::from_secs(10 * 365 * 24 * 3600);
 /// Validity of an instance's certificate.
 pub const INSTANCE_VALIDITY: Duration = Duration::from_secs(365 * 24 * 3600);
-/// Time before issue from which a certificate counts, so that clocks may differ.
-const CLOCK_DIFFERENCE: Duration = Duration::from_secs(300);
+/// Time by which the validity starts before the issue, to tolerate clock skew between instances.
+const CLOCK_SKEW: Duration = Duration::from_secs(300);
 
-/// Files of one instance's certificate.
+/// Files of an instance's issued certificate.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct IssuedFiles {
-    /// File of the authority's certificate.
+    /// Certificate of the certificate authority.
     pub authority: PathBuf,
-    /// File of the instance's certificate.
+    /// Certificate of the instance.
     pub certificate: PathBuf,
-    /// File of the instance's private key.
+    /// Private key of the instance.
     pub key: PathBuf,
 }
 
-/// Time from which and until which a certificate counts.
+/// Validity period of a certificate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Validity {
-    /// First moment.
+    /// Start of the period.
     pub from: SystemTime,
-    /// Last moment.
+    /// End of the period.
     pub until: SystemTime,
 }
 
 impl Validity {
-    /// Returns the validity of `length` from now on.
+    /// Returns a period that ends `length` from now and starts earlier by the tolerated clock skew.
     pub fn from_now(length: Duration) -> Self {
         let now = SystemTime::now();
-        Self { from: now - CLOCK_DIFFERENCE, until: now + length }
+        Self { from: now - CLOCK_SKEW, until: now + length }
     }
 }
 
-/// Issues a certificate for `name` into `folder`, from the authority there or from a new one.
+/// Issues a certificate for `name` into `folder`, creating the certificate authority if needed.
 ///
 /// # Errors
 ///
-/// Fails where a file can't be read or written, or where the authority's files are damaged.
+/// Fails where a file can't be read or written or the authority's files are invalid.
 pub fn issue(folder: &Path, name: &InstanceName) -> io::Result<IssuedFiles> {
     issue_with_validity(folder, name, Validity::from_now(INSTANCE_VALIDITY))
 }
 
-/// Issues a certificate like [`issue`], with the given validity.
+/// Issues a certificate as [`issue`] does, with the given validity.
 ///
 /// # Errors
 ///
-/// Fails where a file can't be read or written, or where the authority's files are damaged.
+/// Fails where a file can't be read or written or the authority's files are invalid.
 pub fn issue_with_validity(
     folder: &Path,
     name: &InstanceName,
     validity: Validity,
 ) -> io::Result<IssuedFiles> {
     fs::create_dir_all(folder)?;
-    let issuer = authority(folder)?;
+    let issuer = load_or_create_authority(folder)?;
     let key = KeyPair::generate().map_err(io::Error::other)?;
     let certificate = instance_params(name, validity)
         .and_then(|params| params.signed_by(&key, &issuer))
@@ -97,7 +97,7 @@
     Ok(issued)
 }
 
-/// Certificate that vouches for nobody, for instances that trust each other's addresses.
+/// Self-signed certificate, for instances that authenticate each other by their addresses.
 pub struct SelfSigned {
     /// Certificate in DER.
     pub certificate: Vec<u8>,
@@ -105,13 +105,13 @@
     pub key: Vec<u8>,
 }
 
-/// Makes a certificate and a key that last as long as the process.
+/// Generates a certificate and a key that are kept in memory only.
 ///
-/// Its validity spans centuries, as no clock is asked.
+/// The validity is the library's default of centuries, so that it doesn't depend on the clock.
 ///
 /// # Errors
 ///
-/// Fails where no key can be made.
+/// Fails where no key can be generated.
 pub fn self_signed(name: &InstanceName) -> io::Result<SelfSigned> {
     let key = KeyPair::generate().map_err(io::Error::other)?;
     let params =
@@ -134,23 +134,26 @@
     Ok(params)
 }
 
-/// Returns the authority of `folder`, made anew if there is none.
-fn authority(folder: &Path) -> io::Result<Issuer<'static, KeyPair>> {
+/// Loads the certificate authority of `folder`, or creates one if there is none.
+fn load_or_create_authority(folder: &Path) -> io::Result<Issuer<'static, KeyPair>> {
     let certificate_file = folder.join(AUTHORITY_FILE);
     let key_file = folder.join(AUTHORITY_KEY_FILE);
     if !certificate_file.exists() {
-        return new_authority(&certificate_file, &key_file);
+        return create_authority(&certificate_file, &key_file);
     }
     let key = KeyPair::from_pem(&fs::read_to_string(key_file)?).map_err(io::Error::other)?;
-    // Signing needs only the authority's name and key, and the name is always the same.
+    // Signing needs only the authority's name, which is constant, and its key.
     Ok(Issuer::new(authority_params(), key))
 }
 
-fn new_authority(certificate_file: &Path, key_file: &Path) -> io::Result<Issuer<'static, KeyPair>> {
+fn create_authority(
+    certificate_file: &Path,
+    key_file: &Path,
+) -> io::Result<Issuer<'static, KeyPair>> {
     let key = KeyPair::generate().map_err(io::Error::other)?;
     let params = authority_params();
     let certificate = params.self_signed(&key).map_err(io::Error::other)?;
-    // The key goes first: a certificate without its key would stop every later call.
+    // The key is written first: a certificate without its key would make every later call fail.
     write_key(key_file, &key)?;
     fs::write(certificate_file, certificate.pem())?;
     Ok(Issuer::new(params, key))
--- a/hawthornkeel/src/peer/compression.rs
+++ b/hawthornkeel/src/peer/compression.rs
@@ -1,24 +1,24 @@
-//! Compression of long frame bodies, by DEFLATE.
+//! DEFLATE compression of large frame bodies.
 
 use miniz_oxide::deflate::compress_to_vec;
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
 
-/// Body from which on compression is tried, in bytes: shorter ones fit a few datagrams anyway.
-const MIN_BODY: usize = 4 * 1024;
-/// Level of compression: the fastest, since documents hold much that repeats.
+/// Size from which a body is compressed, in bytes; smaller ones fit into a few datagrams.
+const MIN_BODY_BYTES: usize = 4 * 1024;
+/// Compression level: the fastest, which suffices as documents are highly repetitive.
 const LEVEL: u8 = 1;
 
 /// Encoding of a frame's body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BodyEncoding {
-    /// As encoded.
+    /// Not compressed.
     Identity,
-    /// Compressed.
+    /// Compressed by DEFLATE.
     Deflate,
 }
 
 impl BodyEncoding {
-    /// Returns the code that stands for the form in a frame's head.
+    /// Returns the code of the encoding in a frame's header.
     pub fn code(self) -> u8 {
         match self {
             Self::Identity => 0,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns the form that `number` stands for, if any.
+    /// Returns the encoding with this code, if any.
     pub fn from_code(code: u8) -> Option<Self> {
         match code {
             0 => Some(Self::Identity),
@@ -36,16 +36,16 @@
     }
 }
 
-/// Compresses a body; nothing is returned where that would not make it smaller.
+/// Compresses a body; returns `None` if it is too small or would not shrink.
 pub fn compress(body: &[u8]) -> Option<Vec<u8>> {
-    if body.len() < MIN_BODY {
+    if body.len() < MIN_BODY_BYTES {
         return None;
     }
-    let packed = compress_to_vec(body, LEVEL);
-    (packed.len() < body.len()).then_some(packed)
+    let compressed = compress_to_vec(body, LEVEL);
+    (compressed.len() < body.len()).then_some(compressed)
 }
 
-/// Restores a compressed body of `max` bytes at most; nothing is returned where that can't be done.
-pub fn decompress(packed: &[u8], max: usize) -> Option<Vec<u8>> {
-    decompress_to_vec_with_limit(packed, max).ok()
+/// Decompresses a body; returns `None` if it is invalid or decompresses to more than `max` bytes.
+pub fn decompress(compressed: &[u8], max: usize) -> Option<Vec<u8>> {
+    decompress_to_vec_with_limit(compressed, max).ok()
 }
--- a/hawthornkeel/src/peer/credentials.rs
+++ b/hawthornkeel/src/peer/credentials.rs
@@ -1,4 +1,4 @@
-//! Certificates and keys of an instance, and the checks on those of its peers.
+//! TLS credentials of an instance, and verification of its peers' certificates.
 
 use std::fmt;
 use std::path::Path;
@@ -41,35 +41,35 @@
 
 use crate::peer::certificate::self_signed;
 
-/// Protocol name agreed on in the TLS handshake.
+/// Protocol name negotiated in the TLS handshake.
 const ALPN: &[u8] = b"hawthornkeel";
-/// Time without any datagram from the peer after which a connection is closed, in milliseconds.
+/// Idle timeout of a connection: time without a datagram from the peer, in milliseconds.
 pub const IDLE_TIMEOUT_MS: u32 = 2_000;
-/// Time between keep-alive pings.
-const KEEP_ALIVE: Duration = Duration::from_millis(500);
-/// Round trip assumed before the first is measured: a first datagram that found nobody is repeated
-/// after about three of it.
-const FIRST_RTT: Duration = Duration::from_millis(30);
-/// Calls of one peer in progress at once, at most.
-const MAX_CALLS: u32 = 1_024;
+/// Interval between keep-alive pings.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
+/// Round-trip time assumed before the first measurement; a lost first datagram is sent again after
+/// about three times this.
+const INITIAL_RTT: Duration = Duration::from_millis(30);
+/// Maximum number of concurrent calls on one connection.
+const MAX_CONCURRENT_CALLS: u32 = 1_024;
 
-/// Credentials of an instance, ready for use by connections.
+/// QUIC client and server configurations of an instance.
 #[derive(Clone, Debug)]
 pub struct Credentials {
-    /// Used when connecting to a peer.
+    /// Configuration of outgoing connections.
     pub client: ClientConfig,
-    /// Used when a peer connects.
+    /// Configuration of incoming connections.
     pub server: ServerConfig,
 }
 
-/// Credentials that can't be used.
+/// Error of loading credentials.
 #[derive(Debug)]
 pub enum CredentialsError {
-    /// The settings lack a file: its key in section `peers`.
+    /// The settings lack this key of section `peers`, which names a file.
     Missing(&'static str),
     /// A file can't be read or holds no valid PEM.
     File(PathBuf, rustls_pki_types::pem::Error),
-    /// The certificate, the key and the authority don't go together.
+    /// The certificate, the key and the certificate authority don't match, or TLS rejects them.
     Invalid(String),
 }
 
@@ -92,11 +92,11 @@
 }
 
 impl Credentials {
-    /// Returns the credentials that `settings` call for.
+    /// Returns the credentials for the kind of trust that `settings` name.
     ///
     /// # Errors
     ///
-    /// Fails where a file is missing or not valid, or where the key is not the certificate's.
+    /// Fails where a file is missing or invalid or the key doesn't match the certificate.
     pub fn from_settings(settings: &Settings) -> Result<Self, CredentialsError> {
         match settings.peers.trust {
             Trust::Certificates => Self::load(&settings.peers),
@@ -104,16 +104,16 @@
         }
     }
 
-    /// Makes credentials that encrypt and prove nothing: the peers' addresses are trusted.
+    /// Creates credentials that encrypt without authenticating: the peers' addresses are trusted.
     fn unauthenticated(name: &InstanceName) -> Result<Self, CredentialsError> {
-        let own = self_signed(name).map_err(invalid)?;
-        let chain = vec![CertificateDer::from(own.certificate)];
-        let key = PrivateKeyDer::Pkcs8(PrivatePkcs8KeyDer::from(own.key));
+        let generated = self_signed(name).map_err(invalid)?;
+        let chain = vec![CertificateDer::from(generated.certificate)];
+        let key = PrivateKeyDer::Pkcs8(PrivatePkcs8KeyDer::from(generated.key));
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let mut client = rustls::ClientConfig::builder_with_provider(provider.clone())
             .with_protocol_versions(&[&TLS13])?
             .dangerous()
-            .with_custom_certificate_verifier(Arc::new(AnyCertificate(provider.clone())))
+            .with_custom_certificate_verifier(Arc::new(AcceptAnyCertificate(provider.clone())))
             .with_no_client_auth();
         client.alpn_protocols = vec![ALPN.to_vec()];
         client.resumption = Resumption::disabled();
@@ -126,15 +126,15 @@
         Self::with_quic(client, server)
     }
 
-    /// Reads the files that `peers` names.
+    /// Loads the files that `peers` names.
     ///
     /// # Errors
     ///
-    /// Fails where a file is missing or not valid, or where the key is not the certificate's.
+    /// Fails where a file is missing or invalid or the key doesn't match the certificate.
     pub fn load(peers: &Peers) -> Result<Self, CredentialsError> {
-        let certificate = path(&peers.certificate, "certificate")?;
-        let key = path(&peers.key, "key")?;
-        let authority = path(&peers.authority, "authority")?;
+        let certificate = required_path(&peers.certificate, "certificate")?;
+        let key = required_path(&peers.key, "key")?;
+        let authority = required_path(&peers.authority, "authority")?;
         let chain = read_certificates(certificate)?;
         let key = PrivateKeyDer::from_pem_file(key)
             .map_err(|e| CredentialsError::File(key.to_owned(), e))?;
@@ -156,7 +156,7 @@
         Self::with_quic(client, server)
     }
 
-    /// Puts QUIC over both sides of TLS.
+    /// Builds the QUIC configurations from the TLS ones.
     fn with_quic(
         client: rustls::ClientConfig,
         server: rustls::ServerConfig,
@@ -176,7 +176,10 @@
     CredentialsError::Invalid(error.to_string())
 }
 
-fn path<'a>(path: &'a Option<PathBuf>, key: &'static str) -> Result<&'a Path, CredentialsError> {
+fn required_path<'a>(
+    path: &'a Option<PathBuf>,
+    key: &'static str,
+) -> Result<&'a Path, CredentialsError> {
     path.as_deref().ok_or(CredentialsError::Missing(key))
 }
 
@@ -189,13 +192,14 @@
 fn transport() -> TransportConfig {
     let mut config = TransportConfig::default();
     config.max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE_TIMEOUT_MS))));
-    config.keep_alive_interval(Some(KEEP_ALIVE));
-    config.initial_rtt(FIRST_RTT);
-    config.max_concurrent_bidi_streams(VarInt::from_u32(MAX_CALLS));
+    config.keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
+    config.initial_rtt(INITIAL_RTT);
+    config.max_concurrent_bidi_streams(VarInt::from_u32(MAX_CONCURRENT_CALLS));
     config
 }
 
-// Resumed sessions skip the check of certificates, so an expired one could return: no resumption.
+// Session resumption is disabled: a resumed session skips the certificate check, so a peer whose
+// certificate has expired could reconnect.
 fn client_tls(
     provider: &Arc<CryptoProvider>,
     chain: Vec<CertificateDer<'static>>,
@@ -229,11 +233,11 @@
     Ok(config)
 }
 
-/// Accepts any certificate whose key signed the handshake.
+/// Verifier that accepts any certificate whose key signed the handshake.
 #[derive(Debug)]
-struct AnyCertificate(Arc<CryptoProvider>);
+struct AcceptAnyCertificate(Arc<CryptoProvider>);
 
-impl ServerCertVerifier for AnyCertificate {
+impl ServerCertVerifier for AcceptAnyCertificate {
     fn verify_server_cert(
         &self,
         _end_entity: &CertificateDer<'_>,
@@ -270,7 +274,7 @@
     }
 }
 
-/// Tells whether the peer's certificate on `connection` carries `name`.
+/// Tells whether the peer's certificate on `connection` is valid for `name`.
 pub fn certificate_matches(connection: &Connection, name: &str) -> bool {
     let Some(identity) = connection.peer_identity() else { return false };
     let Ok(chain) = identity.downcast::<Vec<CertificateDer<'static>>>() else { return false };
--- a/hawthornkeel/src/peer/endpoint.rs
+++ b/hawthornkeel/src/peer/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoint of an instance: sends frames to peers, calls them and serves theirs.
+//! QUIC endpoint of an instance: sends one-way frames and calls to peers and serves theirs.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -31,12 +31,12 @@
 use crate::peer::runtime::Traffic;
 use crate::peer::wire;
 
-/// Shortest wait of a call after which a connection that brought nothing at all counts as silent.
+/// Shortest timeout of a call after which a connection without any datagram counts as dead.
 ///
-/// Longer than the time between keep-alive pings: a peer that is only slow has acknowledged one.
-const SILENCE: Duration = Duration::from_millis(600);
+/// Longer than the keep-alive interval: a peer that is only slow has acknowledged a ping by then.
+const MIN_SILENCE: Duration = Duration::from_millis(600);
 
-/// Endpoint of an instance, on one thread; clones share it.
+/// Endpoint of an instance, bound to one thread; clones share it.
 #[derive(Clone)]
 pub struct Endpoint {
     inner: Rc<Inner>,
@@ -46,7 +46,7 @@
     name: InstanceName,
     dialer: Dialer,
     peers: IndexMap<InstanceName, Peer>,
-    /// Port that all instances listen on for peers, where their names are their IP addresses.
+    /// Port that all instances listen on, where their names are their IP addresses.
     port: Option<u16>,
     links: RefCell<IndexMap<InstanceName, Rc<Link>>>,
     handlers: Rc<Handlers>,
@@ -110,7 +110,7 @@
         &self.inner.name
     }
 
-    /// Returns the peers that the settings name.
+    /// Returns the configured peers.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
         self.inner.peers.values()
     }
@@ -124,38 +124,38 @@
         Ok(self.inner.server.local_addr()?)
     }
 
-    /// Returns the one-way frames dropped so far because a peer's queue was full.
+    /// Returns the number of one-way frames dropped because a peer's queue was full.
     pub fn dropped_frames(&self) -> u64 {
         self.inner.dropped.get()
     }
 
-    /// Returns the number of connections that peers have opened.
+    /// Returns the number of open connections that peers have established.
     pub fn inbound_connections(&self) -> usize {
         self.inner.server.open_connections()
     }
 
-    /// Returns the traffic of all connections so far.
+    /// Returns the traffic counters of all connections.
     pub fn traffic(&self) -> &Arc<Traffic> {
         &self.inner.traffic
     }
 
-    /// Sets the handler of one-way frames of `kind`, which gets them in the order they were sent.
+    /// Sets the handler of one-way frames of `kind`; it receives a peer's frames in order.
     pub fn on_frame(&self, kind: FrameKind, handler: impl Fn(&InstanceName, Frame) + 'static) {
         self.inner.handlers.frames.borrow_mut().insert(kind, Rc::new(handler));
     }
 
-    /// Sets the handler of calls of `kind`; calls run beside each other.
-    pub fn on_call<F, A>(&self, kind: FrameKind, handler: F)
+    /// Sets the handler of calls of `kind`; calls run concurrently.
+    pub fn on_call<F, R>(&self, kind: FrameKind, handler: F)
     where
-        F: Fn(InstanceName, Frame) -> A + 'static,
-        A: Future<Output = Frame> + 'static,
+        F: Fn(InstanceName, Frame) -> R + 'static,
+        R: Future<Output = Frame> + 'static,
     {
         let handler =
-            move |name, frame| -> inbound::AnswerFuture { Box::pin(handler(name, frame)) };
+            move |name, frame| -> inbound::ResponseFuture { Box::pin(handler(name, frame)) };
         self.inner.handlers.calls.borrow_mut().insert(kind, Rc::new(handler));
     }
 
-    /// Queues a one-way frame; it is lost where the queue is full or the connection fails.
+    /// Queues a one-way frame; it is dropped if the queue is full or the connection fails.
     ///
     /// # Errors
     ///
@@ -169,11 +169,12 @@
         Ok(())
     }
 
-    /// Calls a peer and waits for its answer, for at most `timeout`.
+    /// Calls a peer and waits for the response for at most `timeout`.
     ///
     /// # Errors
     ///
-    /// [`PeerError::may_have_run`] tells whether the call may have been carried out all the same.
+    /// Fails where the peer is unknown, unreachable, refuses the call or doesn't respond in time;
+    /// [`PeerError::may_have_run`] tells whether the call may have been executed nevertheless.
     pub async fn call(
         &self,
         to: &InstanceName,
@@ -187,13 +188,13 @@
             .await
             .map_err(|_| PeerError::TimedOut { sent: false })??;
         let received = connection.stats().udp_rx.datagrams;
-        match monoio::time::timeout_at(deadline, exchange(&connection, request)).await {
+        match monoio::time::timeout_at(deadline, send_request(&connection, request)).await {
             Ok(Ok(Frame::Refused(refusal))) => Err(PeerError::Refused(refusal)),
-            Ok(answer) => answer,
+            Ok(response) => response,
             Err(_) => {
                 let silent = connection.stats().udp_rx.datagrams == received;
-                if silent && timeout >= SILENCE {
-                    link.replace_silent(&connection);
+                if silent && timeout >= MIN_SILENCE {
+                    link.close_silent(&connection);
                 }
                 Err(PeerError::TimedOut { sent: true })
             }
@@ -220,7 +221,7 @@
 }
 
 impl Endpoint {
-    /// Returns the address of a peer: from the settings, or its name where that is an IP address.
+    /// Returns a peer's address from the settings, or from its name where that is an IP address.
     fn address_of(&self, name: &InstanceName) -> Option<SocketAddr> {
         if let Some(peer) = self.inner.peers.get(name) {
             return Some(peer.address);
@@ -230,8 +231,8 @@
     }
 }
 
-/// Sends `request` on a stream of its own and reads the answer.
-async fn exchange(connection: &Connection, request: bytes::Bytes) -> Result<Frame, PeerError> {
+/// Sends `request` on a new stream and reads the response.
+async fn send_request(connection: &Connection, request: bytes::Bytes) -> Result<Frame, PeerError> {
     let lost = |e: &dyn std::fmt::Display| PeerError::ConnectionLost(e.to_string());
     let (mut send, mut receive) = connection.open_bi().await.map_err(|e| lost(&e))?;
     send.write_chunk(request).await.map_err(|e| lost(&e))?;
--- a/hawthornkeel/src/peer/error.rs
+++ b/hawthornkeel/src/peer/error.rs
@@ -1,4 +1,4 @@
-//! Errors of messages to peers.
+//! Errors of calls and frames to peers.
 
 use std::fmt;
 use std::io;
@@ -9,18 +9,18 @@
 use crate::peer::frame::Refusal;
 use crate::peer::wire::WireError;
 
-/// Error of a message to a peer, or of opening the endpoint.
+/// Error of a call or frame to a peer, or of opening the endpoint.
 #[derive(Debug)]
 pub enum PeerError {
-    /// The settings name no such peer.
+    /// There is no such peer in the settings.
     UnknownPeer(InstanceName),
     /// The settings lack `peers.listen`.
     NoListenAddress,
-    /// No connection could be made: nothing was sent.
+    /// No connection could be established; nothing was sent.
     Unreachable(String),
     /// The connection failed after the call was sent.
     ConnectionLost(String),
-    /// The time ran out; `sent` tells whether the call may have reached the peer.
+    /// The call timed out.
     TimedOut {
         /// Whether the call may have reached the peer.
         sent: bool,
@@ -36,7 +36,7 @@
 }
 
 impl PeerError {
-    /// Tells whether the call may have reached the peer and been carried out.
+    /// Tells whether the call may have reached the peer and been executed.
     pub fn may_have_run(&self) -> bool {
         match self {
             Self::ConnectionLost(_) => true,
@@ -55,16 +55,16 @@
 impl fmt::Display for PeerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::UnknownPeer(name) => write!(f, "settings name no peer {name}"),
+            Self::UnknownPeer(name) => write!(f, "peer {name} is not in the settings"),
             Self::NoListenAddress => f.write_str("settings lack peers.listen"),
-            Self::Unreachable(reason) => write!(f, "peer can't be reached: {reason}"),
+            Self::Unreachable(reason) => write!(f, "peer is unreachable: {reason}"),
             Self::ConnectionLost(reason) => write!(f, "connection lost: {reason}"),
-            Self::TimedOut { sent: true } => f.write_str("no answer in time"),
-            Self::TimedOut { sent: false } => f.write_str("no connection in time"),
+            Self::TimedOut { sent: true } => f.write_str("timed out waiting for the response"),
+            Self::TimedOut { sent: false } => f.write_str("timed out connecting"),
             Self::Refused(Refusal::Version { found, known }) => {
                 write!(f, "peer refused protocol version {found}, it speaks {known}")
             }
-            Self::Refused(Refusal::Unsupported) => f.write_str("peer does not serve this call"),
+            Self::Refused(Refusal::Unsupported) => f.write_str("peer does not support this call"),
             Self::Refused(Refusal::Malformed) => f.write_str("peer could not decode the call"),
             Self::Wire(e) => e.fmt(f),
             Self::Credentials(e) => e.fmt(f),
--- a/hawthornkeel/src/peer/frame.rs
+++ b/hawthornkeel/src/peer/frame.rs
@@ -30,60 +30,64 @@
 
 /// Message between instances.
 ///
-/// A variant is never removed or moved without a new [`wire::VERSION`](crate::peer::wire::VERSION).
+/// Removing or reordering variants requires a new
+/// [`wire::VERSION`](crate::peer::wire::VERSION).
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// First frame of a connection: the name that the sender claims.
+    /// First frame of a connection in each direction: the sender's name.
     Hello(InstanceName),
-    /// Answers a call that can't be served.
+    /// Response to a call that can't be served.
     Refused(Refusal),
     /// Message of the replicated log, one-way.
     Replica(Message),
-    /// Call: carry out a command.
+    /// Call: commits and applies a command.
     Propose(Command),
     /// Answers [`Frame::Propose`].
     Proposed(Proposed),
-    /// Call: the published state once it is newer than what the caller has.
+    /// Call: returns the published state once it is newer than the caller's.
     Follow(Follow),
     /// Answers [`Frame::Follow`].
     Followed(Followed),
-    /// Orders to take data centres out, with what is known of their place in the log; one-way.
+    /// Orders to take data centres out, with their log positions where known; one-way.
     TakeOuts(Vec<TakeOut>),
-    /// Call: who leads the control instances.
+    /// Call: returns who leads the control instances.
     Lead,
     /// Answers [`Frame::Lead`].
     LeadReply(Leadership),
-    /// Call: what the instance has in force.
+    /// Call: returns the state that the instance has in force.
     Status,
     /// Answers [`Frame::Status`].
     StatusReply(InstanceStatus),
-    /// Between entries, one-way.
+    /// Message between entries, one-way.
     Entry(EntryMessage),
-    /// Call: what has changed of all that an entry follows.
+    /// Call: returns the changes of what an entry follows: state, targets, control instances and
+    /// entries.
     #[serde(rename = "Survey")]
     Discover(Discover),
     /// Answers [`Frame::Discover`].
     #[serde(rename = "Surveyed")]
     Discovered(Box<Discovered>),
-    /// An entry serves callers, or is about to stop; one-way.
+    /// Heartbeat of an entry: it serves callers or is about to stop; one-way.
     Present(Presence),
-    /// Call: have a stage of a request done.
+    /// Call: runs a stage of a request.
     Offer(Offer),
     /// Answers [`Frame::Offer`].
     Offered(JobOutcome),
-    /// Call: make room for stages of a request that are to come.
+    /// Call: reserves capacity for later stages of a request.
     Book(Book),
-    /// Answers [`Frame::Book`], for each booking in order; `None` where no target does the work.
+    /// Answers [`Frame::Book`], for each reservation in order; `None` where no target does the work.
     Booked(Vec<Option<ReservationEstimate>>),
-    /// Call: whether the instance answers.
+    /// Call: checks that the instance responds.
     Ping,
     /// Answers [`Frame::Ping`].
     Pong,
-    /// Nobody waits for a job any more, or needs these results; one-way.
+    /// Cancels jobs and releases results that are no longer needed; one-way.
     Dismiss(Dismiss),
 }
 
-/// Kind of a frame, by which its handler is found.
+/// Kind of a frame, which selects its handler.
+///
+/// The names of the variants appear in the log.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum FrameKind {
     /// Of [`Frame::Hello`].
@@ -100,7 +104,7 @@
     Lead,
     /// Of [`Frame::Status`].
     Status,
-    /// Of every answer to a call.
+    /// Of every response to a call.
     Answer,
     /// Of [`Frame::Entry`].
     Entry,
@@ -152,11 +156,11 @@
 /// Why a call can't be served.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The frame's protocol version is not known to the receiver, which speaks `known`.
+    /// The receiver doesn't support the frame's protocol version.
     Version {
-        /// Version of the frame.
+        /// Protocol version of the frame.
         found: u16,
-        /// Version of the receiver.
+        /// Protocol version of the receiver.
         known: u16,
     },
     /// The receiver has no handler for this kind of frame.
@@ -165,78 +169,78 @@
     Malformed,
 }
 
-/// Answer to a proposal.
+/// Response to a proposed command.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Proposed {
-    /// The command is committed, with this outcome.
+    /// The command was committed with this outcome.
     Outcome(Outcome),
-    /// The command is not in the log and never will be from this call.
+    /// The command was not appended to the log, and this call will not append it later.
     NotProposed {
-        /// Instance that leads, where the receiver knows it.
+        /// Current leader, if known.
         leader: Option<InstanceName>,
     },
-    /// The command may or may not get committed.
+    /// The command may or may not be committed.
     Unknown,
 }
 
-/// Who leads the control instances, as one of them knows it.
+/// Leader of the control instances, as one of them knows it.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Leadership {
-    /// Whether the sender leads and its lease stands.
+    /// Whether the sender is the leader and holds a valid lease.
     #[serde(rename = "own")]
     pub is_leader: bool,
-    /// Instance that leads, if the sender knows one.
+    /// Leader, if the sender knows one.
     pub leader: Option<InstanceName>,
 }
 
 /// Request for the published state.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Follow {
-    /// The state once it is newer than `after`.
+    /// Returns the state once it is newer than `after`.
     Newer {
-        /// Log position of the state that the caller has, or `None` for nothing.
+        /// Log position of the caller's state, or `None` if it has none.
         after: Option<LogIndex>,
-        /// Time to hold the call while there is nothing newer, in milliseconds.
+        /// Long-poll timeout in milliseconds.
         wait_ms: u32,
     },
-    /// The state with everything that was acknowledged so far, which only a leader can give.
+    /// Returns a state that includes all acknowledged commands (linearizable); only the leader can.
     Latest,
 }
 
-/// Answer to a request for the published state.
+/// Response with the published state.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Followed {
-    /// State, where it is newer than the caller's.
+    /// State, if it is newer than the caller's.
     pub published: Option<PublishedState>,
-    /// Orders to take data centres out that the sender knows.
+    /// Orders to take data centres out that are known to the sender.
     #[serde(rename = "holds")]
     pub take_outs: Vec<TakeOut>,
-    /// Time since the sender's state was last known to be that of a group with a leader, in
-    /// milliseconds, or `None` if it never was.
+    /// Time since the sender's state was last confirmed by a group with a leader, in milliseconds;
+    /// `None` if it never was.
     pub age_ms: Option<u64>,
 }
 
-/// Request for what has changed of all that an entry follows.
+/// Request for the changes of what an entry follows.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Discover {
-    /// Log position of the state that the caller has, or `None` for nothing.
+    /// Log position of the caller's state, or `None` if it has none.
     pub after: Option<LogIndex>,
-    /// Mark of the list of targets that the caller has.
+    /// Mark of the caller's list of targets.
     #[serde(rename = "listing")]
     pub list_mark: Option<u64>,
-    /// Entries that the caller knows.
+    /// Number of entries that the caller knows.
     #[serde(rename = "entries")]
     pub entry_count: usize,
-    /// Time to hold the call while there is nothing new, in milliseconds.
+    /// Long-poll timeout in milliseconds.
     pub wait_ms: u32,
 }
 
-/// Answer to a survey.
+/// Response to [`Discover`].
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Discovered {
-    /// Published state, where it is newer than the caller's, and its age.
+    /// Published state, if it is newer than the caller's, and its age.
     pub followed: Followed,
-    /// List of targets, where it differs from the caller's.
+    /// List of targets, if it differs from the caller's.
     #[serde(rename = "listing")]
     pub target_list: Option<TargetList>,
     /// Time since the list was read from the platform, in milliseconds.
@@ -249,55 +253,55 @@
     pub entries: Vec<ServingEntry>,
 }
 
-/// What an entry tells of itself.
+/// State of an entry in its heartbeat.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Presence {
-    /// Data centre.
+    /// Data centre of the entry.
     pub centre: CentreName,
-    /// Whether it is about to stop.
+    /// Whether the entry is about to stop.
     #[serde(rename = "leaving")]
     pub draining: bool,
 }
 
-/// Stage of a request that another entry is to have done.
+/// Stage of a request that another entry's scheduler is to run.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Offer {
-    /// Desk that has it done.
+    /// Scheduler of the stage.
     #[serde(rename = "desk")]
     pub scheduler: SchedulerName,
-    /// Work.
+    /// Job to run.
     pub job: Job,
-    /// Time to hold the call while it is not done, in milliseconds.
+    /// Time to wait for the job's completion, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// Stages of a request that another entry is to make room for.
+/// Later stages of a request for which another entry's scheduler is to reserve capacity.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Book {
-    /// Desk that is to have them done.
+    /// Scheduler of the stages.
     #[serde(rename = "desk")]
     pub scheduler: SchedulerName,
-    /// Stages.
+    /// Reservations.
     #[serde(rename = "bookings")]
     pub reservations: Vec<Reservation>,
 }
 
-/// What another entry need not do or keep any more.
+/// Jobs and results that another entry can drop.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Dismiss {
-    /// Desk concerned.
+    /// Scheduler of the jobs.
     #[serde(rename = "desk")]
     pub scheduler: SchedulerName,
-    /// Jobs that nobody waits for, or whose bookings are not used.
+    /// Cancelled jobs, and jobs whose reservations are not used.
     pub jobs: Vec<JobId>,
-    /// Results that nobody needs.
+    /// Results to release.
     pub results: Vec<Handle>,
 }
 
-/// What an instance has in force.
+/// State that an instance has in force.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct InstanceStatus {
-    /// Instance.
+    /// Name of the instance.
     pub name: InstanceName,
     /// Log position of the state in force, or `None` before the first.
     pub index: Option<LogIndex>,
@@ -307,22 +311,22 @@
     pub hash: Arc<str>,
     /// Data centres that get no new work from this instance.
     pub taken_out: Vec<CentreName>,
-    /// Orders to take data centres out that are not in the log as far as the instance knows.
+    /// Orders to take data centres out that are not yet in the log, as far as the instance knows.
     pub unlogged: Vec<CentreOrder>,
-    /// Its part in the replicated log, if it has the control role.
+    /// Status of its replica, if it has the control role.
     pub control: Option<ControlStatus>,
 }
 
-/// Part of an instance in the replicated log.
+/// Status of a control instance's replica.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ControlStatus {
-    /// Who leads.
+    /// Leader of the group.
     #[serde(rename = "lead")]
     pub leadership: Leadership,
-    /// Term.
+    /// Current term.
     pub term: Term,
-    /// Last entry known to be committed.
+    /// Index of the last entry known to be committed.
     pub commit: LogIndex,
-    /// Members of the group, with the identities of their data folders.
+    /// Group members, with the identities of their data folders.
     pub members: Members,
 }
--- a/hawthornkeel/src/peer/inbound.rs
+++ b/hawthornkeel/src/peer/inbound.rs
@@ -1,4 +1,4 @@
-//! Incoming connections: checks who the peer is, then serves its frames and calls.
+//! Incoming connections: authenticates the peer, then serves its frames and calls.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -22,24 +22,24 @@
 use crate::peer::wire;
 use crate::peer::wire::WireError;
 
-/// Connection closed because the peer broke the protocol or isn't who it claims to be.
+/// Close code: the peer violated the protocol or failed authentication.
 const CODE_REFUSED: VarInt = VarInt::from_u32(1);
 
-/// Answer of a call's handler, which comes later.
-pub type AnswerFuture = Pin<Box<dyn Future<Output = Frame>>>;
+/// Future of a call's response.
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Frame>>>;
 type FrameHandler = Rc<dyn Fn(&InstanceName, Frame)>;
-type CallHandler = Rc<dyn Fn(InstanceName, Frame) -> AnswerFuture>;
+type CallHandler = Rc<dyn Fn(InstanceName, Frame) -> ResponseFuture>;
 
 /// Handlers of incoming frames, by kind.
 #[derive(Default)]
 pub struct Handlers {
     /// Name of this instance.
     pub name: InstanceName,
-    /// What proves who a peer is.
+    /// How peers are authenticated.
     pub trust: Trust,
-    /// Of one-way frames.
+    /// Handlers of one-way frames.
     pub frames: RefCell<IndexMap<FrameKind, FrameHandler>>,
-    /// Of calls.
+    /// Handlers of calls.
     pub calls: RefCell<IndexMap<FrameKind, CallHandler>>,
 }
 
@@ -60,7 +60,7 @@
             return;
         }
     };
-    match identify(&connection, &handlers).await {
+    match authenticate(&connection, &handlers).await {
         Ok((name, stream)) => {
             tracing::info!(event = "peer-accepted", peer = %name, %address);
             monoio::spawn(serve_calls(connection.clone(), name.clone(), handlers.clone()));
@@ -71,7 +71,7 @@
     }
 }
 
-/// Closes `connection` because of `error`, unless it has ended already.
+/// Closes `connection` because of `error`, unless it is closed already.
 fn refuse(connection: &Connection, error: &dyn std::fmt::Display) {
     if connection.close_reason().is_none() {
         let error = error.to_string();
@@ -80,15 +80,15 @@
     }
 }
 
-/// Reads the name that the peer claims, has it proved and answers with the own name.
-async fn identify(
+/// Reads the name that the peer claims, verifies it and replies with this instance's name.
+async fn authenticate(
     connection: &Connection,
     handlers: &Handlers,
 ) -> Result<(InstanceName, RecvStream), String> {
     let mut stream = connection.accept_uni().await.map_err(|e| e.to_string())?;
     let name = match wire::read(&mut stream).await {
         Ok(Frame::Hello(name)) => name,
-        Ok(_) => return Err("connection starts without a name".to_owned()),
+        Ok(_) => return Err("first frame is not a hello".to_owned()),
         Err(error) => return Err(error.to_string()),
     };
     match handlers.trust {
@@ -96,14 +96,14 @@
             return Err(format!("certificate is not for {name}"));
         }
         Trust::Addresses if Peers::name_of(connection.remote_address()) != name => {
-            return Err(format!("address is not that of {name}"));
+            return Err(format!("remote address does not belong to {name}"));
         }
         Trust::Certificates | Trust::Addresses => {}
     }
     let hello = wire::encode(&Frame::Hello(handlers.name.clone())).map_err(|e| e.to_string())?;
-    let mut answer = connection.open_uni().await.map_err(|e| e.to_string())?;
-    answer.write_chunk(hello).await.map_err(|e| e.to_string())?;
-    answer.finish().map_err(|e| e.to_string())?;
+    let mut reply = connection.open_uni().await.map_err(|e| e.to_string())?;
+    reply.write_chunk(hello).await.map_err(|e| e.to_string())?;
+    reply.finish().map_err(|e| e.to_string())?;
     Ok((name, stream))
 }
 
@@ -145,8 +145,8 @@
     mut receive: RecvStream,
     handlers: &Handlers,
 ) -> Result<(), String> {
-    let answer = match wire::read(&mut receive).await {
-        Ok(frame) => answer(name, frame, handlers).await,
+    let response = match wire::read(&mut receive).await {
+        Ok(frame) => dispatch(name, frame, handlers).await,
         Err(WireError::UnknownVersion(found)) => {
             tracing::warn!(event = "version-refused", peer = %name, found, known = wire::VERSION);
             Frame::Refused(Refusal::Version { found, known: wire::VERSION })
@@ -156,12 +156,12 @@
         }
         Err(error) => return Err(error.to_string()),
     };
-    let answer = wire::encode(&answer).map_err(|e| e.to_string())?;
-    send.write_chunk(answer).await.map_err(|e| e.to_string())?;
+    let response = wire::encode(&response).map_err(|e| e.to_string())?;
+    send.write_chunk(response).await.map_err(|e| e.to_string())?;
     send.finish().map_err(|e| e.to_string())
 }
 
-async fn answer(name: &InstanceName, frame: Frame, handlers: &Handlers) -> Frame {
+async fn dispatch(name: &InstanceName, frame: Frame, handlers: &Handlers) -> Frame {
     let handler = handlers.calls.borrow().get(&frame.kind()).cloned();
     match handler {
         Some(handler) => handler(name.clone(), frame).await,
--- a/hawthornkeel/src/peer/link.rs
+++ b/hawthornkeel/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! Outgoing connection to one peer: opened on demand, replaced when it fails or falls silent.
+//! Outgoing connection to one peer: opened on demand, replaced when it fails or goes silent.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -26,33 +26,33 @@
 use crate::peer::wakeup::EventCount;
 use crate::peer::wire;
 
-/// One-way frames waiting for one peer, at most.
+/// Maximum number of one-way frames queued for one peer.
 const MAX_QUEUED: usize = 4_096;
-/// One-way frames waiting for one peer, in bytes at most.
+/// Maximum size of the one-way frames queued for one peer, in bytes.
 const MAX_QUEUED_BYTES: usize = 16 * 1024 * 1024;
-/// First wait after a connection could not be made.
-const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest wait after a connection could not be made.
+/// Initial delay after a failed connection attempt.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Maximum delay after a failed connection attempt.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
-/// Time without a frame or call after which a connection is closed, to save its keep-alive pings.
+/// Time without a frame or call after which a connection is closed, to save keep-alive traffic.
 ///
-/// Longer than the longest call.
-const UNUSED: Duration = Duration::from_secs(10);
-/// Connection closed because nobody used it.
+/// Must exceed the timeout of the longest call.
+const UNUSED_TIMEOUT: Duration = Duration::from_secs(10);
+/// Close code: the connection was unused.
 const CODE_UNUSED: VarInt = VarInt::from_u32(3);
-/// Connection closed because its peer had gone silent.
+/// Close code: the peer was silent.
 const CODE_SILENT: VarInt = VarInt::from_u32(2);
 
-/// What a link needs to connect.
+/// Settings shared by all outgoing connections.
 #[derive(Clone, Debug)]
 pub struct Dialer {
     /// Name of this instance.
     pub name: InstanceName,
-    /// Address that connections start from.
+    /// Local address of outgoing connections.
     pub source: IpAddr,
     /// Credentials of this instance.
     pub client: ClientConfig,
-    /// Event loop that connections run on.
+    /// Runtime that connections run on.
     pub runtime: MonoioRuntime,
 }
 
@@ -66,22 +66,22 @@
     queue: RefCell<VecDeque<Bytes>>,
     queued_bytes: Cell<usize>,
     queued: EventCount,
-    /// Last time that the connection was asked for.
-    used: Cell<Instant>,
+    /// Time at which the connection was last requested.
+    last_used: Cell<Instant>,
     closed: Cell<bool>,
 }
 
 enum State {
-    /// Not connected, and no attempt before this time.
+    /// Not connected; no attempt is made before `not_before`.
     Idle { not_before: Instant, backoff: Duration, reason: String },
-    /// An attempt is under way.
+    /// A connection attempt is in progress.
     Dialing,
-    /// Connected; the stream for one-way frames stays here while the writer does not use it.
-    Up { connection: Connection, stream: Option<SendStream> },
+    /// Connected; holds the stream for one-way frames until the writer task takes it.
+    Connected { connection: Connection, stream: Option<SendStream> },
 }
 
 impl Link {
-    /// Creates the link to `peer` at `address`, without connecting yet.
+    /// Creates a link to `peer` at `address` without connecting.
     pub fn new(peer: InstanceName, address: SocketAddr, dialer: Dialer) -> Rc<Self> {
         let link = Rc::new(Self {
             peer,
@@ -89,23 +89,21 @@
             dialer,
             state: RefCell::new(State::Idle {
                 not_before: Instant::now(),
-                backoff: FIRST_BACKOFF,
+                backoff: INITIAL_BACKOFF,
                 reason: String::new(),
             }),
             changed: EventCount::default(),
             queue: RefCell::default(),
             queued_bytes: Cell::new(0),
             queued: EventCount::default(),
-            used: Cell::new(Instant::now()),
+            last_used: Cell::new(Instant::now()),
             closed: Cell::new(false),
         });
         monoio::spawn(write_queued(Rc::downgrade(&link)));
         link
     }
 
-    /// Queues an encoded one-way frame, or drops it when the queue is full.
-    ///
-    /// Returns whether it was queued.
+    /// Queues an encoded one-way frame and returns `true`, or drops it if the queue is full.
     pub fn push(&self, frame: Bytes) -> bool {
         let mut queue = self.queue.borrow_mut();
         let bytes = self.queued_bytes.get() + frame.len();
@@ -125,48 +123,48 @@
         Some(frame)
     }
 
-    /// Drops the frames that wait: they are old by the time that a new connection stands.
+    /// Drops the queued frames, which would be stale by the time a new connection is established.
     fn clear(&self) {
         self.queue.borrow_mut().clear();
         self.queued_bytes.set(0);
     }
 
-    /// Closes the connection for good.
+    /// Closes the link permanently.
     pub fn close(&self) {
         self.closed.set(true);
         self.clear();
-        if let State::Up { connection, .. } = &*self.state.borrow() {
+        if let State::Connected { connection, .. } = &*self.state.borrow() {
             connection.close(VarInt::from_u32(0), b"closed");
         }
         self.queued.notify();
         self.changed.notify();
     }
 
-    /// Closes `connection` because nothing came from the peer while a call waited.
-    pub fn replace_silent(&self, connection: &Connection) {
+    /// Closes `connection` because no datagram arrived from the peer while a call was waiting.
+    pub fn close_silent(&self, connection: &Connection) {
         if connection.close_reason().is_none() {
             tracing::warn!(event = "peer-silent", peer = %self.peer, address = %self.address);
             connection.close(CODE_SILENT, b"silent");
         }
     }
 
-    /// Returns a live connection, made now if there is none.
+    /// Returns an open connection, connecting first if necessary.
     ///
     /// # Errors
     ///
-    /// Fails where none could be made, or where the last failure was a moment ago.
+    /// Fails where the attempt fails, or without an attempt during the backoff after a failure.
     pub async fn connection(self: &Rc<Self>) -> Result<Connection, PeerError> {
         let mut dialed = false;
-        self.used.set(Instant::now());
+        self.last_used.set(Instant::now());
         loop {
             let seen = self.changed.count();
-            match self.live(dialed)? {
-                Live::Connection(connection) => return Ok(connection),
-                Live::Dial(backoff) => {
+            match self.availability(dialed)? {
+                Availability::Connected(connection) => return Ok(connection),
+                Availability::Dial(backoff) => {
                     self.start_dial(backoff);
                     dialed = true;
                 }
-                Live::Wait => {
+                Availability::Wait => {
                     dialed = true;
                     self.changed.wait_after(seen).await;
                 }
@@ -174,24 +172,24 @@
         }
     }
 
-    fn live(&self, dialed: bool) -> Result<Live, PeerError> {
+    fn availability(&self, dialed: bool) -> Result<Availability, PeerError> {
         if self.closed.get() {
             return Err(PeerError::Unreachable("endpoint closed".to_owned()));
         }
         match &*self.state.borrow() {
-            State::Up { connection, .. } => match connection.close_reason() {
-                None => Ok(Live::Connection(connection.clone())),
+            State::Connected { connection, .. } => match connection.close_reason() {
+                None => Ok(Availability::Connected(connection.clone())),
                 Some(reason) => {
                     tracing::info!(event = "peer-lost", peer = %self.peer, %reason);
-                    Ok(Live::Dial(FIRST_BACKOFF))
+                    Ok(Availability::Dial(INITIAL_BACKOFF))
                 }
             },
-            State::Dialing => Ok(Live::Wait),
+            State::Dialing => Ok(Availability::Wait),
             State::Idle { not_before, backoff, reason } => {
                 if dialed || Instant::now() < *not_before {
                     return Err(PeerError::Unreachable(reason.clone()));
                 }
-                Ok(Live::Dial(*backoff))
+                Ok(Availability::Dial(*backoff))
             }
         }
     }
@@ -204,9 +202,9 @@
                 Ok((connection, stream)) => {
                     tracing::info!(event = "peer-connected", peer = %link.peer, address = %link.address);
                     monoio::spawn(close_unused(Rc::downgrade(&link), connection.clone()));
-                    State::Up { connection, stream: Some(stream) }
+                    State::Connected { connection, stream: Some(stream) }
                 }
-                Err(error) => link.failed(backoff, &error),
+                Err(error) => link.record_failure(backoff, &error),
             };
             link.state.replace(state);
             link.changed.notify();
@@ -216,11 +214,11 @@
         });
     }
 
-    fn failed(&self, backoff: Duration, error: &PeerError) -> State {
+    fn record_failure(&self, backoff: Duration, error: &PeerError) -> State {
         tracing::warn!(event = "peer-unreachable", peer = %self.peer, address = %self.address, %error);
-        let wait = backoff.mul_f64(0.5 + rand::random::<f64>() / 2.0);
+        let delay = backoff.mul_f64(0.5 + rand::random::<f64>() / 2.0);
         State::Idle {
-            not_before: Instant::now() + wait,
+            not_before: Instant::now() + delay,
             backoff: (backoff * 2).min(MAX_BACKOFF),
             reason: match error {
                 PeerError::Unreachable(reason) => reason.clone(),
@@ -229,7 +227,7 @@
         }
     }
 
-    /// Connects from a new port: whatever lost track of the old connection knows that port.
+    /// Connects from a new port: a NAT or firewall that lost the old flow may drop its packets.
     async fn dial(&self) -> Result<(Connection, SendStream), PeerError> {
         let socket = UdpSocket::bind((self.dialer.source, 0))?;
         let runtime = Arc::new(self.dialer.runtime.clone());
@@ -243,29 +241,30 @@
         let mut stream = connection.open_uni().await.map_err(unreachable)?;
         let hello = wire::encode(&Frame::Hello(self.dialer.name.clone()))?;
         stream.write_all(&hello).await.map_err(unreachable)?;
-        self.confirm(&connection).await?;
+        self.wait_accepted(&connection).await?;
         Ok((connection, stream))
     }
 
-    /// Waits until the peer has accepted this instance: TLS alone ends before the peer's checks.
-    async fn confirm(&self, connection: &Connection) -> Result<(), PeerError> {
+    /// Waits for the peer's hello: the TLS handshake completes before the peer has checked this
+    /// instance's name.
+    async fn wait_accepted(&self, connection: &Connection) -> Result<(), PeerError> {
         let mut stream = connection.accept_uni().await.map_err(unreachable)?;
         match wire::read(&mut stream).await.map_err(unreachable)? {
             Frame::Hello(name) if name == self.peer => Ok(()),
-            _ => Err(PeerError::Unreachable("peer answers under another name".to_owned())),
+            _ => Err(PeerError::Unreachable("peer has another name".to_owned())),
         }
     }
 
     /// Takes the stream for one-way frames out of the state.
     fn take_stream(&self) -> Option<SendStream> {
         match &mut *self.state.borrow_mut() {
-            State::Up { stream, .. } => stream.take(),
+            State::Connected { stream, .. } => stream.take(),
             State::Idle { .. } | State::Dialing => None,
         }
     }
 
-    /// Waits for a frame; `None` once the link is closed.
-    async fn next(link: &Weak<Self>) -> Option<(Rc<Self>, Bytes)> {
+    /// Waits for the next queued frame; returns `None` once the link is closed.
+    async fn next_frame(link: &Weak<Self>) -> Option<(Rc<Self>, Bytes)> {
         loop {
             let link = link.upgrade()?;
             if link.closed.get() {
@@ -280,8 +279,8 @@
     }
 }
 
-enum Live {
-    Connection(Connection),
+enum Availability {
+    Connected(Connection),
     Dial(Duration),
     Wait,
 }
@@ -290,11 +289,11 @@
     PeerError::Unreachable(error.to_string())
 }
 
-/// Closes `connection` once nobody has used it for a while.
+/// Closes `connection` once the link has been unused for [`UNUSED_TIMEOUT`].
 async fn close_unused(link: Weak<Link>, connection: Connection) {
     loop {
-        let Some(used) = link.upgrade().map(|l| l.used.get()) else { return };
-        let Some(rest) = UNUSED.checked_sub(used.elapsed()) else { break };
+        let Some(last_used) = link.upgrade().map(|l| l.last_used.get()) else { return };
+        let Some(rest) = UNUSED_TIMEOUT.checked_sub(last_used.elapsed()) else { break };
         monoio::time::sleep(rest + Duration::from_millis(1)).await;
         if connection.close_reason().is_some() {
             return;
@@ -303,10 +302,10 @@
     connection.close(CODE_UNUSED, b"unused");
 }
 
-/// Writes the queued frames in order, each connection's on one stream.
+/// Writes the queued frames in order, on one stream per connection.
 async fn write_queued(link: Weak<Link>) {
     let mut current: Option<(usize, SendStream)> = None;
-    while let Some((link, frame)) = Link::next(&link).await {
+    while let Some((link, frame)) = Link::next_frame(&link).await {
         let Ok(connection) = link.connection().await else {
             link.clear();
             continue;
--- a/hawthornkeel/src/peer/mod.rs
+++ b/hawthornkeel/src/peer/mod.rs
@@ -1,4 +1,6 @@
-//! Messages between instances: QUIC with mutual TLS, on the process's own event loop.
+//! Messages between instances, over QUIC on the process's event loop.
+//!
+//! Peers authenticate each other by mutual TLS, or by their addresses where the settings say so.
 
 pub mod certificate;
 pub mod compression;
--- a/hawthornkeel/src/peer/runtime.rs
+++ b/hawthornkeel/src/peer/runtime.rs
@@ -1,4 +1,4 @@
-//! Lets `quinn` run on `monoio`: timers, tasks and UDP sockets.
+//! `quinn` runtime on `monoio`: timers, tasks and UDP sockets.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -31,21 +31,21 @@
 
 use crate::peer::wakeup::yield_now;
 
-/// Datagram, in bytes at most.
-const MAX_DATAGRAM: usize = 2048;
-/// Datagrams received and not yet read by `quinn`, at most.
-const MAX_RECEIVED: usize = 4096;
-/// Datagrams received before other tasks get to run.
+/// Maximum size of a datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+/// Maximum number of received datagrams queued for `quinn`.
+const MAX_RECEIVE_QUEUE: usize = 4096;
+/// Number of datagrams received before yielding to other tasks.
 const RECEIVE_BURST: usize = 32;
 
-/// `quinn` runtime on the calling thread's `monoio` event loop; clones share the traffic counted.
+/// `quinn` runtime on the calling thread's `monoio` event loop; clones share the traffic counters.
 #[derive(Clone, Debug, Default)]
 pub struct MonoioRuntime {
     /// Traffic of all sockets of the runtime.
     pub traffic: Arc<Traffic>,
 }
 
-/// Datagrams and their bytes, without the heads of UDP and IP.
+/// Counters of datagrams and their payload bytes, without UDP and IP headers.
 #[derive(Debug, Default)]
 pub struct Traffic {
     sent: AtomicU64,
@@ -55,12 +55,12 @@
 }
 
 impl Traffic {
-    /// Returns the datagrams sent and received so far.
+    /// Returns the number of datagrams sent and received.
     pub fn datagrams(&self) -> u64 {
         self.sent.load(Ordering::Relaxed) + self.received.load(Ordering::Relaxed)
     }
 
-    /// Returns the bytes sent and received so far.
+    /// Returns the number of bytes sent and received.
     pub fn bytes(&self) -> u64 {
         self.sent_bytes.load(Ordering::Relaxed) + self.received_bytes.load(Ordering::Relaxed)
     }
@@ -92,12 +92,13 @@
     }
 }
 
-/// Locks `mutex`; a panic elsewhere ends the process, so poisoning carries no information.
+/// Locks `mutex`, ignoring poisoning, as a panic ends the process.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Timer whose sleeping task is apart from it, since `quinn` wants a timer that is `Send`.
+/// Timer with a separate sleeping task, as `quinn` requires timers to be `Send` and `monoio`'s are
+/// not.
 #[derive(Debug, Default)]
 struct Timer {
     shared: Arc<Mutex<TimerState>>,
@@ -105,15 +106,15 @@
 
 #[derive(Debug, Default)]
 struct TimerState {
-    /// Time at which the timer expires.
+    /// Expiry time.
     deadline: Option<Instant>,
-    /// Earliest wake-up of the sleeping tasks.
+    /// Earliest wake-up time of the sleeping tasks.
     wake_at: Option<Instant>,
     waker: Option<Waker>,
 }
 
 impl Timer {
-    /// Sets the deadline, and starts a sleeping task unless one wakes up early enough.
+    /// Sets the deadline and spawns a sleeping task unless one wakes up early enough.
     fn schedule(&self, deadline: Instant) {
         let mut state = lock(&self.shared);
         state.deadline = Some(deadline);
@@ -126,7 +127,7 @@
     }
 }
 
-/// Sleeps until `wake_at`, then wakes the timer's task or sleeps on if the deadline has moved.
+/// Sleeps until `wake_at`, then wakes the timer's task, or sleeps again if the deadline has moved.
 async fn sleep_until(timer: std::sync::Weak<Mutex<TimerState>>, mut wake_at: Instant) {
     loop {
         monoio::time::sleep_until(wake_at.into()).await;
@@ -168,7 +169,7 @@
     }
 }
 
-/// UDP socket: sends directly, receives through a task of its own.
+/// UDP socket that sends directly and receives in a separate task.
 struct Socket {
     socket: StdSocket,
     traffic: Arc<Traffic>,
@@ -180,14 +181,14 @@
     received: VecDeque<(SocketAddr, Vec<u8>)>,
     reader: Option<Waker>,
     writers: Vec<Waker>,
-    /// Tasks that serve the socket and must notice that it is closed.
-    servers: Vec<Waker>,
+    /// Wakers of the socket's I/O tasks, which end once it is closed.
+    io_tasks: Vec<Waker>,
     closed: bool,
 }
 
 impl SocketState {
-    fn wake_servers(&mut self) {
-        self.servers.drain(..).for_each(Waker::wake);
+    fn wake_io_tasks(&mut self) {
+        self.io_tasks.drain(..).for_each(Waker::wake);
     }
 }
 
@@ -206,7 +207,7 @@
     fn drop(&mut self) {
         let mut state = lock(&self.shared);
         state.closed = true;
-        state.wake_servers();
+        state.wake_io_tasks();
     }
 }
 
@@ -216,21 +217,21 @@
     }
 }
 
-/// Registers `cx` with the tasks to wake at closing, and tells whether the socket is closed.
+/// Registers the task of `cx` for the wake-up on close and tells whether the socket is closed.
 fn poll_closed(shared: &Mutex<SocketState>, cx: &Context<'_>) -> bool {
     let mut state = lock(shared);
-    if !state.servers.iter().any(|w| w.will_wake(cx.waker())) {
-        state.servers.push(cx.waker().clone());
+    if !state.io_tasks.iter().any(|w| w.will_wake(cx.waker())) {
+        state.io_tasks.push(cx.waker().clone());
     }
     state.closed
 }
 
-/// Moves datagrams from the socket to the queue until the socket is closed.
+/// Moves datagrams from the socket to the queue until it is closed; excess datagrams are dropped.
 async fn receive(socket: std::rc::Rc<UdpSocket>, shared: Arc<Mutex<SocketState>>) {
     let mut burst = 0;
     loop {
         let datagram = {
-            let mut next = pin!(socket.recv_from(Vec::with_capacity(MAX_DATAGRAM)));
+            let mut next = pin!(socket.recv_from(Vec::with_capacity(MAX_DATAGRAM_BYTES)));
             poll_fn(|cx| match poll_closed(&shared, cx) {
                 true => Poll::Ready(None),
                 false => next.as_mut().poll(cx).map(Some),
@@ -238,10 +239,10 @@
             .await
         };
         let Some((result, data)) = datagram else { return };
-        // An error concerns one datagram, such as a port that an earlier one could not reach.
+        // An error concerns a single datagram, such as an ICMP error for an earlier one.
         if let Ok((_, source)) = result {
             let mut state = lock(&shared);
-            if state.received.len() < MAX_RECEIVED {
+            if state.received.len() < MAX_RECEIVE_QUEUE {
                 state.received.push_back((source, data));
             }
             if let Some(reader) = state.reader.take() {
@@ -255,7 +256,7 @@
     }
 }
 
-/// Wakes the waiting senders when the socket takes datagrams again, until it is closed.
+/// Wakes waiting senders when the socket becomes writable, until it is closed.
 async fn watch_writable(socket: std::rc::Rc<UdpSocket>, shared: Arc<Mutex<SocketState>>) {
     loop {
         let closed = poll_fn(|cx| match poll_closed(&shared, cx) {
@@ -285,7 +286,7 @@
                 Ok(())
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Err(e),
-            // Other errors lose one datagram; the protocol sends again or gives up by itself.
+            // Other errors count as packet loss; QUIC retransmits or closes the connection.
             Err(_) => Ok(()),
         }
     }
@@ -319,7 +320,7 @@
     }
 }
 
-/// Waits for one socket to take datagrams again.
+/// Waits until a socket is writable.
 struct Writable {
     shared: Arc<Mutex<SocketState>>,
     waiting: bool,
@@ -340,7 +341,7 @@
         self.waiting = true;
         let mut state = lock(&self.shared);
         state.writers.push(cx.waker().clone());
-        state.wake_servers();
+        state.wake_io_tasks();
         Poll::Pending
     }
 }
--- a/hawthornkeel/src/peer/wakeup.rs
+++ b/hawthornkeel/src/peer/wakeup.rs
@@ -1,4 +1,4 @@
-//! Wake-ups between tasks of one thread.
+//! Wake-ups between tasks on one thread.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -6,7 +6,7 @@
 use std::task::Poll;
 use std::task::Waker;
 
-/// Counter of events that tasks of one thread can wait on.
+/// Event counter on which tasks of one thread can wait.
 #[derive(Debug, Default)]
 pub struct EventCount {
     count: Cell<u64>,
@@ -14,12 +14,12 @@
 }
 
 impl EventCount {
-    /// Returns the number of events so far, to pass to [`EventCount::wait_after`].
+    /// Returns the current count, to pass to [`EventCount::wait_after`].
     pub fn count(&self) -> u64 {
         self.count.get()
     }
 
-    /// Counts one event and wakes every waiting task.
+    /// Increments the count and wakes all waiting tasks.
     pub fn notify(&self) {
         self.count.set(self.count.get().wrapping_add(1));
         for waker in self.wakers.take() {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Waits until there is an event that `seen` does not count.
+    /// Waits until the count differs from `seen`.
     pub async fn wait_after(&self, seen: u64) {
         poll_fn(|cx| {
             if self.count.get() != seen {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Lets the other tasks of the thread run once.
+/// Yields once to the other tasks of the thread.
 pub async fn yield_now() {
     let mut yielded = false;
     poll_fn(|cx| {
--- a/hawthornkeel/src/peer/wire.rs
+++ b/hawthornkeel/src/peer/wire.rs
@@ -1,4 +1,5 @@
-//! Frames as bytes on a QUIC stream: version, form, length and a `postcard` body.
+//! Encoding of frames on a QUIC stream: a header of version, body encoding and length, then a
+//! `postcard` body.
 
 use std::fmt;
 
@@ -10,25 +11,25 @@
 use crate::peer::compression::BodyEncoding;
 use crate::peer::frame::Frame;
 
-/// Protocol version that this build speaks.
+/// Protocol version of this build.
 pub const VERSION: u16 = 4;
-/// Body of a frame before compression, in bytes at most.
+/// Maximum size of a frame's body before compression, in bytes.
 pub const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
-/// Version, form and length in front of the body, in bytes.
+/// Size of the header (version, body encoding, length), in bytes.
 const HEADER_BYTES: usize = 7;
 
-/// Frame that can't be written or read.
+/// Error of encoding, reading or decoding a frame.
 #[derive(Debug)]
 pub enum WireError {
     /// The frame has another protocol version.
     UnknownVersion(u16),
     /// The body has this many bytes, more than [`MAX_BODY_BYTES`].
     TooLong(usize),
-    /// The body has an unknown form.
+    /// The body has an unknown encoding.
     UnknownEncoding(u8),
-    /// The body can't be decompressed, or not within [`MAX_BODY_BYTES`].
+    /// The body is invalid DEFLATE data or decompresses to more than [`MAX_BODY_BYTES`].
     Decompress,
-    /// The body is not a frame.
+    /// The body can't be deserialised.
     Malformed(postcard::Error),
     /// The stream ended before or within a frame.
     StreamEnded,
@@ -42,8 +43,10 @@
             Self::UnknownVersion(found) => {
                 write!(f, "unknown protocol version {found}, this instance speaks {VERSION}")
             }
-            Self::TooLong(size) => write!(f, "frame of {size} bytes, {MAX_BODY_BYTES} at most"),
-            Self::UnknownEncoding(found) => write!(f, "unknown form {found} of a frame's body"),
+            Self::TooLong(size) => {
+                write!(f, "frame of {size} bytes exceeds the limit of {MAX_BODY_BYTES}")
+            }
+            Self::UnknownEncoding(found) => write!(f, "unknown body encoding {found}"),
             Self::Decompress => {
                 write!(f, "body can't be decompressed within {MAX_BODY_BYTES} bytes")
             }
@@ -71,7 +74,7 @@
     }
 }
 
-/// Encodes `frame` with its head.
+/// Encodes `frame` with its header.
 ///
 /// # Errors
 ///
@@ -84,23 +87,23 @@
     }
     let (_, plain) = body.split_at(HEADER_BYTES);
     match compression::compress(plain) {
-        Some(packed) => {
+        Some(compressed) => {
             let mut data = vec![0; HEADER_BYTES];
-            data.extend_from_slice(&packed);
-            finish(data, BodyEncoding::Deflate)
+            data.extend_from_slice(&compressed);
+            write_header(data, BodyEncoding::Deflate)
         }
-        None => finish(body, BodyEncoding::Identity),
+        None => write_header(body, BodyEncoding::Identity),
     }
 }
 
-/// Writes the head into the room left for it.
-fn finish(mut data: Vec<u8>, form: BodyEncoding) -> Result<Bytes, WireError> {
+/// Writes the header into the space reserved for it.
+fn write_header(mut data: Vec<u8>, encoding: BodyEncoding) -> Result<Bytes, WireError> {
     let size = data.len() - HEADER_BYTES;
     let length = u32::try_from(size).map_err(|_| WireError::TooLong(size))?;
     let [v0, v1] = VERSION.to_le_bytes();
     let [l0, l1, l2, l3] = length.to_le_bytes();
-    let head = [v0, v1, form.code(), l0, l1, l2, l3];
-    data.iter_mut().zip(head).for_each(|(to, from)| *to = from);
+    let header = [v0, v1, encoding.code(), l0, l1, l2, l3];
+    data.iter_mut().zip(header).for_each(|(to, from)| *to = from);
     Ok(Bytes::from(data))
 }
 
@@ -108,38 +111,38 @@
 ///
 /// # Errors
 ///
-/// Fails where the stream fails or ends, or where the frame has an unknown version or form, is too
-/// long or can't be decoded; nothing more can be read from the stream then.
+/// Fails where the stream fails or ends, or where the frame has an unknown version or encoding, is
+/// too long or can't be decoded; the stream can't be read any further then.
 pub async fn read(stream: &mut RecvStream) -> Result<Frame, WireError> {
-    let mut head = [0; HEADER_BYTES];
-    stream.read_exact(&mut head).await?;
-    let (form, length) = read_head(head)?;
+    let mut header = [0; HEADER_BYTES];
+    stream.read_exact(&mut header).await?;
+    let (encoding, length) = parse_header(header)?;
     let mut body = vec![0; length];
     stream.read_exact(&mut body).await?;
-    decode(form, &body)
+    decode(encoding, &body)
 }
 
-fn read_head(head: [u8; HEADER_BYTES]) -> Result<(BodyEncoding, usize), WireError> {
-    let [v0, v1, form, l0, l1, l2, l3] = head;
+fn parse_header(header: [u8; HEADER_BYTES]) -> Result<(BodyEncoding, usize), WireError> {
+    let [v0, v1, encoding, l0, l1, l2, l3] = header;
     let version = u16::from_le_bytes([v0, v1]);
     if version != VERSION {
         return Err(WireError::UnknownVersion(version));
     }
-    let form = BodyEncoding::from_code(form).ok_or(WireError::UnknownEncoding(form))?;
+    let encoding = BodyEncoding::from_code(encoding).ok_or(WireError::UnknownEncoding(encoding))?;
     let length = u32::from_le_bytes([l0, l1, l2, l3]) as usize;
     if length > MAX_BODY_BYTES {
         return Err(WireError::TooLong(length));
     }
-    Ok((form, length))
+    Ok((encoding, length))
 }
 
 /// Decodes the body of a frame.
 ///
 /// # Errors
 ///
-/// Fails where the body can't be decompressed within [`MAX_BODY_BYTES`] or is not a frame.
-pub fn decode(form: BodyEncoding, body: &[u8]) -> Result<Frame, WireError> {
-    match form {
+/// Fails where the body can't be decompressed within [`MAX_BODY_BYTES`] or deserialised.
+pub fn decode(encoding: BodyEncoding, body: &[u8]) -> Result<Frame, WireError> {
+    match encoding {
         BodyEncoding::Identity => Ok(postcard::from_bytes(body)?),
         BodyEncoding::Deflate => {
             let plain =
--- a/hawthornkeel/tests/http_bounds.rs
+++ b/hawthornkeel/tests/http_bounds.rs
@@ -1,4 +1,4 @@
-//! Heads, bodies, senders and connections stay within their bounds.
+//! Limits on heads, bodies, slow senders, idle connections and memory.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -26,15 +26,15 @@
 }
 
 fn assert_refused(caller: &mut RawCaller, status: u16, code: &str) {
-    let answer = caller.answer().unwrap();
-    assert_eq!(answer.status, status, "{answer:?}");
-    assert!(answer.head.contains("\r\nconnection: close\r\n"), "{answer:?}");
-    assert!(answer.body.contains(&format!("\"code\":\"{code}\"")), "{answer:?}");
-    assert!(answer.body.contains("\"ran\":\"not-run\""), "{answer:?}");
+    let response = caller.answer().unwrap();
+    assert_eq!(response.status, status, "{response:?}");
+    assert!(response.head.contains("\r\nconnection: close\r\n"), "{response:?}");
+    assert!(response.body.contains(&format!("\"code\":\"{code}\"")), "{response:?}");
+    assert!(response.body.contains("\"ran\":\"not-run\""), "{response:?}");
     assert_eq!(caller.read_to_close().unwrap(), b"");
 }
 
-/// Returns the most memory that the process has held, in bytes.
+/// Returns the peak resident memory of the process, in bytes.
 fn peak_memory() -> usize {
     let status = fs::read_to_string("/proc/self/status").unwrap();
     let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
@@ -115,7 +115,7 @@
     let mut caller = RawCaller::connect(address).unwrap();
     let begin = Instant::now();
     caller.send(part).unwrap();
-    // A byte now and then must not win more time.
+    // Sending a byte now and then must not extend the timeout.
     while !caller.has_bytes().unwrap() && begin.elapsed() < Duration::from_secs(3) {
         caller.send("x").unwrap();
         std::thread::sleep(Duration::from_millis(20));
@@ -125,12 +125,12 @@
 }
 
 #[test]
-fn refusal_reaches_busy_sender() {
+fn error_reaches_busy_sender() {
     let address = start(Limits { max_body: 1000, ..Limits::default() });
     let mut caller = RawCaller::connect(address).unwrap();
     caller.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 131072\r\n\r\n").unwrap();
     assert!(thread::eventually(Duration::from_secs(5), || caller.has_bytes().unwrap()));
-    // A caller that is still sending isn't cut off by a reset before it looks for an answer.
+    // A caller that is still sending must not get a reset before it reads the response.
     for _ in 0..8 {
         caller.send("x".repeat(16 * 1024)).unwrap();
         std::thread::sleep(Duration::from_millis(5));
@@ -152,7 +152,7 @@
         start(Limits { receive_timeout: Duration::from_millis(100), ..Limits::default() });
     let mut caller = RawCaller::connect(address).unwrap();
     assert_eq!(caller.read_to_close().unwrap(), b"");
-    // Between requests the longer bound holds.
+    // Between requests the longer idle timeout applies.
     let mut caller = RawCaller::connect(address).unwrap();
     for _ in 0..2 {
         caller.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn bodies_held_are_bounded() {
+fn buffered_bodies_are_bounded() {
     let limits = Limits { max_body: 1000, max_buffered: 1500, ..Limits::default() };
     let address = start(limits);
     let head = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1000\r\n\r\n";
@@ -187,7 +187,7 @@
 fn memory_stays_bounded() {
     let address = start(Limits::default());
     let before = peak_memory();
-    let piece = "x".repeat(64 * 1024);
+    let block = "x".repeat(64 * 1024);
     let mut callers = Vec::new();
     for number in 0..64 {
         let mut caller = RawCaller::connect(address).unwrap();
@@ -198,14 +198,14 @@
         };
         caller.send(head).unwrap();
         for _ in 0..64 {
-            if let Err(error) = caller.send(&piece) {
+            if let Err(error) = caller.send(&block) {
                 assert!(raw::is_close(&error), "{error}");
                 break;
             }
         }
         callers.push(caller);
     }
-    // 64 callers try to send 4 MiB each; a third may have 1 MiB held before the bound refuses.
+    // 64 callers try to send 4 MiB each; a third may get 1 MiB buffered before the limit applies.
     let grown = peak_memory() - before;
     assert!(grown < 32 * MEBIBYTE, "grew by {grown} bytes");
 }
--- a/hawthornkeel/tests/http_connections.rs
+++ b/hawthornkeel/tests/http_connections.rs
@@ -1,4 +1,4 @@
-//! Connection cap: more wait while all are busy, and idle ones make room.
+//! Connection limit: excess connections wait while all are busy, and idle ones are closed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 const LIMIT: Duration = Duration::from_secs(5);
 const STEP: Duration = Duration::from_millis(2);
 
-/// What the requests in progress share.
+/// State shared by the requests in progress.
 #[derive(Default)]
 struct Counts {
     running: AtomicUsize,
@@ -25,7 +25,7 @@
     released: AtomicUsize,
 }
 
-/// Starts a server for two connections, whose requests under `/held` wait to be released.
+/// Starts a server with two connections at most; requests for `/held` block until released.
 fn start() -> (SocketAddr, Arc<Counts>) {
     let counts = Arc::new(Counts::default());
     let shared = counts.clone();
@@ -55,11 +55,11 @@
 }
 
 #[test]
-fn more_wait_while_all_are_busy() {
+fn excess_connections_wait() {
     let (address, counts) = start();
     let mut callers: Vec<_> = (0..4).map(|_| call(address, "/held")).collect();
     assert!(thread::eventually(LIMIT, || counts.running.load(Ordering::SeqCst) == 2));
-    // Time for a third to begin, were it let in.
+    // Gives a third request time to start, if it were accepted.
     sleep(Duration::from_millis(50));
     counts.released.store(1, Ordering::SeqCst);
     for caller in &mut callers {
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn idle_one_makes_room() {
+fn idle_connection_makes_room() {
     let (address, counts) = start();
     let mut idle = call(address, "/");
     assert!(!idle.answer().unwrap().head.contains("connection: close"));
--- a/hawthornkeel/tests/http_malformed.rs
+++ b/hawthornkeel/tests/http_malformed.rs
@@ -1,4 +1,4 @@
-//! Any byte at any place of a message ends in an answer or an error, never in a panic.
+//! Malformed messages: any byte at a place of a message yields a response or an error, not a panic.
 
 use std::io::Read;
 use std::io::Write;
@@ -16,12 +16,12 @@
 use hawthornkeel_fakes::thread;
 use rstest::rstest;
 
-/// Bytes that a message may hold in place of [`HOLE`].
+/// Bytes that replace [`PLACEHOLDER`].
 const BYTES: std::ops::RangeInclusive<u8> = 0..=255;
-const HOLE: u8 = b'@';
+const PLACEHOLDER: u8 = b'@';
 
-fn fill(message: &str, byte: u8) -> Vec<u8> {
-    message.bytes().map(|b| if b == HOLE { byte } else { b }).collect()
+fn substitute(message: &str, byte: u8) -> Vec<u8> {
+    message.bytes().map(|b| if b == PLACEHOLDER { byte } else { b }).collect()
 }
 
 #[rstest]
@@ -49,13 +49,13 @@
     let address = address.unwrap();
     for byte in BYTES {
         let mut caller = RawCaller::connect(address).unwrap();
-        caller.send(fill(request, byte)).unwrap();
+        caller.send(substitute(request, byte)).unwrap();
         caller.end().unwrap();
-        let answer = caller.read_to_close().unwrap();
-        let text = String::from_utf8_lossy(&answer);
-        let clear = text.starts_with("HTTP/1.1 200") || text.starts_with("HTTP/1.1 4");
-        // A message that isn't whole gets no answer where its sender has gone.
-        assert!(clear || text.is_empty(), "{byte}: {text}");
+        let response = caller.read_to_close().unwrap();
+        let text = String::from_utf8_lossy(&response);
+        let expected = text.starts_with("HTTP/1.1 200") || text.starts_with("HTTP/1.1 4");
+        // An incomplete message gets no response once its sender has closed the connection.
+        assert!(expected || text.is_empty(), "{byte}: {text}");
     }
 }
 
@@ -69,17 +69,17 @@
 #[case::length("HTTP/1.1 200 OK\r\nContent-Length: @\r\n\r\nx")]
 #[case::chunk_size("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n@\r\nx\r\n0\r\n\r\n")]
 #[case::event("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\ndata: @\n\r\n0\r\n\r\n")]
-fn client_survives(#[case] answer: &'static str) {
+fn client_survives(#[case] response: &'static str) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let target = std::thread::spawn(move || {
         for byte in BYTES {
-            // One answer to a call, one to a stream.
+            // One response to a call, one to a stream.
             for _ in 0..2 {
                 let (mut stream, _) = listener.accept().unwrap();
                 let mut request = [0; 4096];
                 assert!(stream.read(&mut request).unwrap() > 0);
-                stream.write_all(&fill(answer, byte)).unwrap();
+                stream.write_all(&substitute(response, byte)).unwrap();
             }
         }
     });
@@ -87,11 +87,11 @@
         let client = Client::new(ClientLimits::default());
         let call = Call { timeout: Duration::from_secs(5), ..Call::default() };
         for _ in BYTES {
-            if let Ok(answer) = client.call(address, &call).await {
-                assert!(answer.body.len() <= 1 || answer.body.starts_with(b"data"));
+            if let Ok(response) = client.call(address, &call).await {
+                assert!(response.body.len() <= 1 || response.body.starts_with(b"data"));
             }
             if let Ok(mut stream) = client.stream(address, &call).await {
-                // None of these streams carries its marker.
+                // None of these streams has its end marker.
                 assert!(stream.next().await.is_err());
             }
         }
--- a/hawthornkeel/tests/http_problem.rs
+++ b/hawthornkeel/tests/http_problem.rs
@@ -1,4 +1,4 @@
-//! Refusals: stable codes, whether the request ran, and the time to come back.
+//! Problem responses: stable codes, whether the request ran, and `Retry-After`.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use serde_json::Value;
 
 fn parse(response: Response) -> Value {
-    let Body::Full(body) = response.body else { panic!("a refusal is sent whole") };
+    let Body::Full(body) = response.body else { panic!("a problem has a complete body") };
     serde_json::from_slice(&body).unwrap()
 }
 
@@ -19,12 +19,12 @@
 #[case::not_run(Code::Overloaded, RunStatus::NotRun, 503, "overloaded", "not-run")]
 #[case::unknown(Code::OutcomeUnknown, RunStatus::Unknown, 502, "outcome-unknown", "unknown")]
 #[case::done(Code::InProgress, RunStatus::Done, 409, "in-progress", "done")]
-fn refusal_says_code_and_ran(
+fn problem_has_code_and_ran(
     #[case] code: Code,
     #[case] ran: RunStatus,
     #[case] status: u16,
     #[case] text: &str,
-    #[case] said: &str,
+    #[case] ran_text: &str,
 ) {
     let response = Problem::new(code, ran).with_detail("why").into_response();
     assert_eq!(response.status.as_u16(), status);
@@ -33,7 +33,7 @@
     let document = parse(response);
     assert_eq!(document["code"], text);
     assert_eq!(document["status"], status);
-    assert_eq!(document["ran"], said);
+    assert_eq!(document["ran"], ran_text);
     assert_eq!(document["detail"], "why");
     assert_eq!(document["type"], format!("urn:hawthornkeel:problem:{text}"));
 }
@@ -43,7 +43,7 @@
 #[case(999, "1")]
 #[case(1000, "1")]
 #[case(1001, "2")]
-fn time_to_come_back_is_rounded_up(#[case] millis: u64, #[case] expected: &str) {
+fn retry_after_is_rounded_up(#[case] millis: u64, #[case] expected: &str) {
     let after = Duration::from_millis(millis);
     let response = Problem::not_run(Code::NoQuorum).with_retry_after(after).into_response();
     assert_eq!(response.headers["retry-after"], expected);
--- a/hawthornkeel/tests/http_smuggling.rs
+++ b/hawthornkeel/tests/http_smuggling.rs
@@ -1,4 +1,5 @@
-//! Requests that two readers could understand differently are refused and reach no handler.
+//! Request smuggling: requests that two parsers could frame differently are rejected and reach no
+//! handler.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +14,7 @@
 use hawthornkeel_fakes::thread;
 use rstest::rstest;
 
-/// Starts a server that answers with the path and body, and counts the requests handled.
+/// Starts a server that responds with the path and body and counts the handled requests.
 fn start() -> (SocketAddr, Arc<AtomicUsize>) {
     let handled = Arc::new(AtomicUsize::new(0));
     let count = handled.clone();
@@ -39,7 +40,7 @@
 )]
 #[case::listed_lengths("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 5\r\n\r\nabcde")]
 #[case::signed_length("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\nabc")]
-#[case::spaced_length("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0x3\r\n\r\nabc")]
+#[case::hex_length("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0x3\r\n\r\nabc")]
 #[case::huge_length(
     "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999999999999999999\r\n\r\n"
 )]
@@ -78,17 +79,17 @@
 )]
 #[case::garbage("\x01\x02\x03\x04\r\n\r\n")]
 #[case::nul_in_value("GET / HTTP/1.1\r\nHost: a\0b\r\n\r\n")]
-fn refused_and_closed(#[case] request: &str) {
+fn ambiguous_request_is_rejected(#[case] request: &str) {
     let (address, handled) = start();
     let mut caller = RawCaller::connect(address).unwrap();
     caller.send(request).unwrap();
-    // What follows must be taken for no request, whichever way the first is understood.
+    // What follows must not be parsed as a request, however the first one is framed.
     caller.send("GET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
-    let answer = caller.answer().unwrap();
-    assert_eq!(answer.status, 400, "{answer:?}");
-    assert!(answer.head.contains("\r\nconnection: close\r\n"), "{answer:?}");
-    assert!(answer.head.contains("application/problem+json"), "{answer:?}");
-    assert!(answer.body.contains("\"ran\":\"not-run\""), "{answer:?}");
+    let response = caller.answer().unwrap();
+    assert_eq!(response.status, 400, "{response:?}");
+    assert!(response.head.contains("\r\nconnection: close\r\n"), "{response:?}");
+    assert!(response.head.contains("application/problem+json"), "{response:?}");
+    assert!(response.body.contains("\"ran\":\"not-run\""), "{response:?}");
     assert_eq!(caller.read_to_close().unwrap(), b"");
     assert_eq!(handled.load(Ordering::SeqCst), 0);
 }
@@ -101,10 +102,10 @@
 )]
 #[case::none("GET /c?d=e HTTP/1.1\r\nHost: a\r\n\r\n", "/c ")]
 #[case::line_end_before("\r\nGET /f HTTP/1.1\r\nHost: a\r\n\r\n", "/f ")]
-fn accepted_and_kept(#[case] request: &str, #[case] expected: &str) {
+fn valid_request_is_kept_alive(#[case] request: &str, #[case] expected: &str) {
     let (address, handled) = start();
     let mut caller = RawCaller::connect(address).unwrap();
-    // Two at once, then one byte at a time.
+    // Two pipelined requests, then one sent byte by byte.
     caller.send(request.repeat(2)).unwrap();
     for _ in 0..2 {
         assert_eq!(caller.answer().unwrap().body, expected);
--- a/hawthornkeel/tests/http_stop.rs
+++ b/hawthornkeel/tests/http_stop.rs
@@ -1,4 +1,4 @@
-//! Planned stop: running requests are answered, idle connections closed, nothing is cut.
+//! Graceful shutdown: idle connections are closed, and running requests are completed, not cut.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,15 +20,15 @@
 const STEP: Duration = Duration::from_millis(2);
 const REQUEST: &str = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// Server on a thread of its own, whose requests under `/held` wait to be released.
-struct Held {
+/// Server on a separate thread; requests for `/held` block until released.
+struct HeldServer {
     address: SocketAddr,
     running: Arc<AtomicUsize>,
     released: Arc<AtomicUsize>,
     phase: Arc<AtomicUsize>,
     stopping: Arc<AtomicUsize>,
-    /// Held requests whose caller's leaving was told.
-    told: Arc<AtomicUsize>,
+    /// Number of requests whose caller's disconnect was signalled.
+    disconnects: Arc<AtomicUsize>,
     ended: mpsc::Receiver<()>,
 }
 
@@ -36,34 +36,38 @@
 const STOP: usize = 2;
 const ABORT: usize = 3;
 
-fn start() -> Held {
+fn start() -> HeldServer {
     let running = Arc::new(AtomicUsize::new(0));
     let released = Arc::new(AtomicUsize::new(0));
     let phase = Arc::new(AtomicUsize::new(0));
     let stopping = Arc::new(AtomicUsize::new(0));
     let seen = stopping.clone();
-    let told = Arc::new(AtomicUsize::new(0));
-    let tell = told.clone();
+    let disconnects = Arc::new(AtomicUsize::new(0));
+    let disconnect_count = disconnects.clone();
     let (ended_sender, ended) = mpsc::channel();
     let (run, release, step) = (running.clone(), released.clone(), phase.clone());
     let address = thread::start(async move |sender| {
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), Limits::default()).unwrap();
         sender.send(server.address()).unwrap();
-        monoio::spawn(follow(server.shutdown_signals(), step, seen));
+        monoio::spawn(run_shutdown(server.shutdown_signals(), step, seen));
         server
             .serve(move |request: Request| {
-                hold(request, run.clone(), release.clone(), tell.clone())
+                hold(request, run.clone(), release.clone(), disconnect_count.clone())
             })
             .await;
         ended_sender.send(()).unwrap();
-        // What the handlers left running goes on.
+        // Keeps the tasks that the handlers spawned running.
         sleep(LIMIT).await;
     });
-    Held { address: address.unwrap(), running, released, phase, stopping, told, ended }
+    HeldServer { address: address.unwrap(), running, released, phase, stopping, disconnects, ended }
 }
 
-async fn follow(control: ShutdownSignals, phase: Arc<AtomicUsize>, stopping: Arc<AtomicUsize>) {
-    for (step, signal) in [(DRAIN, control.drain), (STOP, control.stop), (ABORT, control.abort)] {
+async fn run_shutdown(
+    signals: ShutdownSignals,
+    phase: Arc<AtomicUsize>,
+    stopping: Arc<AtomicUsize>,
+) {
+    for (step, signal) in [(DRAIN, signals.drain), (STOP, signals.stop), (ABORT, signals.abort)] {
         while phase.load(Ordering::SeqCst) < step {
             sleep(STEP).await;
         }
@@ -76,12 +80,12 @@
     request: Request,
     running: Arc<AtomicUsize>,
     released: Arc<AtomicUsize>,
-    told: Arc<AtomicUsize>,
+    disconnects: Arc<AtomicUsize>,
 ) -> Response {
-    let left = request.disconnected.clone();
+    let disconnected = request.disconnected.clone();
     monoio::spawn(async move {
-        left.wait().await;
-        told.fetch_add(1, Ordering::SeqCst);
+        disconnected.wait().await;
+        disconnects.fetch_add(1, Ordering::SeqCst);
     });
     running.fetch_add(1, Ordering::SeqCst);
     while request.head.path == "/held" && released.load(Ordering::SeqCst) == 0 {
@@ -90,7 +94,7 @@
     Response::json("{}")
 }
 
-impl Held {
+impl HeldServer {
     fn enter(&self, phase: usize) {
         self.phase.store(phase, Ordering::SeqCst);
     }
@@ -105,55 +109,56 @@
 }
 
 #[test]
-fn stop_answers_what_runs() {
+fn stop_completes_running_requests() {
     let server = start();
     let mut idle = RawCaller::connect(server.address).unwrap();
     idle.send(REQUEST).unwrap();
     assert!(!idle.answer().unwrap().head.contains("connection: close"));
     let mut held = server.call_held();
     server.enter(STOP);
-    // The idle connection is closed, the listener gone, and the running request answered whole.
+    // The idle connection and the listener are closed, and the running request is completed.
     assert_eq!(idle.read_to_close().unwrap(), b"");
     assert!(thread::eventually(LIMIT, || RawCaller::connect(server.address).is_err()));
     assert!(server.ended.try_recv().is_err());
     assert!(!held.has_bytes().unwrap());
     server.released.store(1, Ordering::SeqCst);
-    let answer = held.answer().unwrap();
-    assert_eq!(answer.status, 200);
-    assert!(answer.head.contains("connection: close"), "{answer:?}");
+    let response = held.answer().unwrap();
+    assert_eq!(response.status, 200);
+    assert!(response.head.contains("connection: close"), "{response:?}");
     assert_eq!(held.read_to_close().unwrap(), b"");
     server.ended.recv_timeout(LIMIT).unwrap();
 }
 
 #[test]
-fn stop_answers_what_is_on_its_way() {
+fn stop_completes_requests_in_flight() {
     let server = start();
     let mut idle = RawCaller::connect(server.address).unwrap();
     idle.send(REQUEST).unwrap();
     idle.answer().unwrap();
-    let mut fresh = RawCaller::connect(server.address).unwrap();
+    let mut new = RawCaller::connect(server.address).unwrap();
     server.enter(STOP);
     assert!(thread::eventually(LIMIT, || server.stopping.load(Ordering::SeqCst) == 1));
-    for caller in [&mut idle, &mut fresh] {
+    for caller in [&mut idle, &mut new] {
         caller.send(REQUEST).unwrap();
-        let answer = caller.answer().unwrap();
-        assert!(answer.head.contains("connection: close"), "{answer:?}");
+        let response = caller.answer().unwrap();
+        assert!(response.head.contains("connection: close"), "{response:?}");
     }
     server.ended.recv_timeout(LIMIT).unwrap();
 }
 
 #[test]
-fn drain_accepts_and_closes_after_answers() {
+fn drain_closes_after_response() {
     let server = start();
     let mut open = RawCaller::connect(server.address).unwrap();
     open.send(REQUEST).unwrap();
     open.answer().unwrap();
     server.enter(DRAIN);
-    // New connections are taken while the balancer lags; each is told to go elsewhere next.
+    // New connections are accepted until the load balancer stops sending them, and closed after one
+    // response.
     assert!(thread::eventually(LIMIT, || {
-        let mut fresh = RawCaller::connect(server.address).unwrap();
-        fresh.send(REQUEST).unwrap();
-        fresh.answer().unwrap().head.contains("connection: close")
+        let mut new = RawCaller::connect(server.address).unwrap();
+        new.send(REQUEST).unwrap();
+        new.answer().unwrap().head.contains("connection: close")
     }));
     open.send(REQUEST).unwrap();
     assert!(open.answer().unwrap().head.contains("connection: close"));
@@ -161,11 +166,11 @@
 }
 
 #[test]
-fn abort_ends_what_hangs() {
+fn abort_closes_connections() {
     let server = start();
     let mut held = server.call_held();
     server.enter(ABORT);
     assert_eq!(held.read_to_close().unwrap(), b"");
     server.ended.recv_timeout(LIMIT).unwrap();
-    assert!(thread::eventually(LIMIT, || server.told.load(Ordering::SeqCst) == 1));
+    assert!(thread::eventually(LIMIT, || server.disconnects.load(Ordering::SeqCst) == 1));
 }
--- a/hawthornkeel/tests/http_streams.rs
+++ b/hawthornkeel/tests/http_streams.rs
@@ -1,4 +1,4 @@
-//! Streamed answers: framing, backpressure, broken streams and callers who leave or go silent.
+//! Streamed responses: framing, backpressure, aborted streams and callers that disconnect or stall.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,18 +16,18 @@
 use hawthornkeel_fakes::thread;
 
 const LIMIT: Duration = Duration::from_secs(5);
-const PIECE: usize = 64 * 1024;
+const BLOCK_BYTES: usize = 64 * 1024;
 const REQUEST: &str = "GET /stream HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// What the handler of [`start`] counts.
+/// Counters of the handler.
 #[derive(Default)]
 struct Counts {
     sent: AtomicUsize,
     failed: AtomicUsize,
-    left: AtomicUsize,
+    disconnected: AtomicUsize,
 }
 
-/// Starts a server whose path says what it does.
+/// Starts a server whose behaviour depends on the path of the request.
 fn start(limits: Limits) -> (SocketAddr, Arc<Counts>) {
     let counts = Arc::new(Counts::default());
     let shared = counts.clone();
@@ -43,21 +43,21 @@
     let path = request.head.path.clone();
     if path == "/wait" {
         request.disconnected.wait().await;
-        counts.left.fetch_add(1, Ordering::SeqCst);
+        counts.disconnected.fetch_add(1, Ordering::SeqCst);
         return Response::json("{}");
     }
     let (sender, receiver) = channel::bounded(2);
     monoio::spawn(async move {
         match path.as_str() {
             "/stream" => {
-                for piece in ["data: a\n\n", "data: b\n\n"] {
-                    sender.send(Bytes::from_static(piece.as_bytes())).await.unwrap();
+                for event in ["data: a\n\n", "data: b\n\n"] {
+                    sender.send(Bytes::from_static(event.as_bytes())).await.unwrap();
                 }
                 sender.finish();
             }
             "/broken" => sender.send(Bytes::from_static(b"data: a\n\n")).await.unwrap(),
             _ => {
-                while sender.send(Bytes::from(vec![b'x'; PIECE])).await.is_ok() {
+                while sender.send(Bytes::from(vec![b'x'; BLOCK_BYTES])).await.is_ok() {
                     counts.sent.fetch_add(1, Ordering::SeqCst);
                 }
                 counts.failed.fetch_add(1, Ordering::SeqCst);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn stream_is_chunked_and_kept() {
+fn stream_is_chunked() {
     let (address, _) = start(Limits::default());
     let mut caller = RawCaller::connect(address).unwrap();
     caller.send(REQUEST.repeat(2)).unwrap();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn broken_stream_lacks_its_last_chunk() {
+fn aborted_stream_lacks_last_chunk() {
     let (address, _) = start(Limits::default());
     let mut caller = RawCaller::connect(address).unwrap();
     caller.send("GET /broken HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
@@ -91,17 +91,17 @@
 }
 
 #[test]
-fn caller_leaving_is_told() {
+fn disconnect_is_signalled() {
     let (address, counts) = start(Limits::default());
     let mut caller = RawCaller::connect(address).unwrap();
     caller.send("GET /wait HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
     assert!(!caller.has_bytes().unwrap());
     drop(caller);
-    assert!(thread::eventually(LIMIT, || counts.left.load(Ordering::SeqCst) == 1));
+    assert!(thread::eventually(LIMIT, || counts.disconnected.load(Ordering::SeqCst) == 1));
 }
 
 #[test]
-fn caller_leaving_ends_stream() {
+fn disconnect_ends_stream() {
     let (address, counts) = start(Limits::default());
     let mut caller = RawCaller::connect(address).unwrap();
     caller.send("GET /endless HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
@@ -111,15 +111,16 @@
 }
 
 #[test]
-fn silent_caller_holds_stream_back() {
+fn stalled_caller_stops_stream() {
     let limits = Limits { write_timeout: Duration::from_millis(300), ..Limits::default() };
     let (address, counts) = start(limits);
     let mut caller = RawCaller::connect(address).unwrap();
     caller.send("GET /endless HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
-    // Nothing is read: the stream stops once the sockets' buffers are full, then it is closed.
+    // The caller reads nothing: the stream stops once the socket buffers are full, then the write
+    // timeout closes it.
     assert!(thread::eventually(LIMIT, || counts.failed.load(Ordering::SeqCst) == 1));
-    let sent = counts.sent.load(Ordering::SeqCst) * PIECE;
-    assert!(sent < 16 << 20, "{sent} bytes were taken for a caller that reads nothing");
+    let sent = counts.sent.load(Ordering::SeqCst) * BLOCK_BYTES;
+    assert!(sent < 16 << 20, "{sent} bytes were accepted for a caller that reads nothing");
     let received = caller.read_to_close().unwrap();
     assert!(!received.ends_with(b"0\r\n\r\n"));
 }
--- a/hawthornkeel/tests/peer_frames.rs
+++ b/hawthornkeel/tests/peer_frames.rs
@@ -32,11 +32,11 @@
 use tempfile::TempDir;
 
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// Changes of the document that are expected in a day.
-const CHANGES_A_DAY: f64 = 9_200.0;
-/// Bytes a second that an instance may spend on control.
-const BYTES_A_SECOND: f64 = 23_000.0;
-const SECONDS_A_DAY: f64 = 86_400.0;
+/// Expected changes of the document per day.
+const CHANGES_PER_DAY: f64 = 9_200.0;
+/// Budget of an instance's control traffic, in bytes per second.
+const MAX_BYTES_PER_SECOND: f64 = 23_000.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
 /// Returns an endpoint `a` that knows `b`, and `b`.
 fn pair(folder: &TempDir) -> (Endpoint, Endpoint) {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn call_answered() {
+fn call_returns_response() {
     let folder = TempDir::new().unwrap();
     run(async {
         let (a, b) = pair(&folder);
@@ -68,12 +68,12 @@
             assert_eq!(from.as_str(), "a");
             let Frame::Follow(follow) = frame else { panic!("not a follow") };
             let Follow::Newer { after, .. } = follow else { panic!("not a newer") };
-            let answer = followed(after.unwrap().0 + 1, &text);
-            async move { answer }
+            let response = followed(after.unwrap().0 + 1, &text);
+            async move { response }
         });
         for after in 0..3 {
-            let answer = a.call(&InstanceName::new("b"), &follow(after), TIMEOUT).await.unwrap();
-            assert_eq!(answer, followed(after + 1, &large));
+            let response = a.call(&InstanceName::new("b"), &follow(after), TIMEOUT).await.unwrap();
+            assert_eq!(response, followed(after + 1, &large));
         }
         let refused = a.call(&InstanceName::new("b"), &Frame::Status, TIMEOUT).await;
         assert!(matches!(refused, Err(PeerError::Refused(Refusal::Unsupported))));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn sends_ordered() {
+fn frames_keep_order() {
     let folder = TempDir::new().unwrap();
     run(async {
         let (a, b) = pair(&folder);
@@ -145,19 +145,23 @@
 }
 
 #[test]
-fn document_keeps_the_budget() {
+fn document_fits_traffic_budget() {
     let text = large(1_600);
     let frame = followed(1, &text);
     let encoded = wire::encode(&frame).unwrap();
-    // The busiest instance moves a document seven times a change (bench `control`).
-    let moved = encoded.len() as f64 * 7.0 * CHANGES_A_DAY / SECONDS_A_DAY;
-    assert!(moved <= BYTES_A_SECOND, "{moved} bytes a second for {} bytes", text.len());
+    // The busiest instance transfers each change of the document seven times (bench `control`).
+    let traffic = encoded.len() as f64 * 7.0 * CHANGES_PER_DAY / SECONDS_PER_DAY;
+    assert!(
+        traffic <= MAX_BYTES_PER_SECOND,
+        "{traffic} bytes per second for a document of {} bytes",
+        text.len()
+    );
     let body = compression::compress(&postcard::to_allocvec(&frame).unwrap()).unwrap();
     assert_eq!(wire::decode(BodyEncoding::Deflate, &body).unwrap(), frame);
 }
 
 #[test]
-fn unpacked_body_bounded() {
+fn decompressed_body_bounded() {
     let bomb = compression::compress(&vec![0; wire::MAX_BODY_BYTES + 1]).unwrap();
     assert!(bomb.len() < wire::MAX_BODY_BYTES / 100);
     assert!(matches!(wire::decode(BodyEncoding::Deflate, &bomb), Err(WireError::Decompress)));
--- a/hawthornkeel/tests/peer_reconnect.rs
+++ b/hawthornkeel/tests/peer_reconnect.rs
@@ -1,4 +1,7 @@
-//! Connections that something between the two ends has lost track of.
+//! Replacement of dead connections.
+//!
+//! A NAT or firewall between two instances can lose the state of a flow and drop its packets. A
+//! call that times out, or the idle timeout, must lead to a new connection.
 
 mod support;
 
@@ -17,7 +20,7 @@
 use support::socket;
 use tempfile::TempDir;
 
-/// Returns `a`, which reaches `b` through the relay, and `b`, which answers status calls.
+/// Returns `a`, which reaches `b` through the relay, and `b`, which responds to status calls.
 fn relayed(folder: &TempDir) -> (Endpoint, Endpoint, Relay) {
     let at_b = socket();
     let relay = Relay::new(at_b.local_addr().unwrap()).unwrap();
@@ -29,7 +32,7 @@
 }
 
 #[test]
-fn call_replaces() {
+fn call_timeout_reconnects() {
     let folder = TempDir::new().unwrap();
     run(async {
         let (a, _b, relay) = relayed(&folder);
@@ -40,7 +43,7 @@
         let timeout = Duration::from_millis(700);
         let error = a.call(&to, &Frame::Status, timeout).await.unwrap_err();
         assert!(error.may_have_run());
-        // The next call takes a fresh connection at once.
+        // The next call opens a new connection immediately.
         let start = Instant::now();
         a.call(&to, &Frame::Status, support::PATIENCE).await.unwrap();
         assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
@@ -49,7 +52,7 @@
 }
 
 #[test]
-fn idle_replaces() {
+fn idle_timeout_reconnects() {
     let folder = TempDir::new().unwrap();
     run(async {
         let (a, b, relay) = relayed(&folder);
@@ -60,7 +63,7 @@
         a.send(&to, &Frame::TakeOuts(Vec::new())).unwrap();
         support::until("first frame", || seen.get() == 1).await;
         relay.lose_flows();
-        // One-way frames go on while nobody calls: the idle timeout has to notice.
+        // Only one-way frames are sent, so only the idle timeout can detect the dead connection.
         support::until("frame on a new connection", || {
             a.send(&to, &Frame::TakeOuts(Vec::new())).unwrap();
             seen.get() > 1
@@ -71,7 +74,7 @@
 }
 
 #[test]
-fn slow_peer_kept() {
+fn slow_peer_stays_connected() {
     let folder = TempDir::new().unwrap();
     run(async {
         let (a, b, relay) = relayed(&folder);
@@ -90,7 +93,7 @@
 }
 
 #[test]
-fn unused_closed() {
+fn unused_connection_is_closed() {
     let folder = TempDir::new().unwrap();
     run(async {
         let (a, b, relay) = relayed(&folder);
--- a/hawthornkeel/tests/peer_trust.rs
+++ b/hawthornkeel/tests/peer_trust.rs
@@ -1,4 +1,4 @@
-//! Certificates and versions that are refused.
+//! Rejection of invalid certificates and unknown protocol versions.
 
 mod support;
 
@@ -32,13 +32,13 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Kind of caller.
-enum Caller {
-    Known,
-    Stranger,
+/// Certificate that a connecting instance presents.
+enum ClientCertificate {
+    Valid,
+    OtherAuthority,
     OtherName,
     Expired,
-    Early,
+    NotYetValid,
 }
 
 fn expired() -> Validity {
@@ -46,29 +46,35 @@
     Validity { from: now - Duration::from_secs(7200), until: now - Duration::from_secs(3600) }
 }
 
-fn early() -> Validity {
+fn not_yet_valid() -> Validity {
     let now = SystemTime::now();
     Validity { from: now + Duration::from_secs(3600), until: now + Duration::from_secs(7200) }
 }
 
-/// Issues the certificate that `caller` uses as instance `a`.
-fn issued(caller: &Caller, own: &TempDir, other: &TempDir) -> IssuedFiles {
+/// Issues the certificate that instance `a` presents.
+fn issued(presented: &ClientCertificate, own: &TempDir, other: &TempDir) -> IssuedFiles {
     let name = InstanceName::new("a");
-    match caller {
-        Caller::Known => certificate::issue(own.path(), &name).unwrap(),
-        Caller::OtherName => certificate::issue(own.path(), &InstanceName::new("c")).unwrap(),
-        Caller::Expired => certificate::issue_with_validity(own.path(), &name, expired()).unwrap(),
-        Caller::Early => certificate::issue_with_validity(own.path(), &name, early()).unwrap(),
-        Caller::Stranger => {
-            let stranger = certificate::issue(other.path(), &name).unwrap();
-            // The stranger trusts the right authority; only its own certificate is another's.
+    match presented {
+        ClientCertificate::Valid => certificate::issue(own.path(), &name).unwrap(),
+        ClientCertificate::OtherName => {
+            certificate::issue(own.path(), &InstanceName::new("c")).unwrap()
+        }
+        ClientCertificate::Expired => {
+            certificate::issue_with_validity(own.path(), &name, expired()).unwrap()
+        }
+        ClientCertificate::NotYetValid => {
+            certificate::issue_with_validity(own.path(), &name, not_yet_valid()).unwrap()
+        }
+        ClientCertificate::OtherAuthority => {
+            let other_authority = certificate::issue(other.path(), &name).unwrap();
+            // It trusts the right authority; only its own certificate is issued by another.
             let authority = certificate::issue(own.path(), &name).unwrap().authority;
-            IssuedFiles { authority, ..stranger }
+            IssuedFiles { authority, ..other_authority }
         }
     }
 }
 
-fn serving(folder: &TempDir) -> (Endpoint, SocketAddr) {
+fn status_server(folder: &TempDir) -> (Endpoint, SocketAddr) {
     let at = socket();
     let address = at.local_addr().unwrap();
     let b = Endpoint::with_socket(at, &settings(folder.path(), "b", Vec::new())).unwrap();
@@ -76,7 +82,7 @@
     (b, address)
 }
 
-/// Log output that a test reads.
+/// Writer of log output into a buffer that the test reads.
 struct Sink(Arc<Mutex<Vec<u8>>>);
 
 impl Write for Sink {
@@ -102,28 +108,35 @@
 }
 
 #[rstest]
-#[case::known(Caller::Known, None)]
-#[case::stranger(Caller::Stranger, Some("invalid peer certificate: BadSignature"))]
-#[case::other_name(Caller::OtherName, Some("certificate is not for a"))]
-#[case::expired(Caller::Expired, Some("certificate expired"))]
-#[case::early(Caller::Early, Some("not valid yet"))]
-fn caller_checked(#[case] caller: Caller, #[case] refusal: Option<&str>) {
+#[case::valid(ClientCertificate::Valid, None)]
+#[case::other_authority(
+    ClientCertificate::OtherAuthority,
+    Some("invalid peer certificate: BadSignature")
+)]
+#[case::other_name(ClientCertificate::OtherName, Some("certificate is not for a"))]
+#[case::expired(ClientCertificate::Expired, Some("certificate expired"))]
+#[case::not_yet_valid(ClientCertificate::NotYetValid, Some("not valid yet"))]
+fn client_certificate_checked(
+    #[case] certificate: ClientCertificate,
+    #[case] rejection: Option<&str>,
+) {
     let (own, other) = (TempDir::new().unwrap(), TempDir::new().unwrap());
     let log = Arc::new(Mutex::new(Vec::new()));
     let _guard = capture(&log);
     run(async {
-        let (_b, address) = serving(&own);
-        let issued = issued(&caller, &own, &other);
+        let (_b, address) = status_server(&own);
+        let issued = issued(&certificate, &own, &other);
         let settings = settings_with("a", issued, vec![peer("b", address)]);
         let a = Endpoint::with_socket(socket(), &settings).unwrap();
-        let answer = a.call(&InstanceName::new("b"), &Frame::Status, TIMEOUT).await;
-        match refusal {
-            None => assert_eq!(answer.unwrap(), Frame::Followed(Followed::default())),
+        let response = a.call(&InstanceName::new("b"), &Frame::Status, TIMEOUT).await;
+        match rejection {
+            None => assert_eq!(response.unwrap(), Frame::Followed(Followed::default())),
             Some(reason) => {
-                let error = answer.unwrap_err();
+                let error = response.unwrap_err();
                 assert!(!error.may_have_run(), "{error}");
                 assert!(error.to_string().contains(reason), "{error}");
-                until("the refusal's log line", || logged(&log, "peer-refused", reason)).await;
+                until("the log line of the rejection", || logged(&log, "peer-refused", reason))
+                    .await;
             }
         }
     });
@@ -131,13 +144,13 @@
 
 #[rstest]
 #[case::other_name(false, "certificate not valid for name")]
-#[case::stranger(true, "BadSignature")]
-fn called_checked(#[case] stranger: bool, #[case] reason: &str) {
+#[case::other_authority(true, "BadSignature")]
+fn server_certificate_checked(#[case] other_authority: bool, #[case] reason: &str) {
     let (own, other) = (TempDir::new().unwrap(), TempDir::new().unwrap());
     run(async {
-        let folder = if stranger { &other } else { &own };
+        let folder = if other_authority { &other } else { &own };
         let at = socket();
-        let peers = vec![peer(if stranger { "b" } else { "c" }, at.local_addr().unwrap())];
+        let peers = vec![peer(if other_authority { "b" } else { "c" }, at.local_addr().unwrap())];
         let served = settings(folder.path(), "b", Vec::new());
         let _b = Endpoint::with_socket(at, &served).unwrap();
         let to = peers[0].name.clone();
@@ -152,7 +165,7 @@
 fn version_refused() {
     let folder = TempDir::new().unwrap();
     run(async {
-        let (_b, address) = serving(&folder);
+        let (_b, address) = status_server(&folder);
         let credentials =
             Credentials::load(&settings(folder.path(), "a", Vec::new()).peers).unwrap();
         let config = quinn::EndpointConfig::default();
@@ -169,9 +182,9 @@
         let (mut send, mut receive) = connection.open_bi().await.unwrap();
         send.write_all(&later).await.unwrap();
         send.finish().unwrap();
-        let answer = wire::read(&mut receive).await.unwrap();
+        let response = wire::read(&mut receive).await.unwrap();
         let refusal = Refusal::Version { found: 9, known: wire::VERSION };
-        assert_eq!(answer, Frame::Refused(refusal));
+        assert_eq!(response, Frame::Refused(refusal));
 
         stream.write_all(&later).await.unwrap();
         let reason = connection.closed().await.to_string();
