--- a/hawthornkeel/src/peer/compression.rs
+++ b/hawthornkeel/src/peer/compression.rs
@@ -6,7 +6,7 @@
 /// Size from which a body is compressed, in bytes; smaller ones fit into a few datagrams.
 const MIN_BODY_BYTES: usize = 4 * 1024;
 /// Compression level: the fastest, which suffices as documents are highly repetitive.
-const LEVEL: u8 = 1;
+const COMPRESSION_LEVEL: u8 = 1;
 
 /// Encoding of a frame's body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -41,7 +41,7 @@
     if body.len() < MIN_BODY_BYTES {
         return None;
     }
-    let compressed = compress_to_vec(body, LEVEL);
+    let compressed = compress_to_vec(body, COMPRESSION_LEVEL);
     (compressed.len() < body.len()).then_some(compressed)
 }
 
--- a/hawthornkeel/src/peer/frame.rs
+++ b/hawthornkeel/src/peer/frame.rs
@@ -108,7 +108,7 @@
     Answer,
     /// Of [`Frame::Entry`].
     Entry,
-    /// Of [`Frame::Discover`].
+    /// Of [`Frame::Discover`], which the log calls `Survey`.
     Survey,
     /// Of [`Frame::Present`].
     Present,
--- a/hawthornkeel/src/peer/link.rs
+++ b/hawthornkeel/src/peer/link.rs
@@ -27,7 +27,7 @@
 use crate::peer::wire;
 
 /// Maximum number of one-way frames queued for one peer.
-const MAX_QUEUED: usize = 4_096;
+const MAX_QUEUED_FRAMES: usize = 4_096;
 /// Maximum size of the one-way frames queued for one peer, in bytes.
 const MAX_QUEUED_BYTES: usize = 16 * 1024 * 1024;
 /// Initial delay after a failed connection attempt.
@@ -107,7 +107,7 @@
     pub fn push(&self, frame: Bytes) -> bool {
         let mut queue = self.queue.borrow_mut();
         let bytes = self.queued_bytes.get() + frame.len();
-        if self.closed.get() || queue.len() >= MAX_QUEUED || bytes > MAX_QUEUED_BYTES {
+        if self.closed.get() || queue.len() >= MAX_QUEUED_FRAMES || bytes > MAX_QUEUED_BYTES {
             return false;
         }
         self.queued_bytes.set(bytes);
--- a/hawthornkeel/src/peer/runtime.rs
+++ b/hawthornkeel/src/peer/runtime.rs
@@ -34,7 +34,7 @@
 /// Maximum size of a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 /// Maximum number of received datagrams queued for `quinn`.
-const MAX_RECEIVE_QUEUE: usize = 4096;
+const MAX_QUEUED_DATAGRAMS: usize = 4096;
 /// Number of datagrams received before yielding to other tasks.
 const RECEIVE_BURST: usize = 32;
 
@@ -242,7 +242,7 @@
         // An error concerns a single datagram, such as an ICMP error for an earlier one.
         if let Ok((_, source)) = result {
             let mut state = lock(&shared);
-            if state.received.len() < MAX_RECEIVE_QUEUE {
+            if state.received.len() < MAX_QUEUED_DATAGRAMS {
                 state.received.push_back((source, data));
             }
             if let Some(reader) = state.reader.take() {
--- a/hawthornkeel/tests/peer_frames.rs
+++ b/hawthornkeel/tests/peer_frames.rs
@@ -113,8 +113,8 @@
 fn queue_bounded() {
     let folder = TempDir::new().unwrap();
     run(async {
-        let gone = socket();
-        let peers = vec![peer("b", gone.local_addr().unwrap())];
+        let unserved = socket();
+        let peers = vec![peer("b", unserved.local_addr().unwrap())];
         let a = Endpoint::with_socket(socket(), &settings(folder.path(), "a", peers)).unwrap();
         for _ in 0..10_000 {
             a.send(&InstanceName::new("b"), &Frame::Status).unwrap();
@@ -127,8 +127,8 @@
 fn call_unreachable() {
     let folder = TempDir::new().unwrap();
     run(async {
-        let gone = socket();
-        let peers = vec![peer("b", gone.local_addr().unwrap())];
+        let unserved = socket();
+        let peers = vec![peer("b", unserved.local_addr().unwrap())];
         let a = Endpoint::with_socket(socket(), &settings(folder.path(), "a", peers)).unwrap();
         let error = a.call(&InstanceName::new("b"), &follow(0), Duration::from_millis(200)).await;
         assert!(!error.unwrap_err().may_have_run());
