--- a/hawthornkeel/tests/peer_trust.rs
+++ b/hawthornkeel/tests/peer_trust.rs
@@ -135,8 +135,10 @@
                 let error = response.unwrap_err();
                 assert!(!error.may_have_run(), "{error}");
                 assert!(error.to_string().contains(reason), "{error}");
-                wait_until("the log line of the rejection", || logged(&log, "peer-refused", reason))
-                    .await;
+                wait_until("the log line of the rejection", || {
+                    logged(&log, "peer-refused", reason)
+                })
+                .await;
             }
         }
     });
