--- a/hawthornkeel_core/benches/slopes.rs
+++ b/hawthornkeel_core/benches/router_scaling.rs
@@ -1,10 +1,10 @@
-//! Memory and time of a router at the size of the letter, for docs/CAPACITY.md.
+//! Memory and time of a router by the size of the fleet, for docs/CAPACITY.md.
 //!
-//! `cargo bench -p hawthornkeel_core --bench slopes`. Memory is the growth of the process's
+//! `cargo bench -p hawthornkeel_core --bench router_scaling`. Memory is the growth of the process's
 //! resident set, read from `/proc/self/statm`.
 
 use std::time::Duration;
-use std::time::Instant as Clock;
+use std::time::Instant as StdInstant;
 
 use hawthornkeel_core::document::Document;
 use hawthornkeel_core::document::Pool;
@@ -25,10 +25,10 @@
 const POOLS: usize = 20;
 const WORKSPACES: usize = 1_600;
 const PAGE_BYTES: usize = 4_096;
-/// Routers kept at once, so that the growth is well above the allocator's steps.
+/// Routers held at the same time, so that the growth far exceeds the allocator's granularity.
 const ROUTERS: usize = 8;
 
-fn resident() -> usize {
+fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|p| p.parse::<usize>().ok());
     pages.unwrap_or_default() * PAGE_BYTES
@@ -66,7 +66,7 @@
     }
 }
 
-/// Builds a router that knows the fleet.
+/// Creates a router with the given targets, entries and document.
 fn router(list: &[TargetInfo], entries: &[EntryInfo], document: &Document) -> Router {
     let mut router = Router::new(RouterSettings::default(), LeaseSettings::default(), entry(17));
     router.apply_document(document);
@@ -75,19 +75,19 @@
     router
 }
 
-/// Returns the growth in bytes of one router built by `build`.
-fn growth(build: impl Fn() -> Router) -> usize {
-    let before = resident();
-    let kept: Vec<Router> = (0..ROUTERS).map(|_| build()).collect();
-    let bytes = resident().saturating_sub(before) / ROUTERS;
-    drop(kept);
+/// Returns the mean growth of the resident set by a router that `build` creates, in bytes.
+fn memory_growth(build: impl Fn() -> Router) -> usize {
+    let before = resident_bytes();
+    let routers: Vec<Router> = (0..ROUTERS).map(|_| build()).collect();
+    let bytes = resident_bytes().saturating_sub(before) / ROUTERS;
+    drop(routers);
     bytes
 }
 
-/// Returns the time that one run of `work` takes.
-fn timed(mut work: impl FnMut()) -> Duration {
+/// Returns the mean time of a run of `work`.
+fn mean_time(mut work: impl FnMut()) -> Duration {
     const RUNS: u32 = 5;
-    let start = Clock::now();
+    let start = StdInstant::now();
     (0..RUNS).for_each(|_| work());
     start.elapsed() / RUNS
 }
@@ -95,23 +95,23 @@
 fn main() {
     println!("workspaces | bytes of a router");
     for count in [0, WORKSPACES, 10 * WORKSPACES] {
-        let many = document(count);
-        println!("{count:>10} | {:>17}", growth(|| router(&[], &[], &many)));
+        let large_document = document(count);
+        println!("{count:>10} | {:>17}", memory_growth(|| router(&[], &[], &large_document)));
     }
     let entries: Vec<EntryInfo> = (0..ENTRIES).map(entry).collect();
-    let few = document(0);
+    let small_document = document(0);
     println!("\nlisted targets | bytes of a router | time of a list | time of an entry list");
     for count in [0, 3_000, 6_000, 12_000] {
         let list: Vec<TargetInfo> = (0..count).map(target).collect();
-        let bytes = growth(|| router(&list, &entries, &few));
-        let mut one = router(&list, &entries, &few);
-        let listed = timed(|| one.update_targets(Instant::ZERO, &list));
-        let entered = timed(|| one.set_entries(Instant::ZERO, &entries));
-        println!("{count:>14} | {bytes:>17} | {listed:>14.2?} | {entered:>21.2?}");
+        let bytes = memory_growth(|| router(&list, &entries, &small_document));
+        let mut router_under_test = router(&list, &entries, &small_document);
+        let list_time = mean_time(|| router_under_test.update_targets(Instant::ZERO, &list));
+        let entry_list_time = mean_time(|| router_under_test.set_entries(Instant::ZERO, &entries));
+        println!("{count:>14} | {bytes:>17} | {list_time:>14.2?} | {entry_list_time:>21.2?}");
     }
-    println!("\nadmitted requests | time of admit and leave");
-    let many = document(WORKSPACES);
-    let mut one = router(&[], &[], &many);
+    println!("\nadmitted requests | time of admit and finish");
+    let large_document = document(WORKSPACES);
+    let mut router_under_test = router(&[], &[], &large_document);
     for count in [10_u128, 1_000, 10_000] {
         let plan = |i: u128| RequestPlan {
             request: RequestId(i),
@@ -120,13 +120,13 @@
             ..RequestPlan::default()
         };
         for i in 0..count {
-            one.admit(Instant::ZERO, &plan(i));
+            router_under_test.admit(Instant::ZERO, &plan(i));
         }
         let extra = plan(count);
-        let time = timed(|| {
+        let time = mean_time(|| {
             for _ in 0..1_000 {
-                one.admit(Instant::ZERO, &extra);
-                one.finish_request(Instant::ZERO, extra.request);
+                router_under_test.admit(Instant::ZERO, &extra);
+                router_under_test.finish_request(Instant::ZERO, extra.request);
             }
         });
         println!("{count:>17} | {:>22.2?}", time / 1_000);
