--- a/hawthornkeel_core/benches/policy/plain.rs
+++ b/hawthornkeel_core/benches/policy/baseline.rs
@@ -1,38 +1,39 @@
-//! Baseline: round-robin, fixed limits, immediate retry.
+//! Baseline policy: round-robin, fixed concurrency limits and immediate retries.
 
 use std::collections::VecDeque;
 
 use hawthornkeel_core::ids::CallId;
 use hawthornkeel_core::time::Instant;
 
-use crate::sites::ENTRIES;
-use crate::sites::POOLS;
+use crate::topology::ENTRIES;
+use crate::topology::POOLS;
 
-/// Call that waits for a target.
+/// Queued call.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     call: CallId,
     deadline: Instant,
 }
 
-/// Targets of one pool, as the baseline sees them.
+/// Targets and queue of one pool.
 #[derive(Clone, Debug)]
-struct PlainPool {
-    /// Positions of the targets, and own calls in flight at each.
+struct BaselinePool {
+    /// Indexes of the targets with this entry's calls in flight at each.
     targets: Vec<(usize, u32)>,
     next: usize,
+    /// Calls in flight at each target, at most.
     limit: u32,
     queue: VecDeque<Waiting>,
 }
 
-/// Baseline policy of one entry.
+/// Baseline policy of an entry.
 #[derive(Clone, Debug)]
-pub struct Plain {
-    pools: Vec<PlainPool>,
+pub struct Baseline {
+    pools: Vec<BaselinePool>,
 }
 
-impl Plain {
-    /// Creates the policy for all targets; `offset` spreads where entries start.
+impl Baseline {
+    /// Creates the policy; `offset` makes entries begin their rounds at different targets.
     pub fn new(offset: usize) -> Self {
         let mut first = 0;
         let mut pools = Vec::new();
@@ -41,12 +42,12 @@
             first += spec.count;
             let limit = spec.warm_limit.div_ceil(ENTRIES as u32).max(1);
             let (next, queue) = (offset % spec.count, VecDeque::new());
-            pools.push(PlainPool { targets, next, limit, queue });
+            pools.push(BaselinePool { targets, next, limit, queue });
         }
         Self { pools }
     }
 
-    /// Chooses the next target with room, or lets the call wait.
+    /// Chooses the next target below its limit, or queues the call.
     pub fn choose(&mut self, stage: usize, call: CallId, deadline: Instant) -> Option<usize> {
         let pool = &mut self.pools[stage];
         let target = pool.pick();
@@ -56,15 +57,15 @@
         target
     }
 
-    /// Notes the end of a call.
-    pub fn finished(&mut self, stage: usize, target: usize) {
+    /// Records the end of a call.
+    pub fn finish_call(&mut self, stage: usize, target: usize) {
         let slot = self.pools[stage].targets.iter_mut().find(|t| t.0 == target);
         if let Some(slot) = slot {
             slot.1 -= 1;
         }
     }
 
-    /// Returns waiting calls that are sent or have run out of time.
+    /// Takes queued calls that have a target, or none because their deadline has passed.
     pub fn take_ready(&mut self, now: Instant) -> Vec<(CallId, Option<usize>)> {
         let mut ready = Vec::new();
         for pool in &mut self.pools {
@@ -81,8 +82,8 @@
     }
 }
 
-impl PlainPool {
-    /// Takes the next target with room.
+impl BaselinePool {
+    /// Reserves a call at the next target below its limit.
     fn pick(&mut self) -> Option<usize> {
         for step in 0..self.targets.len() {
             let at = (self.next + step) % self.targets.len();
--- a/hawthornkeel_core/benches/policy/entry.rs
+++ b/hawthornkeel_core/benches/policy/entry.rs
@@ -1,4 +1,4 @@
-//! Entry instance: our router with its part in the lease, or the baseline.
+//! Entry that runs either the router with its lease roles or the baseline.
 
 use hawthornkeel_core::ids::Incarnation;
 use hawthornkeel_core::lease::Holder;
@@ -15,70 +15,68 @@
 use hawthornkeel_core::time::Instant;
 use indexmap::IndexMap;
 
-use crate::plain::Plain;
-use crate::sites::CENTRES;
-use crate::sites::ENTRIES;
-use crate::sites::centre;
-use crate::sites::document;
+use crate::baseline::Baseline;
+use crate::topology::CENTRES;
+use crate::topology::ENTRIES;
+use crate::topology::centre;
+use crate::topology::document;
 
-/// Which policy entries run.
+/// Policy that all entries of a run use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PolicyKind {
-    Ours,
-    Plain,
+    Router,
+    Baseline,
 }
 
-/// Our policy with the entry's part in the lease.
-pub struct Ours {
+/// Router together with the entry's lease roles: holder, issuer and voter.
+pub struct RouterPolicy {
     pub router: Router,
     pub holder: Holder,
     pub issuer: Issuer,
-    /// Votes of the entry, by data centre.
+    /// Voters of this entry, by the data centre of the lease.
     pub voters: Vec<(CentreName, Voter)>,
 }
 
 /// Policy of one entry.
 pub enum Policy {
-    Ours(Box<Ours>),
-    Plain(Plain),
+    Router(Box<RouterPolicy>),
+    Baseline(Baseline),
 }
 
 /// Connections of an entry to a target.
 #[derive(Clone, Copy, Debug)]
-pub struct Connected {
-    /// Process that they lead to.
+pub struct Connections {
+    /// Process at the other end.
     pub incarnation: Incarnation,
     pub open: usize,
 }
 
-/// Entry instance.
 pub struct Entry {
     pub id: MemberId,
     pub centre: CentreName,
     pub alive: bool,
     pub policy: Policy,
-    /// Connections to each target.
-    pub connected: IndexMap<usize, Connected>,
+    /// Connections by index of the target.
+    pub connections: IndexMap<usize, Connections>,
 }
 
-/// Returns the name of an entry.
 pub fn name(index: usize) -> InstanceName {
     InstanceName::new(&format!("entry{index}"))
 }
 
-/// Returns the identity of a run of an entry.
+/// Returns the identity of an entry's process.
 pub fn info(index: usize, boot: u64) -> EntryInfo {
     EntryInfo { id: MemberId { name: name(index), boot }, centre: centre(index) }
 }
 
-/// Returns the entries that vote for a data centre's lease: its own, and one of the next.
+/// Returns the voters of a data centre's lease: its own entries and one of the next data centre.
 pub fn voters(of: usize) -> Vec<usize> {
     let own = (0..ENTRIES).filter(|e| e % CENTRES == of);
     own.chain([(of + 1) % CENTRES]).collect()
 }
 
 impl Entry {
-    /// Starts an entry that knows nothing but its settings, the list and the document.
+    /// Starts an entry that knows only its settings, the list of targets and the document.
     pub fn start(
         now: Instant,
         index: usize,
@@ -88,15 +86,14 @@
     ) -> Self {
         let own = info(index, boot);
         let policy = match kind {
-            PolicyKind::Plain => Policy::Plain(Plain::new(index)),
-            PolicyKind::Ours => Policy::Ours(Box::new(start_ours(now, index, boot, list))),
+            PolicyKind::Baseline => Policy::Baseline(Baseline::new(index)),
+            PolicyKind::Router => Policy::Router(Box::new(start_router(now, index, boot, list))),
         };
-        Self { id: own.id, centre: own.centre, alive: true, policy, connected: IndexMap::new() }
+        Self { id: own.id, centre: own.centre, alive: true, policy, connections: IndexMap::new() }
     }
 }
 
-/// Starts our policy.
-fn start_ours(now: Instant, index: usize, boot: u64, list: &[TargetInfo]) -> Ours {
+fn start_router(now: Instant, index: usize, boot: u64, list: &[TargetInfo]) -> RouterPolicy {
     let own = info(index, boot);
     let lease = LeaseSettings::default();
     let settings = RouterSettings { seed: index as u64 * 7919, ..RouterSettings::default() };
@@ -110,7 +107,7 @@
     let names = voters(index % CENTRES).into_iter().map(name).collect();
     let votes = (0..CENTRES).filter(|c| voters(*c).contains(&index));
     let voter = |c| (centre(c), Voter::new(now, name(index), lease.clone()));
-    Ours {
+    RouterPolicy {
         router,
         holder: Holder::new(now, own.id, names, lease.clone()),
         issuer,
--- a/hawthornkeel_core/benches/policy/faults.rs
+++ b/hawthornkeel_core/benches/policy/faults.rs
@@ -1,114 +1,123 @@
-//! What the faults of the bench do.
+//! Faults that the bench injects.
 
 use std::time::Duration;
 
 use crate::entry::Entry;
-use crate::sites::POOLS;
-use crate::sites::centre;
-use crate::stats::End;
+use crate::simulation::Event;
+use crate::simulation::PROGRESS_TIMEOUT;
+use crate::simulation::Simulation;
+use crate::stats::RequestEnd;
 use crate::target::Target;
-use crate::target::full_rate;
-use crate::world::Event;
-use crate::world::SILENT;
-use crate::world::World;
+use crate::target::full_throughput;
+use crate::topology::POOLS;
+use crate::topology::centre;
 
-/// Pool that slows.
+/// Pool whose targets slow down.
 const SLOW_POOL: &str = "rerank";
 /// Pool whose targets all fail.
 const FAILING_POOL: &str = "retrieve";
-/// Pool whose targets turn cold again.
+/// Pool with targets that restart cold.
 const COLD_POOL: &str = "draft";
-/// Number of targets that turn cold again.
+/// Number of targets that restart cold.
 const COLD_COUNT: usize = 2;
-/// Entry that is killed, outside of the data centre that is cut off.
-const KILLED: usize = 1;
-/// Time until a caller sends again after its entry was lost.
-const RESUBMIT: Duration = Duration::from_millis(5);
+/// Entry that crashes, in another data centre than the isolated one.
+const CRASHED_ENTRY: usize = 1;
+/// Time after which callers resubmit their requests if their entry has crashed.
+const RESUBMIT_DELAY: Duration = Duration::from_millis(5);
 
-/// What goes wrong.
+/// Fault to inject.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
     None,
-    Slow,
-    Fail,
-    Burst,
-    Cold,
-    Centre,
-    Kill,
+    SlowPool,
+    FailingPool,
+    LoadBurst,
+    ColdRestart,
+    CentreIsolated,
+    EntryCrash,
 }
 
 impl Fault {
-    /// All faults, none first.
-    pub const ALL: [Self; 7] =
-        [Self::None, Self::Slow, Self::Fail, Self::Burst, Self::Cold, Self::Centre, Self::Kill];
-
-    /// Returns the fault's name in tables.
-    pub fn name(self) -> &'static str {
+    /// All faults, beginning with none.
+    pub const ALL: [Self; 7] = [
+        Self::None,
+        Self::SlowPool,
+        Self::FailingPool,
+        Self::LoadBurst,
+        Self::ColdRestart,
+        Self::CentreIsolated,
+        Self::EntryCrash,
+    ];
+
+    /// Returns the label of a single fault in tables.
+    pub fn label(self) -> &'static str {
         match self {
             Self::None => "none",
-            Self::Slow => "stage x10 slower, 3 s",
-            Self::Fail => "pool fails, 2 s",
-            Self::Burst => "burst x5, 1 s",
-            Self::Cold => "2 of 10 cold again",
-            Self::Centre => "data centre gone, 10 s",
-            Self::Kill => "entry killed, 5 s",
+            Self::SlowPool => "stage x10 slower, 3 s",
+            Self::FailingPool => "pool fails, 2 s",
+            Self::LoadBurst => "burst x5, 1 s",
+            Self::ColdRestart => "2 of 10 cold again",
+            Self::CentreIsolated => "data centre gone, 10 s",
+            Self::EntryCrash => "entry killed, 5 s",
         }
     }
 
-    /// Returns the fault's name beside that of another.
-    pub fn short(self) -> &'static str {
+    /// Returns the label in tables where the fault is combined or repeated.
+    pub fn short_label(self) -> &'static str {
         match self {
             Self::None => "none",
-            Self::Slow => "slow",
-            Self::Fail => "fail",
-            Self::Burst => "burst",
-            Self::Cold => "cold",
-            Self::Centre => "centre",
-            Self::Kill => "kill",
+            Self::SlowPool => "slow",
+            Self::FailingPool => "fail",
+            Self::LoadBurst => "burst",
+            Self::ColdRestart => "cold",
+            Self::CentreIsolated => "centre",
+            Self::EntryCrash => "kill",
         }
     }
 
-    /// Returns the time between the fault's start and its end.
-    pub fn lasts(self) -> Duration {
+    /// Returns the time between the start and the end of the fault.
+    pub fn duration(self) -> Duration {
         Duration::from_secs(match self {
-            Self::None | Self::Cold | Self::Burst => 1,
-            Self::Slow => 3,
-            Self::Fail => 2,
-            Self::Centre => 10,
-            Self::Kill => 5,
+            Self::None | Self::ColdRestart | Self::LoadBurst => 1,
+            Self::SlowPool => 3,
+            Self::FailingPool => 2,
+            Self::CentreIsolated => 10,
+            Self::EntryCrash => 5,
         })
     }
 }
 
-/// Returns the requests a second that the targets bear: the rate of the tightest pool.
-pub fn bearable(_targets: &[Target]) -> f64 {
-    POOLS.iter().map(|p| full_rate(p, p.count)).fold(f64::INFINITY, f64::min)
+/// Returns the sustainable requests per second: the throughput of the bottleneck pool.
+pub fn sustainable_rate(_targets: &[Target]) -> f64 {
+    POOLS.iter().map(|p| full_throughput(p, p.count)).fold(f64::INFINITY, f64::min)
 }
 
-impl World {
+impl Simulation {
     /// Starts or ends a fault.
-    pub fn fault(&mut self, fault: Fault, on: bool) {
+    pub fn apply_fault(&mut self, fault: Fault, on: bool) {
         match fault {
             Fault::None => {}
-            Fault::Slow => self.each(SLOW_POOL, |t| t.slow = if on { 10.0 } else { 1.0 }),
-            Fault::Fail => self.each(FAILING_POOL, |t| t.failing = on),
-            Fault::Burst => self.burst = if on { 5.0 } else { 1.0 },
-            Fault::Cold if on => self.turn_cold(),
-            Fault::Cold => {}
-            Fault::Centre if on => self.cut_off(),
-            Fault::Centre => self.cut = None,
-            Fault::Kill if on => self.kill(KILLED),
-            Fault::Kill => self.revive(KILLED),
+            Fault::SlowPool => {
+                self.update_pool(SLOW_POOL, |t| t.slowdown = if on { 10.0 } else { 1.0 })
+            }
+            Fault::FailingPool => self.update_pool(FAILING_POOL, |t| t.failing = on),
+            Fault::LoadBurst => self.burst_factor = if on { 5.0 } else { 1.0 },
+            Fault::ColdRestart if on => self.restart_cold(),
+            Fault::ColdRestart => {}
+            Fault::CentreIsolated if on => self.isolate_centre(),
+            Fault::CentreIsolated => self.isolated_centre = None,
+            Fault::EntryCrash if on => self.crash_entry(CRASHED_ENTRY),
+            Fault::EntryCrash => self.restart_entry(CRASHED_ENTRY),
         }
     }
 
-    /// Changes all targets of a pool.
-    fn each(&mut self, pool: &str, change: impl Fn(&mut Target)) {
+    /// Applies a change to all targets of a pool.
+    fn update_pool(&mut self, pool: &str, change: impl Fn(&mut Target)) {
         self.targets.iter_mut().filter(|t| t.spec.name == pool).for_each(change);
     }
 
-    /// Lets targets restart at once, without warning.
-    fn turn_cold(&mut self) {
+    /// Restarts targets without downtime, which resets their calls and leaves them cold.
+    fn restart_cold(&mut self) {
         let found = self.targets.iter().enumerate().filter(|(_, t)| t.spec.name == COLD_POOL);
         let some: Vec<usize> = found.map(|(i, _)| i).take(COLD_COUNT).collect();
         for target in some {
@@ -118,54 +127,56 @@
         }
     }
 
-    /// Cuts a data centre off; callers of its entries go to others once they notice.
-    fn cut_off(&mut self) {
-        let cut = centre(0);
-        let inside = |e: &Entry| e.centre == cut;
+    /// Isolates a data centre; its callers move to other entries after the progress timeout.
+    fn isolate_centre(&mut self) {
+        let isolated = centre(0);
+        let inside = |e: &Entry| e.centre == isolated;
         let entries: Vec<usize> =
             (0..self.entries.len()).filter(|e| inside(&self.entries[*e])).collect();
-        self.cut = Some(cut);
+        self.isolated_centre = Some(isolated);
         for entry in entries {
-            self.move_callers(entry, SILENT);
+            self.resubmit_requests(entry, PROGRESS_TIMEOUT);
         }
     }
 
-    /// Ends an entry's process.
-    fn kill(&mut self, entry: usize) {
+    /// Crashes an entry's process.
+    fn crash_entry(&mut self, entry: usize) {
         self.entries[entry].alive = false;
-        self.move_callers(entry, RESUBMIT);
+        self.resubmit_requests(entry, RESUBMIT_DELAY);
     }
 
-    /// Starts an entry's process again, with nothing.
-    fn revive(&mut self, entry: usize) {
+    /// Restarts an entry's process without its earlier state.
+    fn restart_entry(&mut self, entry: usize) {
         self.boots += 1;
         let list: Vec<_> = self.targets.iter().map(|t| t.info.clone()).collect();
-        self.entries[entry] = Entry::start(self.now, entry, self.boots, self.run.kind, &list);
+        self.entries[entry] = Entry::start(self.now, entry, self.boots, self.config.kind, &list);
     }
 
-    /// Sends the requests of an entry again, through others.
-    fn move_callers(&mut self, entry: usize, after: Duration) {
+    /// Resubmits the requests of an entry to other entries after a delay.
+    fn resubmit_requests(&mut self, entry: usize, delay: Duration) {
         let own = self.requests.iter().filter(|(_, r)| r.entry == entry);
         let ids: Vec<_> = own.map(|(id, _)| *id).collect();
         for id in ids {
-            let Some(request) = self.drop_request(id) else {
+            let Some(request) = self.remove_request(id) else {
                 continue;
             };
             let (workspace, arrived) = (request.workspace, request.arrived);
-            if World::counts(arrived) {
-                for (wasted, held) in self.stats.wasted.iter_mut().zip(request.held) {
-                    *wasted += held;
+            if Simulation::is_measured(arrived) {
+                for (wasted, completed_work) in
+                    self.stats.wasted.iter_mut().zip(request.completed_work)
+                {
+                    *wasted += completed_work;
                 }
             }
-            self.at(self.now + after, Event::Submit { workspace, arrived });
+            self.schedule_at(self.now + delay, Event::Submit { workspace, arrived });
         }
     }
 
-    /// Ends a request that no entry can take.
-    pub fn end_unserved(&mut self, workspace: usize, arrived: hawthornkeel_core::time::Instant) {
-        if World::counts(arrived) {
-            let second = crate::stats::second(crate::world::MEASURE_AT, arrived);
-            self.stats.end(second, workspace, End::Failed);
+    /// Records the failure of a request that no entry accepted in time.
+    pub fn record_unserved(&mut self, workspace: usize, arrived: hawthornkeel_core::time::Instant) {
+        if Simulation::is_measured(arrived) {
+            let second = crate::stats::second_since(crate::simulation::MEASURE_START, arrived);
+            self.stats.record_end(second, workspace, RequestEnd::Failed);
         }
     }
 }
--- a/hawthornkeel_core/benches/policy/schedule.rs
+++ b/hawthornkeel_core/benches/policy/schedule.rs
@@ -1,98 +1,108 @@
-//! Schedule of a run's faults: one or two at once, once or twice.
+//! Fault schedule of a run: one or two simultaneous faults, which occur once or twice.
 
 use std::time::Duration;
 
 use hawthornkeel_core::time::Instant;
 
 use crate::faults::Fault;
-use crate::world::FAULT_AT;
+use crate::simulation::FAULT_START;
 
-/// Pause between the end of the faults and their second start.
-const PAUSE: Duration = Duration::from_secs(5);
-/// Faults that are paired.
-const PAIRED: [Fault; 5] = [Fault::Slow, Fault::Fail, Fault::Burst, Fault::Centre, Fault::Kill];
+/// Time between the end of the longest fault and the second occurrence.
+const REPEAT_PAUSE: Duration = Duration::from_secs(5);
+/// Faults that are repeated and combined in pairs.
+const COMPOUND_FAULTS: [Fault; 5] = [
+    Fault::SlowPool,
+    Fault::FailingPool,
+    Fault::LoadBurst,
+    Fault::CentreIsolated,
+    Fault::EntryCrash,
+];
 
-/// Faults of a run, which start together.
+/// Faults of a run, which start at the same time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Schedule {
     pub first: Fault,
-    /// Fault at the same time, if any.
+    /// Second simultaneous fault, if any.
     pub second: Option<Fault>,
-    /// Whether they come a second time.
-    pub twice: bool,
+    /// Whether the faults occur twice.
+    pub repeated: bool,
 }
 
 /// Start or end of a fault.
 #[derive(Clone, Copy, Debug)]
-pub struct Step {
+pub struct FaultChange {
     pub at: Instant,
     pub fault: Fault,
     pub on: bool,
 }
 
 impl Schedule {
-    /// Returns the schedule of one fault.
-    pub fn one(first: Fault) -> Self {
-        Self { first, second: None, twice: false }
+    /// Returns a schedule with one fault that occurs once.
+    pub fn single(first: Fault) -> Self {
+        Self { first, second: None, repeated: false }
     }
 
-    /// Returns all schedules that have two faults at once, or faults that come twice.
+    /// Returns all schedules with two simultaneous faults or with repeated faults.
     pub fn compound() -> Vec<Self> {
         let mut all: Vec<Self> =
-            PAIRED.iter().map(|f| Self { twice: true, ..Self::one(*f) }).collect();
-        for (index, first) in PAIRED.into_iter().enumerate() {
-            for second in PAIRED.into_iter().skip(index + 1).map(Some) {
-                all.extend([false, true].map(|twice| Self { first, second, twice }));
+            COMPOUND_FAULTS.iter().map(|f| Self { repeated: true, ..Self::single(*f) }).collect();
+        for (index, first) in COMPOUND_FAULTS.into_iter().enumerate() {
+            for second in COMPOUND_FAULTS.into_iter().skip(index + 1).map(Some) {
+                all.extend([false, true].map(|repeated| Self { first, second, repeated }));
             }
         }
         all
     }
 
-    /// Tells whether there is only one fault, once.
+    /// Returns whether there is only one fault, which occurs once.
     pub fn is_single(self) -> bool {
-        self.second.is_none() && !self.twice
+        self.second.is_none() && !self.repeated
     }
 
-    /// Returns the schedule's name in tables.
-    pub fn name(self) -> String {
-        let twice = if self.twice { ", twice" } else { "" };
+    /// Returns the label of the schedule in tables.
+    pub fn label(self) -> String {
+        let suffix = if self.repeated { ", twice" } else { "" };
         match self.second {
-            Some(second) => format!("{} + {}{twice}", self.first.short(), second.short()),
-            None if self.twice => format!("{}{twice}", self.first.short()),
-            None => self.first.name().to_owned(),
+            Some(second) => {
+                format!("{} + {}{suffix}", self.first.short_label(), second.short_label())
+            }
+            None if self.repeated => format!("{}{suffix}", self.first.short_label()),
+            None => self.first.label().to_owned(),
         }
     }
 
-    /// Returns the starts and ends of the faults.
-    pub fn steps(self) -> Vec<Step> {
-        let mut steps = Vec::new();
-        let again = FAULT_AT + self.longest() + PAUSE;
-        for start in [Some(FAULT_AT), self.twice.then_some(again)].into_iter().flatten() {
+    /// Returns the starts and ends of all faults.
+    pub fn changes(self) -> Vec<FaultChange> {
+        let mut changes = Vec::new();
+        let second_start = FAULT_START + self.longest_duration() + REPEAT_PAUSE;
+        for start in
+            [Some(FAULT_START), self.repeated.then_some(second_start)].into_iter().flatten()
+        {
             for fault in self.faults() {
-                steps.push(Step { at: start, fault, on: true });
-                steps.push(Step { at: start + fault.lasts(), fault, on: false });
+                changes.push(FaultChange { at: start, fault, on: true });
+                changes.push(FaultChange { at: start + fault.duration(), fault, on: false });
             }
         }
-        steps
+        changes
     }
 
     /// Returns the time at which the last fault ends.
     pub fn end(self) -> Instant {
-        self.steps().iter().map(|s| s.at).max().unwrap_or(FAULT_AT)
+        self.changes().iter().map(|c| c.at).max().unwrap_or(FAULT_START)
     }
 
-    /// Returns how often an entry starts again with full budgets.
-    pub fn restarts(self) -> usize {
-        self.steps().iter().filter(|s| s.on && s.fault == Fault::Kill).count()
+    /// Returns how often an entry restarts, each time with full retry budgets.
+    pub fn entry_restarts(self) -> usize {
+        self.changes().iter().filter(|c| c.on && c.fault == Fault::EntryCrash).count()
     }
 
-    /// Returns the faults.
+    /// Iterates over the simultaneous faults.
     fn faults(self) -> impl Iterator<Item = Fault> {
         [Some(self.first), self.second].into_iter().flatten()
     }
 
-    /// Returns the time of the fault that lasts longest.
-    fn longest(self) -> Duration {
-        self.faults().map(Fault::lasts).max().unwrap_or_default()
+    /// Returns the duration of the longest fault.
+    fn longest_duration(self) -> Duration {
+        self.faults().map(Fault::duration).max().unwrap_or_default()
     }
 }
--- a/hawthornkeel_core/benches/policy/target.rs
+++ b/hawthornkeel_core/benches/policy/target.rs
@@ -1,4 +1,4 @@
-//! Stand-in target: bears a limited number of calls and falls over when cold and overloaded.
+//! Simulated target that limits its concurrent calls and crashes if overloaded while cold.
 
 use std::time::Duration;
 
@@ -9,47 +9,49 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::sites::PoolSpec;
+use crate::topology::PoolSpec;
 
-/// Time that a target which fell over takes to start again.
-const RESTART: Duration = Duration::from_secs(1);
-/// Part of the call time that is added at full load.
-const LOAD_PART: f64 = 0.5;
-/// Factor on the call time while cold.
-const COLD_FACTOR: f64 = 2.0;
+/// Downtime of a target after a crash.
+const RESTART_TIME: Duration = Duration::from_secs(1);
+/// Share of the call time that is added at full load.
+const LOAD_SLOWDOWN: f64 = 0.5;
+/// Factor of the call time while cold.
+const COLD_SLOWDOWN: f64 = 2.0;
 
-/// How a target takes a call.
+/// Outcome of a target's attempt to accept a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
-    /// The call runs for a time.
-    Runs(Duration),
-    /// The target takes no more calls.
+pub enum AcceptOutcome {
+    /// The call runs for this time.
+    Accepted(Duration),
+    /// The target is at its concurrency limit.
     Refused,
-    /// The target answers with an error at once.
+    /// The target responds with an error at once.
     Failed,
-    /// The connection leads to a process that is gone.
-    Broken,
-    /// There is no process.
-    Gone,
-    /// The target fell over: this call and all that ran are lost.
-    FellOver,
+    /// The connection belonged to a process that has ended.
+    StaleConnection,
+    /// No process accepts connections.
+    NoProcess,
+    /// The target crashed: this call and all running ones are lost.
+    Crashed,
 }
 
-/// Stand-in target.
+/// Simulated target.
 #[derive(Clone, Debug)]
 pub struct Target {
     pub info: TargetInfo,
     pub spec: PoolSpec,
     pub incarnation: Incarnation,
     pub running: u32,
-    pub answers: u32,
-    pub slow: f64,
+    /// Calls answered since the last restart.
+    pub answered_calls: u32,
+    /// Factor of the call time.
+    pub slowdown: f64,
     pub failing: bool,
-    pub dead_until: Instant,
-    /// Times that it fell over.
-    pub falls: u32,
-    /// Time at which it turned cold last, until it is fully loaded again.
-    pub cold_since: Option<Instant>,
+    pub down_until: Instant,
+    /// Crashes under overload while cold.
+    pub crashes: u32,
+    /// Time of the last restart.
+    pub last_restart: Option<Instant>,
 }
 
 impl Target {
@@ -68,79 +70,80 @@
             spec,
             incarnation: Incarnation(1),
             running: 0,
-            answers: 0,
-            slow: 1.0,
+            answered_calls: 0,
+            slowdown: 1.0,
             failing: false,
-            dead_until: Instant::ZERO,
-            falls: 0,
-            cold_since: None,
+            down_until: Instant::ZERO,
+            crashes: 0,
+            last_restart: None,
         }
     }
 
-    /// Tells whether the target bears only its cold limit.
+    /// Returns whether only the cold limit applies.
     pub fn is_cold(&self) -> bool {
-        self.answers < self.spec.warm_after
+        self.answered_calls < self.spec.warm_after
     }
 
-    /// Takes a call.
-    pub fn take(&mut self, now: Instant, rng: &mut ChaCha8Rng) -> Taken {
-        if now < self.dead_until {
-            return Taken::Gone;
+    /// Accepts a call, or tells why it doesn't run.
+    pub fn accept_call(&mut self, now: Instant, rng: &mut ChaCha8Rng) -> AcceptOutcome {
+        if now < self.down_until {
+            return AcceptOutcome::NoProcess;
         }
         if self.failing {
-            return Taken::Failed;
+            return AcceptOutcome::Failed;
         }
         if self.is_cold() && self.running >= self.spec.cold_limit {
-            self.falls += 1;
-            self.restart(now, RESTART);
-            return Taken::FellOver;
+            self.crashes += 1;
+            self.restart(now, RESTART_TIME);
+            return AcceptOutcome::Crashed;
         }
         if self.running >= self.spec.warm_limit {
-            return Taken::Refused;
+            return AcceptOutcome::Refused;
         }
         self.running += 1;
-        Taken::Runs(self.call_time(rng))
+        AcceptOutcome::Accepted(self.call_time(rng))
     }
 
-    /// Notes the end of a call of the present incarnation.
-    pub fn end(&mut self, answered: bool) {
+    /// Records the end of a call of the current incarnation.
+    pub fn finish_call(&mut self, answered: bool) {
         self.running = self.running.saturating_sub(1);
-        self.answers += u32::from(answered);
+        self.answered_calls += u32::from(answered);
     }
 
-    /// Starts the process again after `pause`; what ran is lost.
-    pub fn restart(&mut self, now: Instant, pause: Duration) {
+    /// Restarts the process after `downtime`; running calls are lost.
+    pub fn restart(&mut self, now: Instant, downtime: Duration) {
         self.incarnation.0 += 1;
         self.running = 0;
-        self.answers = 0;
-        self.dead_until = now + pause;
-        self.cold_since = Some(now);
+        self.answered_calls = 0;
+        self.down_until = now + downtime;
+        self.last_restart = Some(now);
     }
 
-    /// Returns the calls a second that the target answers at full load in its present state.
-    pub fn rate(&self, now: Instant) -> f64 {
-        if now < self.dead_until || self.failing {
+    /// Returns the target's current throughput at full load, in calls per second.
+    pub fn throughput(&self, now: Instant) -> f64 {
+        if now < self.down_until || self.failing {
             return 0.0;
         }
         let cold = self.is_cold();
         let limit = if cold { self.spec.cold_limit } else { self.spec.warm_limit };
         let load = f64::from(limit) / f64::from(self.spec.warm_limit);
-        let factor = if cold { COLD_FACTOR } else { 1.0 };
-        let time = self.spec.time.as_secs_f64() * (1.0 + LOAD_PART * load) * factor * self.slow;
+        let factor = if cold { COLD_SLOWDOWN } else { 1.0 };
+        let time =
+            self.spec.time.as_secs_f64() * (1.0 + LOAD_SLOWDOWN * load) * factor * self.slowdown;
         f64::from(limit) / time
     }
 
-    /// Draws the time of a call at the present load.
+    /// Draws the time of a call at the current load.
     fn call_time(&self, rng: &mut ChaCha8Rng) -> Duration {
         let load = f64::from(self.running) / f64::from(self.spec.warm_limit);
-        let cold = if self.is_cold() { COLD_FACTOR } else { 1.0 };
+        let cold = if self.is_cold() { COLD_SLOWDOWN } else { 1.0 };
         let spread: f64 = rng.random_range(0.7..1.3);
-        self.spec.time.mul_f64(spread * (1.0 + LOAD_PART * load) * cold * self.slow)
+        self.spec.time.mul_f64(spread * (1.0 + LOAD_SLOWDOWN * load) * cold * self.slowdown)
     }
 }
 
-/// Returns the calls a second that `count` warm targets of a pool answer at full load.
-pub fn full_rate(spec: &PoolSpec, count: usize) -> f64 {
-    let time = spec.time.as_secs_f64() * (1.0 + LOAD_PART);
+/// Returns the throughput of `count` warm targets at full load, in calls per second.
+pub fn full_throughput(spec: &PoolSpec, count: usize) -> f64 {
+    let time = spec.time.as_secs_f64() * (1.0 + LOAD_SLOWDOWN);
     f64::from(spec.warm_limit) * count as f64 / time
 }
--- a/hawthornkeel_core/benches/policy/sites.rs
+++ b/hawthornkeel_core/benches/policy/topology.rs
@@ -1,4 +1,4 @@
-//! Size of the site: data centres, entries, pools and workspaces of today.
+//! Simulated fleet: data centres, entries, pools and workspaces.
 
 use std::time::Duration;
 
@@ -9,24 +9,26 @@
 use hawthornkeel_core::document::Workspace;
 use hawthornkeel_core::names::CentreName;
 
-/// Data centres.
 pub const CENTRES: usize = 4;
-/// Entry instances, spread over the data centres.
+/// Entries, distributed evenly over the data centres.
 pub const ENTRIES: usize = 8;
-/// Time from arrival to the whole answer.
+/// Time from arrival to the full answer.
 pub const DEADLINE: Duration = Duration::from_secs(8);
 /// Weights of the workspaces; the first sends half of all requests.
-pub const WEIGHTS: [u32; 5] = [4, 2, 1, 1, 1];
+pub const WORKSPACE_WEIGHTS: [u32; 5] = [4, 2, 1, 1, 1];
 
-/// Pool of stand-in targets.
+/// Pool of simulated targets.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolSpec {
     pub name: &'static str,
     pub count: usize,
-    /// Call time of an idle warm target.
+    /// Call time of a warm target without load.
     pub time: Duration,
+    /// Concurrent calls that a warm target accepts.
     pub warm_limit: u32,
+    /// Concurrent calls that a cold target tolerates.
     pub cold_limit: u32,
+    /// Answered calls after which a target is warm.
     pub warm_after: u32,
 }
 
@@ -38,7 +40,6 @@
     spec("draft", 10, 800, 16, 2, 16),
 ];
 
-/// Builds a pool.
 const fn spec(
     name: &'static str,
     count: usize,
@@ -76,13 +77,13 @@
         floor_ms: p.time.as_millis() as u64 / 2,
         ..Stage::default()
     };
-    let one = |(i, weight): (usize, &u32)| Workspace {
+    let workspace_spec = |(i, weight): (usize, &u32)| Workspace {
         name: workspace(i).as_str().into(),
         weight: *weight,
         ..Workspace::default()
     };
     Document {
-        workspaces: WEIGHTS.iter().enumerate().map(one).collect(),
+        workspaces: WORKSPACE_WEIGHTS.iter().enumerate().map(workspace_spec).collect(),
         pools: POOLS.iter().map(pool).collect(),
         pipelines: vec![Pipeline {
             name: "main".into(),
