--- a/hawthornkeel_core/benches/decision.rs
+++ b/hawthornkeel_core/benches/decision.rs
@@ -1,6 +1,6 @@
-//! Cost of one decision against the number of targets that an entry knows.
+//! Time of a routing decision by the number of targets that an entry knows.
 //!
-//! `cargo bench -p hawthornkeel_core --bench decision`; the goal is under 5 us at 1,500 targets.
+//! `cargo bench -p hawthornkeel_core --bench decision`; the goal is less than 5 us at 1,500 targets.
 
 #![allow(missing_docs)]
 
@@ -31,10 +31,10 @@
 /// Numbers of targets in the pool.
 const SIZES: [usize; 3] = [10, 100, 1_500];
 
-/// Creates a router with warm targets, three in four of them near.
+/// Creates a router with warm targets, three quarters of them in its own data centre.
 fn router(size: usize) -> Router {
-    let place = |i: usize| if i % 4 == 3 { "b" } else { "a" };
-    let targets: Vec<TargetInfo> = (0..size).map(|i| target(&format!("t{i}"), place(i))).collect();
+    let centre = |i: usize| if i % 4 == 3 { "b" } else { "a" };
+    let targets: Vec<TargetInfo> = (0..size).map(|i| target(&format!("t{i}"), centre(i))).collect();
     warm_router(&document(16, &[("w", 1)]), &targets, RouterSettings::default())
 }
 
@@ -54,8 +54,8 @@
     group.finish();
 }
 
-/// Measures a call with a prompt prefix and one tried target.
-fn send_again(criterion: &mut Criterion) {
+/// Measures a call with a prompt prefix and one excluded target.
+fn send_with_exclusion(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("choose_with_prefix_and_excluded");
     for size in SIZES {
         let mut router = router(size);
@@ -71,7 +71,7 @@
     group.finish();
 }
 
-/// Measures a call that has to wait, and its cancellation.
+/// Measures a call that is queued and cancelled.
 fn wait(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("choose_and_wait");
     for size in SIZES {
@@ -92,7 +92,7 @@
     group.finish();
 }
 
-/// Measures one load report.
+/// Measures the handling of a load report.
 fn report(criterion: &mut Criterion) {
     let mut router = router(1_500);
     let load = LoadReport { running: 3, ..LoadReport::default() };
@@ -107,6 +107,6 @@
         .measurement_time(Duration::from_secs(2))
         .warm_up_time(Duration::from_millis(500))
         .sample_size(50);
-    targets = send, send_again, wait, report
+    targets = send, send_with_exclusion, wait, report
 }
 criterion_main!(decisions);
--- a/hawthornkeel_core/benches/hedges/main.rs
+++ b/hawthornkeel_core/benches/hedges/main.rs
@@ -1,48 +1,50 @@
-//! What hedged calls bring and cost, on a virtual clock: one pool, with hedges and without.
+//! Benefit and cost of hedged calls to one pool, simulated on a virtual clock with and without them.
 //!
-//! `cargo bench -p hawthornkeel_core --bench hedges`; fails where hedges waste 2% of the work, where
-//! fewer are answered with them than without, or less than 99.9% while the targets bear the load.
+//! `cargo bench -p hawthornkeel_core --bench hedges`; fails if hedges waste more than 2% of the
+//! work, if attainment is below 99.9%, or, while all targets are slow, below that without hedges.
 
 #![allow(missing_docs)]
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
-mod site;
+mod simulation;
 
 use std::process::ExitCode;
 use std::time::Duration;
 
 use hawthornkeel_core::routing::RouterSettings;
 
-use crate::site::Fault;
-use crate::site::Site;
-use crate::site::Totals;
+use crate::simulation::Fault;
+use crate::simulation::Simulation;
+use crate::simulation::Totals;
 
-/// Share of requests answered in full that is the target.
-const ATTAINMENT: f64 = 0.999;
-/// Share of the work that may be wasted.
-const WASTED: f64 = 0.02;
-/// Cases in the order of the table.
+/// Lowest share of requests answered in full unless all targets are slow.
+const MIN_ATTAINMENT: f64 = 0.999;
+/// Largest share of the work that hedges may add to the wasted work.
+const MAX_WASTED: f64 = 0.02;
+/// Cases of the table.
 const CASES: [(&str, Fault); 4] = [
     ("no fault", Fault::None),
-    ("one call in 200 takes 20 times as long", Fault::Stray),
-    ("one of 8 targets slows tenfold for 30 s", Fault::Target),
-    ("all targets slow tenfold for 10 s", Fault::Stage),
+    ("one call in 200 takes 20 times as long", Fault::SlowCalls),
+    ("one of 8 targets slows tenfold for 30 s", Fault::SlowTarget),
+    ("all targets slow tenfold for 10 s", Fault::SlowPool),
 ];
 
 fn main() -> ExitCode {
     println!("| case | hedges | p50 | p99 | p99.9 | worst | attainment | hedged | wasted |");
     println!("|---|---|---|---|---|---|---|---|---|");
-    let mut held = true;
+    let mut bounds_hold = true;
     for (name, fault) in CASES {
-        let off = Site::new(settings(false), fault).run();
+        let off = Simulation::new(settings(false), fault).run();
         print_row(name, false, &off);
-        let on = Site::new(settings(true), fault).run();
+        let on = Simulation::new(settings(true), fault).run();
         print_row(name, true, &on);
-        let wanted = if fault == Fault::Stage { off.attainment() } else { ATTAINMENT };
-        held &= on.attainment() >= wanted && on.wasted() - off.wasted() <= WASTED;
+        let min_attainment =
+            if fault == Fault::SlowPool { off.attainment() } else { MIN_ATTAINMENT };
+        bounds_hold &=
+            on.attainment() >= min_attainment && on.wasted() - off.wasted() <= MAX_WASTED;
     }
-    if held { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if bounds_hold { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 fn settings(on: bool) -> RouterSettings {
--- a/hawthornkeel_core/benches/hedges/site.rs
+++ b/hawthornkeel_core/benches/hedges/simulation.rs
@@ -1,4 +1,4 @@
-//! One entry before one pool: requests, calls and what they add up to.
+//! Discrete-event simulation of one entry that calls one pool.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -42,41 +42,42 @@
 use crate::common::warm_router;
 
 const TARGETS: u64 = 8;
-/// Calls that a target bears at once.
-const BEARS: u32 = 8;
-/// Shortest and longest usual call, in microseconds.
-const USUAL: std::ops::Range<u64> = 60_000..140_000;
-/// Requests a second: half of what the targets bear.
-const RATE: f64 = 320.0;
-/// Length of a run, in milliseconds.
+/// Concurrent calls that a target accepts.
+const CALL_LIMIT: u32 = 8;
+/// Range of the call time without faults, in microseconds.
+const CALL_TIME_MICROS: std::ops::Range<u64> = 60_000..140_000;
+/// Requests per second: half of the targets' capacity.
+const ARRIVAL_RATE: f64 = 320.0;
+/// Time during which requests arrive, in milliseconds.
 const RUN_MILLIS: u64 = 120_000;
-/// Start of a fault, in milliseconds.
-const FAULT_MILLIS: u64 = 40_000;
-/// Longest call to a target that has to prove itself.
-const GRANT: Duration = Duration::from_secs(9);
+/// Start of the fault, in milliseconds.
+const FAULT_START_MILLIS: u64 = 40_000;
+/// Validity of a grant for a call to a target that isn't known to be warm.
+const GRANT_DURATION: Duration = Duration::from_secs(9);
 const DEADLINE: Duration = Duration::from_secs(8);
 
-/// What goes wrong.
+/// Fault to inject.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
     None,
     /// One call in 200 takes 20 times as long.
-    Stray,
+    SlowCalls,
     /// One target slows tenfold for 30 s.
-    Target,
+    SlowTarget,
     /// All targets slow tenfold for 10 s.
-    Stage,
+    SlowPool,
 }
 
-/// What a run adds up to.
+/// Totals of a run.
 pub struct Totals {
     pub requests: u64,
     pub answered: u64,
     pub hedges: u64,
     /// Time from arrival to the answer, in microseconds.
     pub times: Histogram<u64>,
-    busy: Duration,
-    lost: Duration,
+    /// Time in which targets ran calls, and the part that went to cancelled calls.
+    busy_time: Duration,
+    wasted_time: Duration,
 }
 
 impl Totals {
@@ -85,17 +86,17 @@
         self.answered as f64 / self.requests as f64
     }
 
-    /// Returns the share of the targets' time that brought no answer.
+    /// Returns the share of busy time that went to cancelled calls.
     pub fn wasted(&self) -> f64 {
-        self.lost.as_secs_f64() / self.busy.as_secs_f64()
+        self.wasted_time.as_secs_f64() / self.busy_time.as_secs_f64()
     }
 }
 
-/// Event of a run; its request is gone where it came too late.
+/// Event of a run; ignored if its request has ended.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
-    Arrive,
-    Answer(CallId),
+    Arrival,
+    CallEnded(CallId),
     HedgeDue(CallId),
     Deadline(RequestId),
 }
@@ -103,31 +104,31 @@
 struct Request {
     run: PipelineRun,
     arrived: Instant,
-    chosen: Option<Permit>,
+    permit: Option<Permit>,
     /// Target of the first call.
-    called: Option<TargetName>,
+    first_target: Option<TargetName>,
 }
 
-struct Flight {
+struct Call {
     permit: Permit,
     started: Instant,
 }
 
-/// One entry before one pool.
-pub struct Site {
+/// State of a run.
+pub struct Simulation {
     now: Instant,
     router: Router,
     rng: ChaCha8Rng,
     fault: Fault,
     events: BinaryHeap<Reverse<(Instant, Event)>>,
     requests: IndexMap<RequestId, Request>,
-    flights: IndexMap<CallId, Flight>,
+    calls: IndexMap<CallId, Call>,
     pipeline: Arc<Pipeline>,
     totals: Totals,
 }
 
-impl Site {
-    /// Creates a site whose targets are warm.
+impl Simulation {
+    /// Creates an entry and a pool of warm targets.
     pub fn new(settings: RouterSettings, fault: Fault) -> Self {
         let targets: Vec<TargetInfo> =
             (0..TARGETS).map(|i| target(&format!("t{i}"), "a")).collect();
@@ -139,60 +140,60 @@
             answered: 0,
             hedges: 0,
             times: Histogram::new(3).unwrap(),
-            busy: Duration::ZERO,
-            lost: Duration::ZERO,
+            busy_time: Duration::ZERO,
+            wasted_time: Duration::ZERO,
         };
         Self {
             now: at(0),
-            router: warm_router(&document(BEARS, &[("w", 1)]), &targets, settings),
+            router: warm_router(&document(CALL_LIMIT, &[("w", 1)]), &targets, settings),
             rng: ChaCha8Rng::seed_from_u64(1),
             fault,
-            events: BinaryHeap::from([Reverse((at(0), Event::Arrive))]),
+            events: BinaryHeap::from([Reverse((at(0), Event::Arrival))]),
             requests: IndexMap::new(),
-            flights: IndexMap::new(),
+            calls: IndexMap::new(),
             pipeline: Arc::new(pipeline),
             totals,
         }
     }
 
-    /// Runs to the end of the last request.
+    /// Runs until the last request has ended and returns the totals.
     pub fn run(mut self) -> Totals {
         while let Some(Reverse((now, event))) = self.events.pop() {
             self.now = now;
             match event {
-                Event::Arrive => self.arrive(),
-                Event::Answer(call) => self.answer(call),
-                Event::HedgeDue(call) => self.feed(call.request, Input::HedgeDue(call)),
-                Event::Deadline(id) => self.feed(id, Input::DeadlinePassed),
+                Event::Arrival => self.handle_arrival(),
+                Event::CallEnded(call) => self.finish_call(call),
+                Event::HedgeDue(call) => self.handle_input(call.request, Input::HedgeDue(call)),
+                Event::Deadline(id) => self.handle_input(id, Input::DeadlinePassed),
             }
-            self.grant();
+            self.grant_requests();
             for ready in self.router.take_ready(now) {
-                self.decided(ready.call.request, ready.decision);
+                self.apply_decision(ready.call.request, ready.decision);
             }
         }
         self.totals
     }
 
-    /// Plays the issuer, which grants what is asked for.
-    fn grant(&mut self) {
+    /// Acts as the issuer and grants every request.
+    fn grant_requests(&mut self) {
         for out in self.router.take_messages(self.now) {
             let GrantMessage::Request { number, target, .. } = out.message else {
                 continue;
             };
-            let (grant, lasts) = (GrantId { issuer: out.issuer, number }, GRANT);
+            let (grant, lasts) = (GrantId { issuer: out.issuer, number }, GRANT_DURATION);
             let granted = GrantMessage::Granted { number, grant, target, lasts };
             self.router.handle_message(self.now, &granted);
         }
     }
 
-    fn after(&mut self, delay: Duration, event: Event) {
+    fn schedule_after(&mut self, delay: Duration, event: Event) {
         self.events.push(Reverse((self.now + delay, event)));
     }
 
-    fn arrive(&mut self) {
+    fn handle_arrival(&mut self) {
         if self.now < at(RUN_MILLIS) {
-            let gap = -(1.0 - self.rng.random::<f64>()).ln() / RATE;
-            self.after(Duration::from_secs_f64(gap), Event::Arrive);
+            let gap = -(1.0 - self.rng.random::<f64>()).ln() / ARRIVAL_RATE;
+            self.schedule_after(Duration::from_secs_f64(gap), Event::Arrival);
         }
         self.totals.requests += 1;
         let id = RequestId(u128::from(self.totals.requests));
@@ -206,138 +207,142 @@
             streamed: false,
             deadline: self.now + DEADLINE,
         });
-        let request = Request { run, arrived: self.now, chosen: None, called: None };
+        let request = Request { run, arrived: self.now, permit: None, first_target: None };
         self.requests.insert(id, request);
-        self.after(DEADLINE, Event::Deadline(id));
-        self.feed(id, Input::Started);
+        self.schedule_after(DEADLINE, Event::Deadline(id));
+        self.handle_input(id, Input::Started);
     }
 
-    fn answer(&mut self, call: CallId) {
-        let Some(flight) = self.flights.swap_remove(&call) else {
+    fn finish_call(&mut self, call: CallId) {
+        let Some(running) = self.calls.swap_remove(&call) else {
             return;
         };
-        let latency = self.now.since(flight.started);
-        self.totals.busy += latency;
+        let latency = self.now.since(running.started);
+        self.totals.busy_time += latency;
         let incarnation = Some(Incarnation(1));
         let outcome = CallOutcome::Answered { latency, tokens: 0, incarnation };
-        let (target, grant) = (flight.permit.target.clone(), flight.permit.grant.clone());
-        self.router.finish_call(self.now, flight.permit, outcome);
+        let (target, grant) = (running.permit.target.clone(), running.permit.grant.clone());
+        self.router.finish_call(self.now, running.permit, outcome);
         if let Some(grant) = grant {
             let warm = GrantMessage::Warm { grant, target, incarnation };
             self.router.handle_message(self.now, &warm);
         }
-        self.feed(call.request, Input::Answered { call, answer: Bytes::new() });
+        self.handle_input(call.request, Input::Answered { call, answer: Bytes::new() });
     }
 
-    fn feed(&mut self, id: RequestId, input: Input) {
+    fn handle_input(&mut self, id: RequestId, input: Input) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         for action in request.run.handle(self.now, input) {
-            self.carry_out(id, action);
+            self.apply_action(id, action);
         }
         if self.requests.get(&id).is_some_and(|r| r.run.is_ended()) {
             self.requests.swap_remove(&id);
         }
     }
 
-    fn carry_out(&mut self, id: RequestId, action: Action) {
+    fn apply_action(&mut self, id: RequestId, action: Action) {
         match action {
             Action::Route { stage, attempt } => {
                 let call = CallId { request: id, stage, attempt };
                 let decision = self.choose(call, AttemptKind::First, Vec::new());
-                self.decided(id, decision);
+                self.apply_decision(id, decision);
             }
             Action::Dispatch { call, .. } => self.dispatch(call),
             Action::Hedge(call) => self.hedge(call),
             Action::Cancel(call) => self.cancel(call),
-            Action::Finish(_) => self.finish(id),
+            Action::Finish(_) => self.record_answer(id),
             Action::ReleasePermit | Action::Refuse(_) => {
                 let stage = StageIndex(0);
                 let call = CallId { request: id, stage, attempt: AttemptNumber(0) };
                 self.router.cancel(self.now, call);
             }
-            other => panic!("not met here: {other:?}"),
+            other => panic!("unexpected action: {other:?}"),
         }
     }
 
-    fn choose(&mut self, call: CallId, repeat: AttemptKind, excluded: Vec<TargetName>) -> Decision {
-        let asked = StageRequest {
+    fn choose(&mut self, call: CallId, kind: AttemptKind, excluded: Vec<TargetName>) -> Decision {
+        let query = StageRequest {
             call,
             workspace: "w".into(),
             pool: "p".into(),
             deadline: self.requests[&call.request].arrived + DEADLINE,
             floor: Duration::from_millis(1),
             excluded,
-            kind: repeat,
+            kind,
             ..StageRequest::default()
         };
-        self.router.choose(self.now, &asked)
+        self.router.choose(self.now, &query)
     }
 
-    fn decided(&mut self, id: RequestId, decision: Decision) {
+    fn apply_decision(&mut self, id: RequestId, decision: Decision) {
         match decision {
             Decision::Send { permit, .. } => {
                 let Some(request) = self.requests.get_mut(&id) else {
                     return self.router.finish_call(self.now, permit, CallOutcome::Cancelled);
                 };
-                request.chosen = Some(permit);
-                self.feed(id, Input::Routed);
+                request.permit = Some(permit);
+                self.handle_input(id, Input::Routed);
             }
             Decision::Wait { .. } => {}
-            Decision::Refuse { .. } => self.feed(id, Input::NotRouted { retry_after: None }),
+            Decision::Refuse { .. } => {
+                self.handle_input(id, Input::NotRouted { retry_after: None })
+            }
         }
     }
 
     fn dispatch(&mut self, call: CallId) {
         let request = self.requests.get_mut(&call.request).unwrap();
-        let permit = request.chosen.take().unwrap();
-        request.called = Some(permit.target.clone());
-        if let Some(after) = self.router.hedge_delay(&permit) {
-            self.after(after, Event::HedgeDue(call));
+        let permit = request.permit.take().unwrap();
+        request.first_target = Some(permit.target.clone());
+        if let Some(delay) = self.router.hedge_delay(&permit) {
+            self.schedule_after(delay, Event::HedgeDue(call));
         }
-        self.fly(call, permit);
+        self.start_call(call, permit);
     }
 
     fn hedge(&mut self, call: CallId) {
-        let called = self.requests[&call.request].called.clone();
-        let decision = self.choose(call, AttemptKind::Hedge, called.into_iter().collect());
+        let first_target = self.requests[&call.request].first_target.clone();
+        let decision = self.choose(call, AttemptKind::Hedge, first_target.into_iter().collect());
         let Decision::Send { permit, .. } = decision else {
             let failure = CallFailure::NotSent;
-            return self.feed(call.request, Input::Failed { call, failure, received: 0 });
+            return self.handle_input(call.request, Input::Failed { call, failure, received: 0 });
         };
         self.totals.hedges += 1;
-        self.fly(call, permit);
+        self.start_call(call, permit);
     }
 
-    /// Begins a call.
-    fn fly(&mut self, call: CallId, permit: Permit) {
+    /// Starts a call and schedules its answer.
+    fn start_call(&mut self, call: CallId, permit: Permit) {
         let time = self.call_time(&permit.target);
-        self.after(time, Event::Answer(call));
-        self.flights.insert(call, Flight { permit, started: self.now });
+        self.schedule_after(time, Event::CallEnded(call));
+        self.calls.insert(call, Call { permit, started: self.now });
     }
 
     fn call_time(&mut self, target: &TargetName) -> Duration {
-        let since = |millis: u64| (at(FAULT_MILLIS)..at(FAULT_MILLIS + millis)).contains(&self.now);
-        let slow = match self.fault {
+        let in_fault = |millis: u64| {
+            (at(FAULT_START_MILLIS)..at(FAULT_START_MILLIS + millis)).contains(&self.now)
+        };
+        let slowdown = match self.fault {
             Fault::None => 1,
-            Fault::Stray if self.rng.random_range(0..200) == 0 => 20,
-            Fault::Target if since(30_000) && target.as_str() == "t0" => 10,
-            Fault::Stage if since(10_000) => 10,
-            Fault::Stray | Fault::Target | Fault::Stage => 1,
+            Fault::SlowCalls if self.rng.random_range(0..200) == 0 => 20,
+            Fault::SlowTarget if in_fault(30_000) && target.as_str() == "t0" => 10,
+            Fault::SlowPool if in_fault(10_000) => 10,
+            Fault::SlowCalls | Fault::SlowTarget | Fault::SlowPool => 1,
         };
-        Duration::from_micros(self.rng.random_range(USUAL) * slow)
+        Duration::from_micros(self.rng.random_range(CALL_TIME_MICROS) * slowdown)
     }
 
     fn cancel(&mut self, call: CallId) {
-        let flight = self.flights.swap_remove(&call).unwrap();
-        let busy = self.now.since(flight.started);
-        self.totals.busy += busy;
-        self.totals.lost += busy;
-        self.router.finish_call(self.now, flight.permit, CallOutcome::Cancelled);
+        let running = self.calls.swap_remove(&call).unwrap();
+        let elapsed = self.now.since(running.started);
+        self.totals.busy_time += elapsed;
+        self.totals.wasted_time += elapsed;
+        self.router.finish_call(self.now, running.permit, CallOutcome::Cancelled);
     }
 
-    fn finish(&mut self, id: RequestId) {
+    fn record_answer(&mut self, id: RequestId) {
         let time = self.now.since(self.requests[&id].arrived);
         self.totals.answered += 1;
         self.totals.times.record(time.as_micros() as u64).unwrap();
