--- a/hawthornkeel/src/entry/call.rs
+++ b/hawthornkeel/src/entry/call.rs
@@ -1,4 +1,4 @@
-//! One call to a target, from its permit to its outcome.
+//! Runs one call to a target and reports its outcome to the router.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -31,16 +31,17 @@
 use crate::target::stream::TokenStream;
 use crate::telemetry;
 
-/// Shortest time without a byte after which a call that may be repeated counts as silent.
-const MIN_PROGRESS: Duration = Duration::from_secs(3);
-/// Share of a call's time after which it counts as silent: the rest is left for another target.
-const PROGRESS_SHARE: f64 = 0.6;
-/// Time after the deadline for which the answer to a claimed call is still taken, to record it.
-const LATE_ANSWER: Duration = Duration::from_secs(2);
+/// Lower bound of the progress timeout of an idempotent call.
+const MIN_PROGRESS_TIMEOUT: Duration = Duration::from_secs(3);
+/// Progress timeout of an idempotent call as a fraction of its timeout. The remaining time is for a
+/// retry at another target.
+const PROGRESS_TIMEOUT_RATIO: f64 = 0.6;
+/// Time after the deadline for which a claimed call continues, so that its answer is recorded.
+const LATE_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a call needs beside its permit.
+/// Parameters of a call, apart from its permit.
 pub struct CallPlan {
-    /// Identity of the call.
+    /// Identifier of the call.
     pub id: CallId,
     /// Stage that the call runs.
     pub stage: Stage,
@@ -49,30 +50,30 @@
     /// Priority of the workspace.
     pub priority: u8,
     /// Idempotency key of the request.
-    pub key: Option<Arc<str>>,
-    /// Caller's body.
+    pub idempotency_key: Option<Arc<str>>,
+    /// Body of the caller's request.
     pub input: Bytes,
-    /// Answer of the stage before.
-    pub previous: Option<Bytes>,
+    /// Answer of the previous stage.
+    pub previous_answer: Option<Bytes>,
     /// Time by which the whole answer to the caller is due.
     pub deadline: Instant,
-    /// Bytes of the answer that earlier attempts received.
-    pub resume: usize,
-    /// Text that earlier attempts received, which this one adds to.
-    pub text: Rc<RefCell<String>>,
-    /// Whether the call races another one for the same stage.
-    pub hedge: bool,
-    /// Where pieces of the answer go as they come, if anywhere.
+    /// Length in bytes of the text received by earlier attempts, from which the stream resumes.
+    pub resume_offset: usize,
+    /// Text received by all attempts so far; this attempt appends to it.
+    pub received_text: Rc<RefCell<String>>,
+    /// Whether the call is a hedge of another call for the same stage.
+    pub is_hedge: bool,
+    /// Receives tokens as they arrive, if the answer is streamed to the caller.
     pub reply: Option<Rc<Reply>>,
 }
 
-/// Answer of a target with what is measured of it.
-struct Answered {
+/// Answer of a target and its number of tokens.
+struct TargetAnswer {
     body: Bytes,
     tokens: u32,
 }
 
-/// Makes the call and gives its permit back.
+/// Makes the call and releases its permit.
 pub async fn run(context: Rc<Context>, permit: PermitGuard, plan: CallPlan) -> Input {
     if permit.permit().is_some_and(|p| p.grant.is_some()) {
         let stage = plan.stage.name.as_str().to_owned();
@@ -80,14 +81,14 @@
     }
     let heard = Heard::default();
     let record = CallRecord::start(&context, &plan);
-    let result = attempt(&context, &permit, &plan, &heard).await;
+    let result = execute(&context, &permit, &plan, &heard).await;
     permit.report_incarnation(heard.get());
     match result {
-        Ok(answered) => {
-            let tokens = answered.tokens;
+        Ok(answer) => {
+            let tokens = answer.tokens;
             let latency = record.answered(tokens);
             permit.finish(CallOutcome::Answered { latency, tokens, incarnation: heard.get() });
-            Input::Answered { call: plan.id, answer: answered.body }
+            Input::Answered { call: plan.id, answer: answer.body }
         }
         Err(error) => {
             record.failed(error.name());
@@ -97,72 +98,72 @@
                 _ => permit.finish(outcome(failure)),
             }
             if error == CallError::NotResumed && plan.reply.is_none() {
-                // Nothing was given on yet, so the next attempt can begin anew.
-                plan.text.borrow_mut().clear();
+                // The caller has received no token yet, so the next attempt can start afresh.
+                plan.received_text.borrow_mut().clear();
             }
-            let received = plan.text.borrow().len();
+            let received = plan.received_text.borrow().len();
             Input::Failed { call: plan.id, failure, received }
         }
     }
 }
 
-async fn attempt(
+async fn execute(
     context: &Context,
     permit: &PermitGuard,
     plan: &CallPlan,
     heard: &Heard,
-) -> Result<Answered, CallError> {
+) -> Result<TargetAnswer, CallError> {
     let address: SocketAddr = permit
         .address
         .parse()
         .map_err(|_| CallError::NotSent("address can't be parsed".to_owned()))?;
-    let until = permit.permit().map_or(Instant::ZERO, |p| p.deadline);
-    let left = context.clock.until(until);
-    if left.is_zero() {
+    let permit_deadline = permit.permit().map_or(Instant::ZERO, |p| p.deadline);
+    let remaining = context.clock.until(permit_deadline);
+    if remaining.is_zero() {
         return Err(CallError::NotSent("permit expired".to_owned()));
     }
     let timeout = match plan.stage.idempotent {
-        true => left,
-        false => longest(context, permit, plan),
+        true => remaining,
+        false => non_idempotent_timeout(context, permit, plan),
     };
     let process = permit.expected_process();
     let call = Call { process, heard: heard.clone(), ..encode(plan, timeout) };
     match plan.pool.kind {
         PoolKind::Service => {
             let answer = context.client.call(address, &call).await?;
-            Ok(Answered { body: answer.body, tokens: 0 })
+            Ok(TargetAnswer { body: answer.body, tokens: 0 })
         }
         PoolKind::Engine => generate(&context.client, address, &call, plan, permit).await,
     }
 }
 
-/// Returns the time for which a call that may not be repeated is waited for.
+/// Returns the timeout of a call that isn't idempotent.
 ///
-/// Its answer is still recorded after the deadline; only the end of a grant ends it earlier, since
-/// the target may be granted to another call then.
-fn longest(context: &Context, permit: &PermitGuard, plan: &CallPlan) -> Duration {
-    let late = context.clock.until(plan.deadline) + LATE_ANSWER;
+/// Its answer is recorded even after the request's deadline. Only the expiry of its grant ends the
+/// call earlier, because the target may then be granted to another call.
+fn non_idempotent_timeout(context: &Context, permit: &PermitGuard, plan: &CallPlan) -> Duration {
+    let late = context.clock.until(plan.deadline) + LATE_ANSWER_TIMEOUT;
     let grant_expiry = permit.permit().and_then(|p| p.grant_expiry);
     grant_expiry.map_or(late, |end| late.min(context.clock.until(end)))
 }
 
-/// Returns the time without a byte after which a call counts as silent.
-fn progress(stage: &Stage, timeout: Duration) -> Duration {
+/// Returns the time without received data after which a call fails.
+fn progress_timeout(stage: &Stage, timeout: Duration) -> Duration {
     match stage.idempotent {
-        true => timeout.mul_f64(PROGRESS_SHARE).max(MIN_PROGRESS).min(timeout),
+        true => timeout.mul_f64(PROGRESS_TIMEOUT_RATIO).max(MIN_PROGRESS_TIMEOUT).min(timeout),
         false => timeout,
     }
 }
 
 fn encode(plan: &CallPlan, timeout: Duration) -> Call {
-    let previous = plan.previous.as_deref();
+    let previous = plan.previous_answer.as_deref();
     let call = Call {
         id: plan.id,
         idempotent: plan.stage.idempotent,
-        key: plan.key.as_ref().map(|k| k.to_string()),
+        key: plan.idempotency_key.as_ref().map(|k| k.to_string()),
         priority: plan.priority,
         timeout,
-        progress: progress(&plan.stage, timeout),
+        progress: progress_timeout(&plan.stage, timeout),
         ..Call::default()
     };
     match plan.pool.kind {
@@ -174,46 +175,46 @@
         PoolKind::Engine => Call {
             path: COMPLETIONS.to_owned(),
             body: encoding::engine_body(plan),
-            resume_offset: u64::try_from(plan.resume).unwrap_or(0),
+            resume_offset: u64::try_from(plan.resume_offset).unwrap_or(0),
             ..call
         },
     }
 }
 
-/// Reads an engine's stream to its end marker.
+/// Reads an engine's token stream up to its end marker.
 async fn generate(
     client: &Client,
     address: SocketAddr,
     call: &Call,
     plan: &CallPlan,
     permit: &PermitGuard,
-) -> Result<Answered, CallError> {
+) -> Result<TargetAnswer, CallError> {
     let mut stream = client.stream(address, call).await?;
     permit.report_incarnation(call.heard.get());
     let mut tokens: u32 = 0;
     while let Event::Token { text, .. } = stream.next().await? {
         tokens = tokens.saturating_add(1);
-        plan.text.borrow_mut().push_str(&text);
+        plan.received_text.borrow_mut().push_str(&text);
         if let Some(reply) = &plan.reply {
             let mut events = TokenEvents::default();
             events.add(&text);
-            tokens = tokens.saturating_add(add_ready(&mut stream, plan, &mut events));
+            tokens = tokens.saturating_add(append_ready(&mut stream, plan, &mut events));
             reply.send_tokens(events).await;
         }
     }
-    let body = encoding::engine_answer(&plan.text.borrow());
-    Ok(Answered { body, tokens })
+    let body = encoding::engine_answer(&plan.received_text.borrow());
+    Ok(TargetAnswer { body, tokens })
 }
 
-/// Adds the tokens that have come already, as far as one piece holds them, and returns how many.
-fn add_ready(stream: &mut TokenStream, plan: &CallPlan, events: &mut TokenEvents) -> u32 {
+/// Adds tokens that are already buffered, up to the size of one chunk, and returns their number.
+fn append_ready(stream: &mut TokenStream, plan: &CallPlan, events: &mut TokenEvents) -> u32 {
     let mut tokens: u32 = 0;
     while !events.is_full() {
         let Some(Event::Token { text, .. }) = stream.take_ready() else {
             break;
         };
         tokens = tokens.saturating_add(1);
-        plan.text.borrow_mut().push_str(&text);
+        plan.received_text.borrow_mut().push_str(&text);
         events.add(&text);
     }
     tokens
--- a/hawthornkeel/src/entry/claims.rs
+++ b/hawthornkeel/src/entry/claims.rs
@@ -1,4 +1,4 @@
-//! Where claims are decided: the control instances, or this process alone in a trial.
+//! Store of claims: the control instances, or the memory of this process in a trial.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -19,25 +19,25 @@
 use crate::control::client::ControlClient;
 use crate::control::client::ControlError;
 
-/// Time for a claim to be decided.
+/// Timeout of the proposal of a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for a settlement to be recorded before the request goes on without.
+/// Time that a request waits for its settlement to be recorded before it continues.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between tries to record a settlement.
-const SETTLE_PAUSE: Duration = Duration::from_millis(500);
-/// Tries to record a settlement that nobody waits for.
-const SETTLE_TRIES: u32 = 20;
+/// Time between attempts to record a settlement in the background.
+const SETTLE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of attempts to record a settlement in the background.
+const SETTLE_ATTEMPTS: u32 = 20;
 
-/// Where claims are decided.
+/// Replicated state that decides claims.
 #[derive(Clone)]
 pub enum ClaimStore {
-    /// This process alone, without a disk: for trials.
+    /// State in the memory of this process, without a disk, for trials.
     Local(Rc<LocalState>),
     /// The control instances.
     Control(ControlClient),
 }
 
-/// Replicated state machine of a trial, with one replica in memory.
+/// State machine of a trial: a single replica in memory.
 #[derive(Default)]
 pub struct LocalState {
     state: RefCell<State>,
@@ -55,7 +55,7 @@
 }
 
 impl ClaimStore {
-    /// Tells whether claims can be decided as far as is known.
+    /// Returns whether claims can be decided, as far as known.
     pub fn is_reachable(&self) -> bool {
         match self {
             Self::Local(_) => true,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Has `claim` decided.
+    /// Proposes `claim` and returns its outcome.
     pub async fn claim(&self, claim: Claim) -> Input {
         match self.propose(Command::Claim(claim), CLAIM_TIMEOUT).await {
             Ok(Outcome::Claim(outcome)) => Input::Claimed(outcome),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Records `settle`, and goes on trying in the background where that takes too long.
+    /// Records `settle`; if that fails or times out, retries in the background.
     pub async fn settle(&self, settle: Settle) -> Input {
         let command = Command::Settle(settle.clone());
         if self.propose(command, SETTLE_TIMEOUT).await.is_err() {
@@ -84,16 +84,16 @@
     /// Records `settle` in the background.
     pub fn settle_in_background(&self, settle: Settle) {
         let store = self.clone();
-        monoio::spawn(async move { store.settle_again(settle).await });
+        monoio::spawn(async move { store.retry_settle(settle).await });
     }
 
-    async fn settle_again(&self, settle: Settle) {
-        for _ in 0..SETTLE_TRIES {
+    async fn retry_settle(&self, settle: Settle) {
+        for _ in 0..SETTLE_ATTEMPTS {
             let command = Command::Settle(settle.clone());
             if self.propose(command, CLAIM_TIMEOUT).await.is_ok() {
                 return;
             }
-            monoio::time::sleep(SETTLE_PAUSE).await;
+            monoio::time::sleep(SETTLE_RETRY_INTERVAL).await;
         }
         let request = format!("{:032x}", settle.claimant.request.0);
         tracing::warn!(event = "settle-given-up", request, stage = settle.key.stage.0);
--- a/hawthornkeel/src/entry/context.rs
+++ b/hawthornkeel/src/entry/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of an entry share.
+//! Shared state of an entry.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -35,61 +35,61 @@
 use crate::target::client::Client;
 use crate::target::client::ClientLimits;
 
-/// State of an entry, shared by the tasks of its one thread.
+/// State of an entry, shared by all tasks of its single thread.
 pub struct Context {
     /// Settings of the process.
     pub settings: Settings,
-    /// This run of the instance.
+    /// Identity of this run of the instance.
     pub member: MemberId,
     /// Monotonic clock.
     pub clock: Clock,
-    /// Router.
+    /// Chooses targets and admits requests.
     pub router: RefCell<Router>,
-    /// Calls that wait for a target.
+    /// Calls queued for a target.
     pub waiting_calls: RefCell<IndexMap<CallId, Sender<Decision>>>,
-    /// Connections to targets.
+    /// HTTP client for targets, with its connection pool.
     pub client: Client,
-    /// Where claims are decided.
+    /// Store that decides claims.
     pub claims: ClaimStore,
-    /// This instance's part in the lease for cold targets.
+    /// Voter, holder and issuer of this instance for the lease on cold targets.
     pub lease: RefCell<LeaseMember>,
-    /// Way to the peers.
+    /// Sends messages to other entries.
     pub messenger: PeerMessenger,
-    /// Targets as last listed.
+    /// Targets of the platform's last list.
     pub targets: RefCell<Vec<TargetInfo>>,
-    /// Environment in force, once known.
+    /// Current environment, if known.
     pub environment: RefCell<Option<Rc<Environment>>>,
-    /// Time from which the instance counts as ready without an issuer of grants.
+    /// Time from which the instance is ready even without an issuer of grants.
     pub ready_deadline: Cell<Option<Instant>>,
-    /// Requests in progress by workspace.
+    /// Number of requests in progress, by workspace.
     pub workspace_requests: RefCell<IndexMap<WorkspaceName, u32>>,
-    /// Requests whose answer or record is still to come.
+    /// Number of requests that are not yet answered and recorded.
     pub open_requests: Cell<usize>,
-    /// Set once a planned stop has begun: the balancer is told, and requests are still served.
+    /// Set when a planned stop begins: the readiness check fails, but requests are still served.
     pub draining: Signal,
-    /// Set once the balancer had its time to notice: further requests are refused.
+    /// Set after the drain period, when the load balancer has noticed: new requests are refused.
     pub stopping: Signal,
 }
 
-/// What differs between a trial and an instance of a fleet.
+/// Components that differ between a trial and an instance of a fleet.
 pub struct Dependencies {
-    /// Where claims are decided.
+    /// Store that decides claims.
     pub claims: ClaimStore,
-    /// Way to the peers.
+    /// Sends messages to other entries.
     pub messenger: PeerMessenger,
-    /// Settings of the lease for cold targets.
+    /// Settings of the lease on cold targets.
     pub lease: LeaseSettings,
 }
 
 impl Context {
-    /// Creates the state of an entry that knows no document and no target yet.
+    /// Creates the state of an entry without a document and without targets.
     pub fn new(settings: Settings, dependencies: Dependencies) -> Self {
         let clock = Clock;
-        let own = settings.instance.data_centre.clone();
+        let own_centre = settings.instance.data_centre.clone();
         let member = MemberId { name: settings.instance.name.clone(), boot: rand::random() };
         let entries = entry_infos(&settings, &member);
         let now = clock.now();
-        let info = EntryInfo { id: member.clone(), centre: own };
+        let info = EntryInfo { id: member.clone(), centre: own_centre };
         let lease = LeaseMember::new(now, &info, &entries, &dependencies.lease);
         let router_settings = RouterSettings { seed: rand::random(), ..RouterSettings::default() };
         let mut router = Router::new(router_settings, dependencies.lease, info);
@@ -114,15 +114,15 @@
         }
     }
 
-    /// Returns the environment in force, once known.
+    /// Returns the current environment, if known.
     pub fn environment(&self) -> Option<Rc<Environment>> {
         self.environment.borrow().clone()
     }
 
-    /// Returns what the instance lacks to serve callers, if anything.
+    /// Returns the reason why the instance isn't ready for callers, if any.
     ///
     /// An entry that has just started knows no warm target. It waits for an issuer of grants, so
-    /// that its first callers need not, but not for ever: none may be there.
+    /// that its first requests don't have to. The wait is bounded, as there may be no issuer.
     pub fn not_ready_reason(&self) -> Option<&'static str> {
         if self.environment.borrow().is_none() {
             return Some("no environment document yet");
@@ -130,14 +130,15 @@
         if self.targets.borrow().is_empty() {
             return Some("no targets known yet");
         }
-        let waited = self.ready_deadline.get().is_some_and(|by| self.clock.now() >= by);
-        if !waited && !self.router.borrow().has_issuer() {
+        let timed_out =
+            self.ready_deadline.get().is_some_and(|deadline| self.clock.now() >= deadline);
+        if !timed_out && !self.router.borrow().has_issuer() {
             return Some("no issuer of grants heard yet");
         }
         None
     }
 
-    /// Returns the data centre of an instance that the settings name.
+    /// Returns the data centre of this instance or of a configured peer.
     pub fn centre_of(&self, name: &InstanceName) -> Option<CentreName> {
         if *name == self.settings.instance.name {
             return Some(self.settings.instance.data_centre.clone());
@@ -146,7 +147,7 @@
         Some(peer.data_centre.clone())
     }
 
-    /// Returns what an order to the target called `name` needs, where it is known.
+    /// Returns the recipient of an order to the target called `name`, if the target is known.
     pub fn order_target(&self, name: &TargetName) -> Option<OrderTarget> {
         let targets = self.targets.borrow();
         let target = targets.iter().find(|t| t.name == *name)?;
@@ -156,29 +157,29 @@
         Some(OrderTarget { name: name.clone(), address, fencing })
     }
 
-    /// Returns a message about grants as it goes to a peer.
+    /// Wraps a grant message with the identity of this instance.
     pub fn grant_message(&self, message: GrantMessage) -> EntryMessage {
         EntryMessage::Grant { from: self.member.clone(), message }
     }
 
-    /// Hands the router's decisions to the calls that wait for them.
+    /// Delivers the router's decisions to the queued calls.
     ///
-    /// To be called after each change that may give a waiting call its turn.
+    /// Must be called after every change that may allow a queued call to proceed.
     pub fn dispatch_queued(&self) {
         let ready = self.router.borrow_mut().take_ready(self.clock.now());
-        for item in ready {
-            let waiter = self.waiting_calls.borrow_mut().swap_remove(&item.call);
-            let unheard = match waiter {
-                Some(waiter) => waiter.send(item.decision).err(),
-                None => Some(item.decision),
+        for queued in ready {
+            let sender = self.waiting_calls.borrow_mut().swap_remove(&queued.call);
+            let undelivered = match sender {
+                Some(sender) => sender.send(queued.decision).err(),
+                None => Some(queued.decision),
             };
-            if let Some(decision) = unheard {
+            if let Some(decision) = undelivered {
                 self.release(decision);
             }
         }
     }
 
-    /// Gives the permit of a decision back that nobody waits for.
+    /// Releases the permit of a decision that no call waits for any more.
     pub fn release(&self, decision: Decision) {
         if let Decision::Send { permit, .. } = decision {
             let now = self.clock.now();
@@ -187,10 +188,10 @@
     }
 }
 
-/// Returns the entries that the settings name, this one among them.
+/// Returns all configured entries, including this one.
 fn entry_infos(settings: &Settings, own: &MemberId) -> Vec<EntryInfo> {
     let peer = |p: &Peer| EntryInfo {
-        // The boot number of another instance plays no part in the choice of subsets.
+        // The choice of subsets doesn't depend on the boot number of another instance.
         id: MemberId { name: p.name.clone(), boot: 0 },
         centre: p.data_centre.clone(),
     };
--- a/hawthornkeel/src/entry/controllers/document.rs
+++ b/hawthornkeel/src/entry/controllers/document.rs
@@ -1,4 +1,4 @@
-//! Controller of the document: brings what the instance follows into force.
+//! Applies the published environment document and the data centres taken out.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use crate::entry::context::Context;
 use crate::entry::environment::Environment;
 
-/// Time after its first document for which an entry waits for an issuer before it is ready.
-const READY_WAIT: Duration = Duration::from_secs(5);
+/// Time after the first document after which an entry is ready even without an issuer of grants.
+const READY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Brings a document into force, unless one of the same or a later version is.
+/// Applies a document, unless the current version is the same or newer.
 pub fn apply_document(context: &Context, version: Version, document: Document) {
     let current = context.environment().map_or(Version(0), |e| e.version);
     if version <= current {
@@ -25,12 +25,12 @@
     {
         let mut router = context.router.borrow_mut();
         router.apply_document(&document);
-        // Targets of pools that the document before did not name were passed over.
+        // The router ignored targets of pools that were missing from the previous document.
         router.update_targets(context.clock.now(), &context.targets.borrow());
     }
     context.lease.borrow_mut().apply_document(&document);
     if context.ready_deadline.get().is_none() {
-        context.ready_deadline.set(Some(context.clock.now() + READY_WAIT));
+        context.ready_deadline.set(Some(context.clock.now() + READY_TIMEOUT));
     }
     let environment = Environment::new(version, document);
     *context.environment.borrow_mut() = Some(Rc::new(environment));
@@ -38,7 +38,7 @@
     context.dispatch_queued();
 }
 
-/// Takes the data centres that get no new work.
+/// Applies the set of data centres that get no new work.
 pub fn apply_taken_out(context: &Context, centres: &[CentreName]) {
     let now = context.clock.now();
     context.router.borrow_mut().set_taken_out(now, centres);
@@ -52,20 +52,21 @@
     loop {
         let seen = watch.changes().count();
         if let Some(published) = watch.current() {
-            take_published(&context, &published);
+            apply_published(&context, &published);
             apply_taken_out(&context, &watch.taken_out());
         }
         watch.changes().after(seen).await;
     }
 }
 
-fn take_published(context: &Context, published: &PublishedState) {
+fn apply_published(context: &Context, published: &PublishedState) {
     if published.version == Version(0) {
         return;
     }
     match parse_document("document", &published.text) {
         Ok(document) => apply_document(context, published.version, document),
-        // The document was checked before it was accepted, so this is another release's.
+        // Documents are validated before they are accepted, so one that can't be parsed comes from
+        // a different release.
         Err(findings) => {
             tracing::error!(event = "document-refused", version = %published.version, %findings);
         }
--- a/hawthornkeel/src/entry/controllers/lease.rs
+++ b/hawthornkeel/src/entry/controllers/lease.rs
@@ -1,4 +1,4 @@
-//! Controller of the lease for cold targets: votes, holds and hands out grants.
+//! Votes for and holds the lease on cold targets, and issues grants while holding it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,31 +23,36 @@
 use crate::entry::context::Context;
 use crate::entry::messaging::EntryMessage;
 
-/// Pause between two looks at what is due.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval between ticks of the holder and the issuer.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// This instance's part in the leases of data centres.
+/// Voter, holder and issuer of this instance for the leases of data centres.
 pub struct LeaseMember {
-    /// Votes, by the data centre whose lease they are for.
+    /// Voters for the leases in which this instance votes, by data centre.
     voters: IndexMap<CentreName, Voter>,
     holder: Holder,
     issuer: Issuer,
 }
 
 impl LeaseMember {
-    /// Creates the part of the member `own` among `entries`.
-    pub fn new(now: Instant, own: &EntryInfo, entries: &[EntryInfo], set: &LeaseSettings) -> Self {
+    /// Creates the state of the member `own` among `entries`.
+    pub fn new(
+        now: Instant,
+        own: &EntryInfo,
+        entries: &[EntryInfo],
+        settings: &LeaseSettings,
+    ) -> Self {
         let name = &own.id.name;
         let centres: IndexSet<_> = entries.iter().map(|e| e.centre.clone()).collect();
-        let votes = |centre: &CentreName| choose_voters(centre, entries).contains(name);
-        let voter = |centre| (centre, Voter::new(now, name.clone(), set.clone()));
-        let voters = centres.into_iter().filter(votes).map(voter).collect();
-        let named = choose_voters(&own.centre, entries);
-        let holder = Holder::new(now, own.id.clone(), named, set.clone());
+        let is_voter = |centre: &CentreName| choose_voters(centre, entries).contains(name);
+        let voter = |centre| (centre, Voter::new(now, name.clone(), settings.clone()));
+        let voters = centres.into_iter().filter(is_voter).map(voter).collect();
+        let own_voters = choose_voters(&own.centre, entries);
+        let holder = Holder::new(now, own.id.clone(), own_voters, settings.clone());
         Self { voters, holder, issuer: Issuer::new(own.centre.clone()) }
     }
 
-    /// Takes the document's pools, whose limits bound the grants.
+    /// Applies the document, whose pools limit the number of grants.
     pub fn apply_document(&mut self, document: &Document) {
         self.issuer.apply_document(document);
     }
@@ -56,15 +61,15 @@
 /// Runs until the process ends.
 pub async fn run(context: Rc<Context>) {
     loop {
-        monoio::time::sleep(TICK).await;
+        monoio::time::sleep(TICK_INTERVAL).await;
         tick(&context);
         let now = context.clock.now();
-        let issued = {
+        let outputs = {
             let mut lease = context.lease.borrow_mut();
             let LeaseMember { holder, issuer, .. } = &mut *lease;
             issuer.tick(now, holder)
         };
-        send_issued(&context, issued);
+        send_grant_messages(&context, outputs);
         let messages = context.router.borrow_mut().take_messages(now);
         for output in messages {
             send(&context, &output.issuer.name, context.grant_message(output.message));
@@ -73,28 +78,28 @@
     }
 }
 
-/// Gives up the lease, so that another member need not wait for its end.
+/// Releases the lease, so that another member needn't wait for it to expire.
 pub fn resign(context: &Rc<Context>) {
     let resign = context.lease.borrow_mut().holder.resign(context.clock.now());
     send_to_voters(context, &resign);
 }
 
-/// Asks for votes where a round is due; a member that stops does not ask for a lease anew.
+/// Requests votes if a round is due. A stopping member renews its lease but doesn't acquire one.
 fn tick(context: &Rc<Context>) {
     let now = context.clock.now();
-    let ask = {
+    let request = {
         let mut lease = context.lease.borrow_mut();
-        // Only a voter can hold the lease, so that few instances ask.
-        let votes = lease.voters.contains_key(&context.settings.instance.data_centre);
-        let asks = votes && (!context.draining.is_set() || lease.holder.holds(now));
-        asks.then(|| lease.holder.tick(now)).flatten()
+        // Only voters may hold the lease, which limits the number of candidates.
+        let is_voter = lease.voters.contains_key(&context.settings.instance.data_centre);
+        let is_candidate = is_voter && (!context.draining.is_set() || lease.holder.holds(now));
+        is_candidate.then(|| lease.holder.tick(now)).flatten()
     };
-    if let Some(ask) = ask {
-        send_to_voters(context, &ask);
+    if let Some(request) = request {
+        send_to_voters(context, &request);
     }
 }
 
-/// Sends `message` to every voter of the own data centre's lease.
+/// Sends `message` to all voters for the lease of this data centre.
 fn send_to_voters(context: &Rc<Context>, message: &VoteMessage) {
     let voters = context.lease.borrow().holder.voters().to_vec();
     for voter in voters {
@@ -102,7 +107,7 @@
     }
 }
 
-/// Sends `message` to an instance, or takes it here where it is this one.
+/// Sends `message` to an instance; a message to this instance is handled directly.
 pub fn send(context: &Rc<Context>, to: &InstanceName, message: EntryMessage) {
     tracing::trace!(event = "entry-message-out", %to, ?message);
     if *to == context.settings.instance.name {
@@ -112,7 +117,7 @@
     context.messenger.send(to, message);
 }
 
-/// Takes a message of instance `from`.
+/// Handles a message from the instance `from`.
 pub fn receive(context: &Rc<Context>, from: &InstanceName, message: EntryMessage) {
     tracing::trace!(event = "entry-message", %from, ?message);
     match message {
@@ -166,39 +171,40 @@
     match message {
         GrantMessage::Announce { .. }
         | GrantMessage::Granted { .. }
-        | GrantMessage::Warm { .. } => take_grant(context, &message),
+        | GrantMessage::Warm { .. } => pass_to_router(context, &message),
         GrantMessage::Request { .. }
         | GrantMessage::Release { .. }
-        | GrantMessage::Vouch { .. } => issue(context, from, &message),
+        | GrantMessage::Vouch { .. } => pass_to_issuer(context, from, &message),
         GrantMessage::Suspect { .. } => {
-            // The issuer passes a suspicion on to the entries; this one may be either.
+            // Entries report suspicions to the issuer, which forwards them to all entries. This
+            // instance may be both.
             if context.lease.borrow().holder.holds(now) {
-                issue(context, from, &message);
+                pass_to_issuer(context, from, &message);
             }
             if *from != context.member {
-                take_grant(context, &message);
+                pass_to_router(context, &message);
             }
         }
     }
 }
 
-fn take_grant(context: &Rc<Context>, message: &GrantMessage) {
+fn pass_to_router(context: &Rc<Context>, message: &GrantMessage) {
     let now = context.clock.now();
     context.router.borrow_mut().handle_message(now, message);
     context.dispatch_queued();
 }
 
-fn issue(context: &Rc<Context>, from: &MemberId, message: &GrantMessage) {
+fn pass_to_issuer(context: &Rc<Context>, from: &MemberId, message: &GrantMessage) {
     let now = context.clock.now();
     let outputs = {
         let mut lease = context.lease.borrow_mut();
         let LeaseMember { holder, issuer, .. } = &mut *lease;
         issuer.handle(now, holder, from, message)
     };
-    send_issued(context, outputs);
+    send_grant_messages(context, outputs);
 }
 
-fn send_issued(context: &Rc<Context>, outputs: Vec<IssuerOutput>) {
+fn send_grant_messages(context: &Rc<Context>, outputs: Vec<IssuerOutput>) {
     for output in outputs {
         send(context, &output.to.name, context.grant_message(output.message));
     }
--- a/hawthornkeel/src/entry/controllers/load.rs
+++ b/hawthornkeel/src/entry/controllers/load.rs
@@ -1,4 +1,4 @@
-//! Controller of load: polls the targets' own reports, which lag, and watches idle connections.
+//! Polls the load reports of targets, which lag behind their state, and watches idle connections.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,47 +12,48 @@
 use crate::entry::context::Context;
 use crate::target::call::Call;
 
-/// Time between two polls of a target.
-const POLL_PAUSE: Duration = Duration::from_millis(500);
-/// Time for one poll.
+/// Interval between polls of a target.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of one poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time between two looks at the idle connections.
-const WATCH_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between checks of the idle connections.
+const WATCH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Polls until the process ends.
 pub async fn run(context: Rc<Context>) {
     loop {
-        for target in known_targets(&context) {
+        for target in subset_targets(&context) {
             monoio::spawn(poll(Rc::clone(&context), target));
         }
-        monoio::time::sleep(POLL_PAUSE).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Watches the idle connections until the process ends.
 ///
-/// A target may close them for being idle, so one that has named its incarnation is asked for it at
-/// once. One that never has is taken for restarted where it closes a connection right after its use.
+/// A target may close connections merely because they are idle, so a target that reports its
+/// incarnation is polled for it at once. A target that never reported one is considered restarted
+/// if it closes a connection right after its use.
 pub async fn watch_connections(context: Rc<Context>) {
     loop {
-        monoio::time::sleep(WATCH_PAUSE).await;
+        monoio::time::sleep(WATCH_INTERVAL).await;
         for lost in context.client.take_lost().await {
-            if let Some(target) = target_at(&context, lost.address) {
-                take_lost(&context, target, lost.recent);
+            if let Some(target) = find_target(&context, lost.address) {
+                handle_lost_connection(&context, target, lost.recent);
             }
         }
     }
 }
 
-fn target_at(context: &Context, address: SocketAddr) -> Option<TargetInfo> {
+fn find_target(context: &Context, address: SocketAddr) -> Option<TargetInfo> {
     let address = address.to_string();
     let targets = context.targets.borrow();
     targets.iter().find(|t| *t.address == *address).cloned()
 }
 
-/// Takes the loss of an idle connection to a target.
-fn take_lost(context: &Rc<Context>, target: TargetInfo, recent: bool) {
+/// Handles the loss of an idle connection to a target.
+fn handle_lost_connection(context: &Rc<Context>, target: TargetInfo, recent: bool) {
     let now = context.clock.now();
     let mut router = context.router.borrow_mut();
     let named = router.status(&target.name).is_some_and(|s| s.incarnation.is_some());
@@ -64,8 +65,9 @@
     monoio::spawn(poll(Rc::clone(context), target));
 }
 
-/// Returns the targets that this entry sends to: a few of each pool in a large fleet.
-fn known_targets(context: &Context) -> Vec<TargetInfo> {
+/// Returns the targets in this entry's subset, which holds a few targets of each pool in a large
+/// fleet.
+fn subset_targets(context: &Context) -> Vec<TargetInfo> {
     let router = context.router.borrow();
     let targets = context.targets.borrow();
     targets.iter().filter(|t| router.in_subset(&t.name)).cloned().collect()
@@ -77,7 +79,7 @@
     };
     let id = CallId { request: RequestId(rand::random()), ..CallId::default() };
     let call = Call { id, timeout: POLL_TIMEOUT, progress: POLL_TIMEOUT, ..Call::default() };
-    // A target without a report is routed to by what its answers show.
+    // Without a load report, the router relies on the outcomes of calls to the target.
     let Ok(report) = context.client.load(address, &call).await else {
         return;
     };
--- a/hawthornkeel/src/entry/controllers/mod.rs
+++ b/hawthornkeel/src/entry/controllers/mod.rs
@@ -1,4 +1,4 @@
-//! Controllers: loops that keep an entry's soft state in step with what it follows.
+//! Control loops that keep an entry's soft state up to date with its sources.
 
 pub mod document;
 pub mod lease;
--- a/hawthornkeel/src/entry/controllers/targets.rs
+++ b/hawthornkeel/src/entry/controllers/targets.rs
@@ -1,4 +1,4 @@
-//! Controller of the targets: polls the platform's list, which lags.
+//! Polls the platform's list of targets, which lags behind their actual state.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,20 +17,20 @@
 use crate::target::call::Call;
 use crate::target::error::CallError;
 
-/// Time after which an unchanged list is handed to the router again.
-const REPEAT_AFTER: Duration = Duration::from_secs(5);
-/// Time for one poll.
+/// Time after which an unchanged list is passed to the router again.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(5);
+/// Timeout of one poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// List as the platform gives it.
+/// Response body of the platform's list.
 #[derive(Debug, Deserialize)]
 struct InstanceList {
-    instances: Vec<Listed>,
+    instances: Vec<ListedInstance>,
 }
 
 /// Instance on the platform's list.
 #[derive(Debug, Deserialize)]
-struct Listed {
+struct ListedInstance {
     name: TargetName,
     address: SocketAddr,
     pool: PoolName,
@@ -44,27 +44,27 @@
     let Some(address) = context.settings.platform.address else {
         return;
     };
-    let pause = Duration::from_millis(context.settings.platform.poll_ms);
-    let mut taken = None;
+    let interval = Duration::from_millis(context.settings.platform.poll_ms);
+    let mut applied = None;
     loop {
         match poll(&context, address).await {
-            Ok(list) => take_list(&context, list, &mut taken),
+            Ok(list) => apply_list(&context, list, &mut applied),
             Err(error) => tracing::warn!(event = "platform-poll-failed", %error),
         }
-        monoio::time::sleep(pause).await;
+        monoio::time::sleep(interval).await;
     }
 }
 
-/// Hands the list to the router where it changed or the last one is old.
-fn take_list(context: &Context, list: Vec<TargetInfo>, taken: &mut Option<Instant>) {
+/// Passes the list to the router if it has changed or the last update is old.
+fn apply_list(context: &Context, list: Vec<TargetInfo>, applied: &mut Option<Instant>) {
     let now = context.clock.now();
-    let fresh = taken.is_some_and(|at| now.since(at) < REPEAT_AFTER);
-    if fresh && *context.targets.borrow() == list {
+    let is_fresh = applied.is_some_and(|at| now.since(at) < REFRESH_INTERVAL);
+    if is_fresh && *context.targets.borrow() == list {
         return;
     }
     context.router.borrow_mut().update_targets(now, &list);
     *context.targets.borrow_mut() = list;
-    *taken = Some(now);
+    *applied = Some(now);
     context.dispatch_queued();
 }
 
@@ -74,10 +74,10 @@
     let answer = context.client.get(address, &call).await?;
     let list: InstanceList = serde_json::from_slice(&answer.body)
         .map_err(|_| CallError::Malformed("list of instances can't be parsed"))?;
-    Ok(list.instances.into_iter().map(Listed::into_target).collect())
+    Ok(list.instances.into_iter().map(ListedInstance::into_target).collect())
 }
 
-impl Listed {
+impl ListedInstance {
     fn into_target(self) -> TargetInfo {
         TargetInfo {
             name: self.name,
--- a/hawthornkeel/src/entry/encoding.rs
+++ b/hawthornkeel/src/entry/encoding.rs
@@ -1,4 +1,4 @@
-//! Bodies of stage calls and of answers.
+//! JSON bodies of stage calls and of answers to callers.
 
 use bytes::Bytes;
 use hawthornkeel_core::ids::RequestId;
@@ -8,29 +8,29 @@
 use crate::entry::call::CallPlan;
 use crate::target::completion::Completion;
 
-/// Body of a call to a plain service, and the content of an engine's prompt.
+/// Body of a call to a service; also the prompt of a call to an engine.
 #[derive(Serialize)]
 struct ServiceBody<'a> {
-    /// Caller's body.
+    /// Body of the caller's request.
     input: &'a RawValue,
-    /// Answer of the stage before, or null for the first stage.
+    /// Answer of the previous stage, or null for the first stage.
     previous: Option<&'a RawValue>,
 }
 
-/// Whole answer to a caller.
+/// Complete answer to a caller.
 #[derive(Serialize)]
 struct Answer<'a> {
     request: &'a str,
     answer: &'a RawValue,
 }
 
-/// Answer of an engine, as the next stage and the caller get it.
+/// Answer of an engine as passed to the next stage and to the caller.
 #[derive(Serialize)]
 struct EngineAnswer<'a> {
     text: &'a str,
 }
 
-/// Returns the body of a call to a plain service; a body that is not JSON counts as null.
+/// Returns the body of a call to a service. Input that isn't valid JSON is replaced by null.
 pub fn service_body(input: &[u8], previous: Option<&[u8]>) -> Bytes {
     let null = RawValue::NULL;
     let input: &RawValue = serde_json::from_slice(input).unwrap_or(null);
@@ -41,9 +41,9 @@
 
 /// Returns the body of a call to an engine.
 pub fn engine_body(plan: &CallPlan) -> Bytes {
-    let prompt = service_body(&plan.input, plan.previous.as_deref());
-    let text = plan.text.borrow();
-    let resume = if plan.resume > 0 { text.as_str() } else { "" };
+    let prompt = service_body(&plan.input, plan.previous_answer.as_deref());
+    let text = plan.received_text.borrow();
+    let resume = if plan.resume_offset > 0 { text.as_str() } else { "" };
     let completion = Completion {
         resume,
         model: plan.pool.model.as_ref().map_or("", |m| m.as_str()),
@@ -55,12 +55,12 @@
     completion.to_bytes()
 }
 
-/// Returns an engine's text as the next stage and the caller get it.
+/// Returns the text of an engine as passed to the next stage and to the caller.
 pub fn engine_answer(text: &str) -> Bytes {
     Bytes::from(serde_json::to_vec(&EngineAnswer { text }).unwrap_or_default())
 }
 
-/// Returns the whole answer to a caller.
+/// Returns the complete answer to a caller; `last` is the answer of the last stage.
 pub fn answer(request: RequestId, last: &[u8]) -> Bytes {
     let answer: &RawValue = serde_json::from_slice(last).unwrap_or(RawValue::NULL);
     let request = format!("{:032x}", request.0);
--- a/hawthornkeel/src/entry/environment.rs
+++ b/hawthornkeel/src/entry/environment.rs
@@ -1,4 +1,4 @@
-//! Environment document as an entry serves it.
+//! Environment document with an index of its pipelines.
 
 use std::sync::Arc;
 
@@ -8,18 +8,18 @@
 use hawthornkeel_core::names::PipelineName;
 use indexmap::IndexMap;
 
-/// Environment document in force at this instance.
+/// Environment document that this instance currently applies.
 #[derive(Clone, Debug, Default)]
 pub struct Environment {
     /// Version of the document.
     pub version: Version,
-    /// Document proper.
+    /// The document itself.
     pub document: Document,
     pipelines: IndexMap<PipelineName, Arc<Pipeline>>,
 }
 
 impl Environment {
-    /// Creates the environment of `document`, accepted as `version`.
+    /// Creates the environment for `document`, which was accepted as `version`.
     pub fn new(version: Version, document: Document) -> Self {
         let shared = |p: &Pipeline| (p.name.clone(), Arc::new(p.clone()));
         let pipelines = document.pipelines.iter().map(shared).collect();
--- a/hawthornkeel/src/entry/executor/calls.rs
+++ b/hawthornkeel/src/entry/executor/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of a stage, and what they leave for the next attempt.
+//! Calls for a stage and the state they leave for the next attempt.
 
 use std::rc::Rc;
 
@@ -15,18 +15,20 @@
 use crate::entry::executor::ready;
 
 impl RequestExecutor {
-    pub(super) fn start_call(&mut self, id: CallId, resume: usize) {
-        let (Some(permit), Some(plan)) = (self.chosen.take(), self.call_plan(id, resume)) else {
+    pub(super) fn start_call(&mut self, id: CallId, resume_offset: usize) {
+        let (Some(permit), Some(plan)) = (self.permit.take(), self.call_plan(id, resume_offset))
+        else {
             let failure = CallFailure::NotSent;
-            self.operation = Some(ready(Input::Failed { call: id, failure, received: resume }));
+            self.operation =
+                Some(ready(Input::Failed { call: id, failure, received: resume_offset }));
             return;
         };
-        self.called = permit.permit().map(|p| p.target.clone());
-        self.set_timer(id, permit.permit());
+        self.called_target = permit.permit().map(|p| p.target.clone());
+        self.set_hedge_timer(id, permit.permit());
         self.operation = Some(self.call(permit, plan));
     }
 
-    pub(super) fn call_plan(&self, id: CallId, resume: usize) -> Option<CallPlan> {
+    pub(super) fn call_plan(&self, id: CallId, resume_offset: usize) -> Option<CallPlan> {
         let stage = self.stage(id.stage)?;
         let pool = self.parsed.environment.document.pool(stage.pool.as_str())?.clone();
         let last = usize::from(id.stage.0) + 1 == self.parsed.pipeline.stages.len();
@@ -35,29 +37,30 @@
             stage,
             pool,
             priority: self.parsed.priority,
-            key: self.parsed.key.clone(),
+            idempotency_key: self.parsed.idempotency_key.clone(),
             input: self.input.clone(),
-            previous: self.previous.clone(),
+            previous_answer: self.previous.clone(),
             deadline: self.run.spec().deadline,
-            resume,
-            text: Rc::clone(&self.text),
-            hedge: false,
+            resume_offset,
+            received_text: Rc::clone(&self.text),
+            is_hedge: false,
             reply: (last && self.reply.is_streamed()).then(|| Rc::clone(&self.reply)),
         })
     }
 
-    /// Remembers what the next attempt and the next stage need of `input`.
+    /// Updates the state for the next attempt or stage from `input`.
     ///
-    /// `target` is the one that was called, if any.
-    pub(super) fn note(&mut self, input: &Input, target: Option<TargetName>) {
+    /// `target` is the called target, if any.
+    pub(super) fn record_input(&mut self, input: &Input, target: Option<TargetName>) {
         match input {
             Input::Answered { answer, .. } | Input::Claimed(ClaimOutcome::Done(answer)) => {
                 self.previous = Some(answer.clone());
-                self.next_stage();
+                self.reset_attempts();
             }
             Input::Failed { failure, .. } => {
-                self.repeat = repeat_after(*failure, self.repeat);
-                // A target that refuses may have room a moment later; the router knows when.
+                self.attempt_kind = next_attempt_kind(*failure, self.attempt_kind);
+                // A target that refuses may have capacity again shortly, which the router tracks,
+                // so it isn't excluded.
                 if !matches!(failure, CallFailure::Refused | CallFailure::Declined) {
                     self.excluded.extend(target);
                 }
@@ -66,16 +69,16 @@
         }
     }
 
-    fn next_stage(&mut self) {
+    fn reset_attempts(&mut self) {
         self.excluded.clear();
-        self.repeat = AttemptKind::First;
+        self.attempt_kind = AttemptKind::First;
         self.text.borrow_mut().clear();
     }
 }
 
-/// Returns how the next attempt repeats the stage after `failure`.
-fn repeat_after(failure: CallFailure, before: AttemptKind) -> AttemptKind {
-    match (failure.evidence(), before) {
+/// Returns the kind of the next attempt after `failure`.
+fn next_attempt_kind(failure: CallFailure, current: AttemptKind) -> AttemptKind {
+    match (failure.evidence(), current) {
         (Evidence::MayHaveRun, _) | (_, AttemptKind::Retry) => AttemptKind::Retry,
         (Evidence::DidNotRun, _) => AttemptKind::SafeRetry,
     }
--- a/hawthornkeel/src/entry/executor/hedge.rs
+++ b/hawthornkeel/src/entry/executor/hedge.rs
@@ -1,4 +1,4 @@
-//! Second call for a stage, made where the first takes long: the first whole answer wins.
+//! Hedged calls: a second call for a slow stage, of which the first complete answer wins.
 
 use std::rc::Rc;
 
@@ -21,74 +21,74 @@
 use crate::entry::route;
 use crate::telemetry;
 
-/// When a hedge of a call is due.
+/// Timer that starts the hedge of a call.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Timer {
-    /// Call that a hedge would race.
+pub(super) struct HedgeTimer {
+    /// Call to be hedged.
     pub call: CallId,
-    /// Time at which it is worth it.
+    /// Time at which the hedge starts.
     pub due: Instant,
 }
 
-/// Call that races the first one.
+/// Hedge in progress.
 pub(super) struct Hedge {
-    /// Identity of the call.
+    /// Identifier of the call.
     pub id: CallId,
-    /// Target called, where one was free.
+    /// Called target, if one was available.
     pub target: Option<TargetName>,
-    /// Call proper.
-    pub work: Operation,
+    /// The call itself.
+    pub operation: Operation,
 }
 
 impl RequestExecutor {
-    /// Notes when a hedge of call `id`, to be made under `permit`, is due.
-    pub(super) fn set_timer(&mut self, id: CallId, permit: Option<&Permit>) {
-        let after = permit.and_then(|p| self.context.router.borrow().hedge_delay(p));
+    /// Sets the hedge timer of call `id`, which is made under `permit`.
+    pub(super) fn set_hedge_timer(&mut self, id: CallId, permit: Option<&Permit>) {
+        let delay = permit.and_then(|p| self.context.router.borrow().hedge_delay(p));
         let now = self.context.clock.now();
-        self.timer = after.map(|after| Timer { call: id, due: now + after });
+        self.hedge_timer = delay.map(|delay| HedgeTimer { call: id, due: now + delay });
     }
 
-    /// Makes the second call where the router has a target for it at once.
+    /// Starts the hedge if the router has a target for it without queueing.
     pub(super) fn start_hedge(&mut self, id: CallId) {
         let permit = self.hedge_request(id).and_then(|r| route::try_route(&self.context, &r));
         let (Some(permit), Some(plan)) = (permit, self.hedge_plan(id)) else {
             let failure = CallFailure::NotSent;
-            let work = ready(Input::Failed { call: id, failure, received: 0 });
-            self.hedge = Some(Hedge { id, target: None, work });
+            let operation = ready(Input::Failed { call: id, failure, received: 0 });
+            self.hedge = Some(Hedge { id, target: None, operation });
             return;
         };
         let target = permit.permit().map(|p| p.target.clone());
         let stage = plan.stage.name.as_str().to_owned();
         metrics::counter!(telemetry::HEDGES, "stage" => stage).increment(1);
-        let work = self.call(permit, plan);
-        self.hedge = Some(Hedge { id, target, work });
+        let operation = self.call(permit, plan);
+        self.hedge = Some(Hedge { id, target, operation });
     }
 
-    /// Returns the input that the end of the second call is.
-    pub(super) fn hedge_ended(&mut self, step: OperationResult) -> Input {
+    /// Completes the hedge and returns the resulting input of the state machine.
+    pub(super) fn finish_hedge(&mut self, result: OperationResult) -> Input {
         let target = self.hedge.take().and_then(|h| h.target);
-        let input = match step {
+        let input = match result {
             OperationResult::Input(input) => input,
-            // A call never ends in a choice; its permit goes back with it.
+            // A call never yields a choice of target. The permit is released on drop.
             OperationResult::TargetChosen(_) => Input::TimerFired,
         };
-        self.note(&input, target);
+        self.record_input(&input, target);
         input
     }
 
-    /// Ends a call that is in progress, which closes its connection.
+    /// Cancels a call in progress, which closes its connection.
     pub(super) fn cancel(&mut self, call: CallId) {
         match self.hedge.take_if(|h| h.id == call) {
             Some(_) => {}
             None => {
                 self.operation = None;
-                self.timer = None;
-                self.called = None;
+                self.hedge_timer = None;
+                self.called_target = None;
             }
         }
     }
 
-    /// Returns the call under `permit` as an operation.
+    /// Returns the operation that makes a call under `permit`.
     pub(super) fn call(&self, permit: PermitGuard, plan: CallPlan) -> Operation {
         let context = Rc::clone(&self.context);
         Box::pin(async move { OperationResult::Input(call::run(context, permit, plan).await) })
@@ -96,13 +96,13 @@
 
     fn hedge_request(&self, id: CallId) -> Option<StageRequest> {
         let request = self.stage_request(id.stage, id.attempt)?;
-        let excluded = self.excluded.iter().chain(&self.called).cloned().collect();
+        let excluded = self.excluded.iter().chain(&self.called_target).cloned().collect();
         Some(StageRequest { excluded, kind: AttemptKind::Hedge, ..request })
     }
 
-    /// Returns the plan of a call that shares nothing received with the first one.
+    /// Returns the plan of a hedge, which doesn't share received text with the first call.
     fn hedge_plan(&self, id: CallId) -> Option<CallPlan> {
         let plan = self.call_plan(id, 0)?;
-        Some(CallPlan { text: Rc::default(), reply: None, hedge: true, ..plan })
+        Some(CallPlan { received_text: Rc::default(), reply: None, is_hedge: true, ..plan })
     }
 }
--- a/hawthornkeel/src/entry/executor/mod.rs
+++ b/hawthornkeel/src/entry/executor/mod.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions of one request's state machine.
+//! Executes the actions of one request's state machine.
 
 mod calls;
 mod hedge;
@@ -28,7 +28,7 @@
 
 use crate::entry::context::Context;
 use crate::entry::executor::hedge::Hedge;
-use crate::entry::executor::hedge::Timer;
+use crate::entry::executor::hedge::HedgeTimer;
 use crate::entry::filter::ParsedRequest;
 use crate::entry::permit::PermitGuard;
 use crate::entry::refusal;
@@ -36,45 +36,45 @@
 use crate::http::message::Request;
 use crate::http::signal::Signal;
 
-/// What a request waits for: ends in the state machine's next input.
+/// Asynchronous operation that a request waits for. Its result is the state machine's next input.
 type Operation = Pin<Box<dyn Future<Output = OperationResult>>>;
 
-/// End of an operation.
+/// Result of an operation.
 pub enum OperationResult {
     /// A target was chosen.
     TargetChosen(PermitGuard),
-    /// Anything else.
+    /// Input of the state machine.
     Input(Input),
 }
 
-/// One request with all that is needed to carry it out.
+/// Executes one request.
 pub struct RequestExecutor {
     context: Rc<Context>,
     run: PipelineRun,
     parsed: ParsedRequest,
     input: Bytes,
-    left: Signal,
+    disconnected: Signal,
     arrived: Instant,
     reply: Rc<Reply>,
     previous: Option<Bytes>,
     text: Rc<std::cell::RefCell<String>>,
-    chosen: Option<PermitGuard>,
-    called: Option<TargetName>,
+    permit: Option<PermitGuard>,
+    called_target: Option<TargetName>,
     excluded: Vec<TargetName>,
-    repeat: AttemptKind,
+    attempt_kind: AttemptKind,
     operation: Option<Operation>,
-    /// Time at which a hedge of the operation in progress is due.
-    timer: Option<Timer>,
-    /// Second call for the stage, beside the operation in progress.
+    /// Timer of the hedge of the operation in progress.
+    hedge_timer: Option<HedgeTimer>,
+    /// Hedge that runs concurrently with the operation in progress.
     hedge: Option<Hedge>,
-    /// Whether the state machine knows that the deadline has passed.
-    expired: bool,
-    /// Whether the state machine knows that the caller has left.
-    gone: bool,
+    /// Whether the state machine was told that the deadline has passed.
+    deadline_reported: bool,
+    /// Whether the state machine was told that the caller has disconnected.
+    disconnect_reported: bool,
 }
 
 impl RequestExecutor {
-    /// Creates the drive of an admitted request.
+    /// Creates the executor of a request that passed the filters.
     pub fn new(
         context: Rc<Context>,
         run: PipelineRun,
@@ -88,24 +88,24 @@
             run,
             parsed,
             input: request.body,
-            left: request.left,
+            disconnected: request.left,
             arrived,
             reply: Rc::new(reply),
             previous: None,
             text: Rc::default(),
-            chosen: None,
-            called: None,
+            permit: None,
+            called_target: None,
             excluded: Vec::new(),
-            repeat: AttemptKind::First,
+            attempt_kind: AttemptKind::First,
             operation: None,
-            timer: None,
+            hedge_timer: None,
             hedge: None,
-            expired: false,
-            gone: false,
+            deadline_reported: false,
+            disconnect_reported: false,
         }
     }
 
-    /// Carries the request to its end.
+    /// Runs the request to completion.
     pub async fn run(mut self) {
         if let Some(refusal) = self.admit() {
             self.refuse(refusal).await;
@@ -116,7 +116,7 @@
         self.context.router.borrow_mut().finish_request(now, self.run.spec().id);
     }
 
-    /// Returns the refusal of a request that can't be claimed or that the router does not admit.
+    /// Admits the request, or returns the refusal if it can't be claimed or isn't admitted.
     fn admit(&self) -> Option<Refusal> {
         let spec = self.run.spec();
         if spec.pipeline.has_non_idempotent() && !self.context.claims.is_reachable() {
@@ -145,7 +145,7 @@
         let now = self.context.clock.now();
         let mut actions = self.run.handle(now, Input::Started);
         loop {
-            self.carry_out(actions).await;
+            self.perform(actions).await;
             if self.run.is_ended() {
                 return;
             }
@@ -154,48 +154,48 @@
         }
     }
 
-    /// Waits for the operation in progress, the deadline or the caller's leaving.
+    /// Waits for the operation in progress, its hedge, the deadline or a disconnect of the caller.
     async fn next_input(&mut self) -> Input {
         let clock = self.context.clock;
-        let left = clock.until(self.run.spec().deadline);
-        let hedge_due = self.timer.map(|t| (t.call, clock.until(t.due)));
-        let hedge = self.hedge.as_mut().map(|h| &mut h.work);
-        let step = monoio::select! {
-            step = end(self.operation.as_mut()) => step,
-            step = end(hedge) => return self.hedge_ended(step),
-            call = due(hedge_due) => {
-                self.timer = None;
+        let remaining = clock.until(self.run.spec().deadline);
+        let hedge_due = self.hedge_timer.map(|t| (t.call, clock.until(t.due)));
+        let hedge = self.hedge.as_mut().map(|h| &mut h.operation);
+        let result = monoio::select! {
+            result = wait_for(self.operation.as_mut()) => result,
+            result = wait_for(hedge) => return self.finish_hedge(result),
+            call = wait_until_due(hedge_due) => {
+                self.hedge_timer = None;
                 return Input::HedgeDue(call);
             }
-            () = monoio::time::sleep(left), if !self.expired => {
-                self.expired = true;
+            () = monoio::time::sleep(remaining), if !self.deadline_reported => {
+                self.deadline_reported = true;
                 return Input::DeadlinePassed;
             }
-            () = self.left.wait(), if !self.gone => {
-                self.gone = true;
+            () = self.disconnected.wait(), if !self.disconnect_reported => {
+                self.disconnect_reported = true;
                 return Input::CallerDisconnected;
             }
         };
         self.operation = None;
-        self.timer = None;
-        match step {
+        self.hedge_timer = None;
+        match result {
             OperationResult::TargetChosen(permit) => {
-                self.chosen = Some(permit);
+                self.permit = Some(permit);
                 Input::Routed
             }
             OperationResult::Input(input) => {
-                let target = self.called.take();
-                self.note(&input, target);
+                let target = self.called_target.take();
+                self.record_input(&input, target);
                 input
             }
         }
     }
 
-    async fn carry_out(&mut self, actions: Vec<Action>) {
+    async fn perform(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Route { stage, attempt } => self.start_route(stage, attempt),
-                Action::ReleasePermit => self.unroute(),
+                Action::ReleasePermit => self.release_permit(),
                 Action::Claim(claim) => self.start_claim(claim),
                 Action::Dispatch { call, resume } => self.start_call(call, resume),
                 Action::Hedge(call) => self.start_hedge(call),
@@ -215,50 +215,50 @@
         self.parsed.pipeline.stages.get(usize::from(stage.0)).cloned()
     }
 
-    fn unroute(&mut self) {
-        self.chosen = None;
+    fn release_permit(&mut self) {
+        self.permit = None;
         self.operation = None;
     }
 
     fn start_claim(&mut self, claim: Claim) {
         let store = self.context.claims.clone();
-        let work = async move { OperationResult::Input(store.claim(claim).await) };
-        self.operation = Some(Box::pin(work));
+        let operation = async move { OperationResult::Input(store.claim(claim).await) };
+        self.operation = Some(Box::pin(operation));
     }
 
     fn start_settle(&mut self, settle: Settle) {
         let store = self.context.claims.clone();
-        let work = async move { OperationResult::Input(store.settle(settle).await) };
-        self.operation = Some(Box::pin(work));
+        let operation = async move { OperationResult::Input(store.settle(settle).await) };
+        self.operation = Some(Box::pin(operation));
     }
 
     fn start_wait(&mut self, duration: Duration) {
-        let work = async move {
+        let operation = async move {
             monoio::time::sleep(duration).await;
             OperationResult::Input(Input::TimerFired)
         };
-        self.operation = Some(Box::pin(work));
+        self.operation = Some(Box::pin(operation));
     }
 }
 
-/// Returns the operation that ends in `input` at once.
+/// Returns an operation that completes at once with `input`.
 fn ready(input: Input) -> Operation {
     Box::pin(std::future::ready(OperationResult::Input(input)))
 }
 
-/// Waits for the end of an operation, where there is one.
-async fn end(operation: Option<&mut Operation>) -> OperationResult {
+/// Waits for an operation; never completes if there is none.
+async fn wait_for(operation: Option<&mut Operation>) -> OperationResult {
     match operation {
         Some(operation) => operation.await,
         None => std::future::pending().await,
     }
 }
 
-/// Waits until a hedge is due, where one is, and returns the call that it is for.
-async fn due(timer: Option<(CallId, Duration)>) -> CallId {
+/// Waits until a hedge is due and returns the call to hedge; never completes without a timer.
+async fn wait_until_due(timer: Option<(CallId, Duration)>) -> CallId {
     match timer {
-        Some((call, left)) => {
-            monoio::time::sleep(left).await;
+        Some((call, delay)) => {
+            monoio::time::sleep(delay).await;
             call
         }
         None => std::future::pending().await,
--- a/hawthornkeel/src/entry/executor/response.rs
+++ b/hawthornkeel/src/entry/executor/response.rs
@@ -1,4 +1,4 @@
-//! Final answers and refusals.
+//! Final answers and refusals of a request.
 
 use bytes::Bytes;
 use hawthornkeel_core::request::refusal::Refusal;
@@ -13,12 +13,12 @@
         let request = format!("{:032x}", spec.id.0);
         tracing::info!(event = "answered", request, pipeline = %spec.pipeline.name);
         metrics::counter!(telemetry::ANSWERS).increment(1);
-        self.record_time();
+        self.record_duration();
         self.reply.finish(&answer).await;
     }
 
-    /// Records the time from arrival to the final answer.
-    fn record_time(&self) {
+    /// Records the time from the request's arrival to its final response.
+    fn record_duration(&self) {
         let pipeline = self.parsed.pipeline.name.as_str().to_owned();
         let elapsed = self.context.clock.now().since(self.arrived);
         metrics::histogram!(telemetry::REQUEST_SECONDS, "pipeline" => pipeline)
@@ -30,7 +30,7 @@
         let code = refusal.code.as_str();
         tracing::info!(event = "refused", request, code, ran = %refusal.ran);
         metrics::counter!(telemetry::REFUSALS, "code" => code).increment(1);
-        self.record_time();
+        self.record_duration();
         self.reply.refuse(refusal::problem(refusal)).await;
     }
 }
--- a/hawthornkeel/src/entry/executor/routing.rs
+++ b/hawthornkeel/src/entry/executor/routing.rs
@@ -1,4 +1,4 @@
-//! Questions to the router: which target runs a stage.
+//! Routing of a stage: requests to the router for a target.
 
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 use crate::entry::executor::ready;
 use crate::entry::route::route;
 
-/// Bytes of the caller's body that count as the prompt's prefix.
+/// Length in bytes of the prefix of the caller's body that is hashed for prefix affinity.
 const PREFIX_BYTES: usize = 512;
 
 impl RequestExecutor {
@@ -46,11 +46,11 @@
             later_pools: later().map(|s| s.pool.clone()).collect(),
             prefix_hash: Some(self.prefix_hash(&stage)),
             excluded: self.excluded.clone(),
-            kind: self.repeat,
+            kind: self.attempt_kind,
         })
     }
 
-    /// Returns the hash that calls with the same prompt prefix have in common.
+    /// Returns the hash shared by all calls with the same prompt prefix.
     fn prefix_hash(&self, stage: &Stage) -> u64 {
         let mut hasher = Xxh3::new();
         hasher.update(self.parsed.workspace.as_str().as_bytes());
--- a/hawthornkeel/src/entry/filter.rs
+++ b/hawthornkeel/src/entry/filter.rs
@@ -1,4 +1,4 @@
-//! Filter chain: what a request passes before it is admitted.
+//! Filter chain that parses and validates a request before admission.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -20,82 +20,82 @@
 use crate::http::problem::Code;
 use crate::http::problem::Problem;
 
-/// Start of the path of a call to a pipeline.
+/// Path prefix of calls to pipelines.
 const PIPELINE_PATH: &str = "/v1/pipelines/";
-/// Field that shortens the deadline, in milliseconds.
-const DEADLINE_FIELD: &str = "x-deadline-ms";
-/// Field with the caller's idempotency key.
-const KEY_FIELD: &str = "idempotency-key";
-/// Longest idempotency key, in bytes.
-const MAX_KEY: usize = 255;
+/// Header that shortens the deadline, in milliseconds.
+const DEADLINE_HEADER: &str = "x-deadline-ms";
+/// Header with the caller's idempotency key.
+const KEY_HEADER: &str = "idempotency-key";
+/// Maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 255;
 /// Media type of a streamed answer.
 const EVENT_STREAM: &str = "text/event-stream";
-/// Time to come back after where the instance is not ready or stops.
+/// Retry-After time of an instance that isn't ready or is stopping.
 const NOT_READY_RETRY: Duration = Duration::from_secs(1);
 
-/// Request as the filters have understood it so far.
+/// Request as parsed by the filters so far.
 #[derive(Clone, Debug, Default)]
 pub struct ParsedRequest {
-    /// Environment that the request is admitted under and keeps to its end.
+    /// Environment at the request's arrival, which is used until its completion.
     pub environment: Rc<Environment>,
-    /// Pipeline called.
+    /// Called pipeline.
     pub pipeline: Arc<Pipeline>,
     /// Workspace of the caller.
     pub workspace: WorkspaceName,
     /// Priority of the workspace.
     pub priority: u8,
-    /// Requests of the workspace in progress at this instance, at most.
+    /// Maximum number of the workspace's requests in progress at this instance.
     pub max_requests: u32,
     /// Idempotency key.
-    pub key: Option<Arc<str>>,
-    /// Time from arrival to the whole answer.
-    pub budget: Duration,
-    /// Whether the answer is to be streamed.
+    pub idempotency_key: Option<Arc<str>>,
+    /// Time from arrival until the complete answer is due.
+    pub timeout: Duration,
+    /// Whether the caller wants a streamed answer.
     pub streamed: bool,
-    /// Digest of the pipeline's name and the body.
+    /// Digest of the pipeline's name and the body, which identifies the request's content.
     pub digest: u64,
 }
 
-/// Step of the chain.
+/// Filter of the chain.
 #[derive(Clone, Copy, Debug)]
 enum Filter {
     Ready,
     Path,
-    Identify,
+    Authenticate,
     Body,
-    Key,
+    IdempotencyKey,
     Deadline,
-    Form,
+    Accept,
 }
 
-/// Steps in the order they are taken.
-const CHAIN: [Filter; 7] = [
+/// Filters in the order in which they are applied.
+const FILTERS: [Filter; 7] = [
     Filter::Ready,
     Filter::Path,
-    Filter::Identify,
+    Filter::Authenticate,
     Filter::Body,
-    Filter::Key,
+    Filter::IdempotencyKey,
     Filter::Deadline,
-    Filter::Form,
+    Filter::Accept,
 ];
 
-/// Takes a request through the chain.
+/// Applies all filters to a request.
 ///
 /// # Errors
-/// Fails with the refusal of the first filter that does not let it pass.
+/// Returns the refusal of the first filter that rejects the request.
 pub fn run_filters(context: &Context, head: &Head, body: &Bytes) -> Result<ParsedRequest, Problem> {
     let Some(environment) = context.environment() else {
         return Err(not_ready("no environment document yet"));
     };
     let mut parsed =
         ParsedRequest { environment: Rc::clone(&environment), ..ParsedRequest::default() };
-    for filter in CHAIN {
+    for filter in FILTERS {
         filter.apply(context, &environment, head, body, &mut parsed)?;
     }
     Ok(parsed)
 }
 
-/// Returns the bound on the body of a request with `head`, in bytes.
+/// Returns the maximum body size of a request with `head`, in bytes, if its pipeline is known.
 pub fn max_body(context: &Context, head: &Head) -> Option<usize> {
     let name = head.path.strip_prefix(PIPELINE_PATH)?;
     let pipeline = context.environment()?.pipeline(name)?;
@@ -114,11 +114,11 @@
         match self {
             Self::Ready => check_ready(context),
             Self::Path => find_pipeline(environment, head, parsed),
-            Self::Identify => identify(context, environment, head, parsed),
+            Self::Authenticate => authenticate(context, environment, head, parsed),
             Self::Body => read_body(body, parsed),
-            Self::Key => read_key(head, parsed),
+            Self::IdempotencyKey => read_key(head, parsed),
             Self::Deadline => read_deadline(head, parsed),
-            Self::Form => read_form(head, parsed),
+            Self::Accept => read_accept(head, parsed),
         }
     }
 }
@@ -146,7 +146,7 @@
     Ok(())
 }
 
-fn identify(
+fn authenticate(
     context: &Context,
     environment: &Environment,
     head: &Head,
@@ -182,38 +182,38 @@
 
 fn read_key(head: &Head, parsed: &mut ParsedRequest) -> Result<(), Problem> {
     let bad = |detail| Problem::not_run(Code::BadRequest).with_detail(detail);
-    if head.headers.get_all(KEY_FIELD).iter().count() > 1 {
+    if head.headers.get_all(KEY_HEADER).iter().count() > 1 {
         return Err(bad("more than one Idempotency-Key"));
     }
-    if !head.headers.contains_key(KEY_FIELD) {
+    if !head.headers.contains_key(KEY_HEADER) {
         return Ok(());
     }
-    let text = head.header(KEY_FIELD).unwrap_or_default().trim().trim_matches('"');
-    if text.is_empty() || text.len() > MAX_KEY {
+    let text = head.header(KEY_HEADER).unwrap_or_default().trim().trim_matches('"');
+    if text.is_empty() || text.len() > MAX_KEY_BYTES {
         return Err(bad("Idempotency-Key is empty or too long"));
     }
-    parsed.key = Some(Arc::from(text));
+    parsed.idempotency_key = Some(Arc::from(text));
     Ok(())
 }
 
 fn read_deadline(head: &Head, parsed: &mut ParsedRequest) -> Result<(), Problem> {
-    parsed.budget = parsed.pipeline.deadline();
-    if let Some(text) = head.header(DEADLINE_FIELD) {
+    parsed.timeout = parsed.pipeline.deadline();
+    if let Some(text) = head.header(DEADLINE_HEADER) {
         let millis: u64 = text.trim().parse().map_err(|_| {
             Problem::not_run(Code::BadRequest).with_detail("x-deadline-ms is not a number")
         })?;
-        parsed.budget = parsed.budget.min(Duration::from_millis(millis));
+        parsed.timeout = parsed.timeout.min(Duration::from_millis(millis));
     }
     Ok(())
 }
 
-fn read_form(head: &Head, parsed: &mut ParsedRequest) -> Result<(), Problem> {
+fn read_accept(head: &Head, parsed: &mut ParsedRequest) -> Result<(), Problem> {
     let accepted = head.header(ACCEPT.as_str()).unwrap_or_default();
     parsed.streamed = accepted.contains(EVENT_STREAM);
     Ok(())
 }
 
-/// Returns the refusal of an instance that can't serve yet.
+/// Returns the refusal of an instance that isn't ready yet.
 pub fn not_ready(detail: &str) -> Problem {
     let problem = Problem::not_run(Code::NotReady).with_detail(detail);
     problem.with_retry_after(NOT_READY_RETRY)
--- a/hawthornkeel/src/entry/handler.rs
+++ b/hawthornkeel/src/entry/handler.rs
@@ -1,4 +1,4 @@
-//! Callers' requests from their arrival to the hand-over of the answer.
+//! HTTP handler for callers: filters a request, starts its executor and returns the response.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -23,43 +23,43 @@
 use crate::http::server::Handler;
 use crate::telemetry;
 
-/// Path of the balancer's readiness check.
+/// Path of the load balancer's readiness check.
 const READY_PATH: &str = "/ready";
 
-/// Answers callers.
+/// Handles requests of callers.
 pub struct EntryHandler {
     context: Rc<Context>,
 }
 
 impl EntryHandler {
-    /// Creates the handler of an entry's callers.
+    /// Creates the handler of an entry.
     pub fn new(context: Rc<Context>) -> Self {
         Self { context }
     }
 
-    fn ready(&self) -> Response {
+    fn readiness(&self) -> Response {
         if self.context.draining.is_set() {
             return Problem::not_run(Code::Stopping).into_response();
         }
-        if let Some(lack) = self.context.not_ready_reason() {
-            return filter::not_ready(lack).into_response();
+        if let Some(reason) = self.context.not_ready_reason() {
+            return filter::not_ready(reason).into_response();
         }
         Response::json("{\"ready\":true}")
     }
 
-    async fn answer(&self, request: Request) -> Response {
+    async fn respond(&self, request: Request) -> Response {
         let parsed = match filter::run_filters(&self.context, &request.head, &request.body) {
             Ok(parsed) => parsed,
-            Err(problem) => return refused(problem),
+            Err(problem) => return refusal_response(problem),
         };
-        let Some(slot) = Slot::take(&self.context, &parsed) else {
-            return refused(Problem::not_run(Code::WorkspaceLimit));
+        let Some(slot) = RequestSlot::acquire(&self.context, &parsed) else {
+            return refusal_response(Problem::not_run(Code::WorkspaceLimit));
         };
         let (sender, receiver) = oneshot::channel();
-        let drive = self.drive(parsed, request, sender);
+        let executor = self.executor(parsed, request, sender);
         monoio::spawn(async move {
             let _slot = slot;
-            drive.run().await;
+            executor.run().await;
         });
         match receiver.await {
             Ok(response) => response,
@@ -67,7 +67,7 @@
         }
     }
 
-    fn drive(
+    fn executor(
         &self,
         parsed: ParsedRequest,
         request: Request,
@@ -80,10 +80,10 @@
             instance: self.context.settings.instance.name.clone(),
             workspace: parsed.workspace.clone(),
             pipeline: Arc::clone(&parsed.pipeline),
-            key: parsed.key.clone(),
+            key: parsed.idempotency_key.clone(),
             digest: parsed.digest,
             streamed: parsed.streamed,
-            deadline: now + parsed.budget,
+            deadline: now + parsed.timeout,
         });
         let reply = Reply::new(id, parsed.streamed, sender);
         RequestExecutor::new(Rc::clone(&self.context), run, parsed, request, reply)
@@ -93,9 +93,9 @@
 impl Handler for EntryHandler {
     async fn handle(&self, request: Request) -> Response {
         if request.head.path == READY_PATH {
-            return self.ready();
+            return self.readiness();
         }
-        self.answer(request).await
+        self.respond(request).await
     }
 
     fn max_body(&self, head: &Head) -> Option<usize> {
@@ -103,15 +103,15 @@
     }
 }
 
-/// Place of a request among those in progress, given back when it is dropped.
-struct Slot {
+/// Slot among the requests in progress, released on drop.
+struct RequestSlot {
     context: Rc<Context>,
     workspace: WorkspaceName,
 }
 
-impl Slot {
-    /// Takes a place, unless the workspace has as many requests in progress as it may.
-    fn take(context: &Rc<Context>, parsed: &ParsedRequest) -> Option<Self> {
+impl RequestSlot {
+    /// Acquires a slot, unless the workspace has reached its limit of requests in progress.
+    fn acquire(context: &Rc<Context>, parsed: &ParsedRequest) -> Option<Self> {
         let mut running = context.workspace_requests.borrow_mut();
         let count = running.entry(parsed.workspace.clone()).or_insert(0);
         if *count >= parsed.max_requests {
@@ -123,7 +123,7 @@
     }
 }
 
-impl Drop for Slot {
+impl Drop for RequestSlot {
     fn drop(&mut self) {
         let mut running = self.context.workspace_requests.borrow_mut();
         if let Some(count) = running.get_mut(&self.workspace) {
@@ -133,7 +133,7 @@
     }
 }
 
-fn refused(problem: Problem) -> Response {
+fn refusal_response(problem: Problem) -> Response {
     tracing::info!(event = "refused", code = problem.code.as_str(), ran = %problem.ran);
     metrics::counter!(telemetry::REFUSALS, "code" => problem.code.as_str()).increment(1);
     problem.into_response()
--- a/hawthornkeel/src/entry/messaging.rs
+++ b/hawthornkeel/src/entry/messaging.rs
@@ -1,4 +1,4 @@
-//! Messages from an entry to its peers.
+//! Messages between entries.
 
 use hawthornkeel_core::lease::message::GrantMessage;
 use hawthornkeel_core::lease::message::MemberId;
@@ -13,28 +13,28 @@
 /// Message between entries.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum EntryMessage {
-    /// About the lease of a data centre.
+    /// Message of the election for a data centre's lease.
     Vote(VoteMessage),
-    /// About grants for cold targets.
+    /// Message about grants for cold targets.
     Grant {
-        /// Member that sends it.
+        /// Sender.
         from: MemberId,
-        /// Message proper.
+        /// The message itself.
         message: GrantMessage,
     },
 }
 
-/// Way to the peers.
+/// Sends messages to other entries.
 #[derive(Clone)]
 pub enum PeerMessenger {
-    /// There are no peers: a trial.
+    /// A trial has no peers.
     Disabled,
     /// Peers over QUIC.
     Quic(Endpoint),
 }
 
 impl PeerMessenger {
-    /// Sends `message`, which may be lost.
+    /// Sends `message` without confirmation; it may be lost.
     pub fn send(&self, to: &InstanceName, message: EntryMessage) {
         let Self::Quic(endpoint) = self else {
             return;
--- a/hawthornkeel/src/entry/permit.rs
+++ b/hawthornkeel/src/entry/permit.rs
@@ -1,4 +1,4 @@
-//! Permits that are given back however a call ends.
+//! Guard that releases a permit however its call ends.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::entry::context::Context;
 use crate::target::process::Process;
 
-/// Permit for one call, given back as cancelled where it is dropped unused.
+/// Permit for one call. If dropped, the permit is released as cancelled.
 pub struct PermitGuard {
     context: Rc<Context>,
     permit: Option<Permit>,
@@ -19,7 +19,7 @@
 }
 
 impl PermitGuard {
-    /// Holds `permit` for a call to `address`.
+    /// Creates the guard of `permit` for a call to `address`.
     pub fn new(context: Rc<Context>, permit: Permit, address: Arc<str>) -> Self {
         Self { context, permit: Some(permit), address }
     }
@@ -29,24 +29,30 @@
         self.permit.as_ref()
     }
 
-    /// Returns which process of the target may get the call: the proved one, where no grant is held.
+    /// Returns which process of the target may get the call.
+    ///
+    /// Without a grant, this is the incarnation that was proved warm or, if none is known, the
+    /// process that recent connections led to.
     pub fn expected_process(&self) -> Process {
         match &self.permit {
-            Some(Permit { grant: None, incarnation: Some(named), .. }) => Process::Named(*named),
+            Some(Permit { grant: None, incarnation: Some(incarnation), .. }) => {
+                Process::Named(*incarnation)
+            }
             Some(Permit { grant: None, .. }) => Process::Recent,
             _ => Process::Any,
         }
     }
 
-    /// Tells the router which incarnation the target named on the call, which goes on.
+    /// Reports the incarnation that the target named during the call to the router. The call
+    /// continues.
     pub fn report_incarnation(&self, incarnation: Option<Incarnation>) {
-        if let (Some(permit), Some(named)) = (&self.permit, incarnation) {
+        if let (Some(permit), Some(incarnation)) = (&self.permit, incarnation) {
             let now = self.context.clock.now();
-            self.context.router.borrow_mut().report_incarnation(now, permit, named);
+            self.context.router.borrow_mut().report_incarnation(now, permit, incarnation);
         }
     }
 
-    /// Gives the permit back for a call that was not sent, as the target has restarted.
+    /// Releases the permit of a call that was not sent because the target has restarted.
     pub fn finish_restarted(mut self, incarnation: Option<Incarnation>) {
         if let (Some(permit), None) = (&self.permit, incarnation) {
             let now = self.context.clock.now();
@@ -55,7 +61,7 @@
         self.release(CallOutcome::Cancelled);
     }
 
-    /// Gives the permit back with how the call ended.
+    /// Releases the permit with the outcome of its call.
     pub fn finish(mut self, outcome: CallOutcome) {
         self.release(outcome);
     }
--- a/hawthornkeel/src/entry/refusal.rs
+++ b/hawthornkeel/src/entry/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals of the core as answers to callers.
+//! Conversion of refusals by the core into HTTP problems.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::http::problem::Code;
 use crate::http::problem::Problem;
 
-/// Time to come back after where no quorum can be reached.
+/// Retry-After time if no quorum can be reached.
 const NO_QUORUM_RETRY: Duration = Duration::from_secs(2);
 
-/// Returns `refusal` as an answer.
+/// Converts `refusal` into a problem response.
 pub fn problem(refusal: Refusal) -> Problem {
     let problem = Problem::new(code(refusal.code), refusal.ran);
     match refusal.retry_after {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Returns the refusal of a request that the router did not admit.
+/// Returns the refusal of a request that the router did not admit for `reason`.
 pub fn not_admitted(reason: Reason, retry_after: Duration) -> Refusal {
     let code = match reason {
         Reason::Deadline | Reason::LaterStage => RefusalCode::DeadlineUnreachable,
@@ -32,7 +32,7 @@
     Refusal { code, ran: RunStatus::NotRun, retry_after: Some(retry_after) }
 }
 
-/// Returns the refusal of a request whose claim could not be decided, before any of it runs.
+/// Returns the refusal of a request that can't be claimed without a quorum; no stage has run.
 pub fn no_quorum() -> Refusal {
     let code = RefusalCode::NoQuorum;
     Refusal { code, ran: RunStatus::NotRun, retry_after: Some(NO_QUORUM_RETRY) }
--- a/hawthornkeel/src/entry/route.rs
+++ b/hawthornkeel/src/entry/route.rs
@@ -1,4 +1,4 @@
-//! Choice of a target for one call, and the wait for its turn.
+//! Chooses a target for a call, queueing the call if necessary.
 
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 use crate::entry::executor::OperationResult;
 use crate::entry::permit::PermitGuard;
 
-/// Has the router choose a target, waiting for a turn where it says so.
+/// Has the router choose a target, waiting in its queue if it says so.
 pub async fn route(context: Rc<Context>, request: StageRequest) -> OperationResult {
     let call = request.call;
     let now = context.clock.now();
@@ -21,12 +21,12 @@
     if matches!(decision, Decision::Wait { .. }) {
         let (sender, receiver) = oneshot::channel();
         context.waiting_calls.borrow_mut().insert(call, sender);
-        let _guard = WaitGuard { context: Rc::clone(&context), call };
-        let Ok(turn) = receiver.await else {
+        let _guard = QueueGuard { context: Rc::clone(&context), call };
+        let Ok(queued) = receiver.await else {
             return OperationResult::Input(Input::NotRouted { retry_after: None });
         };
-        log_decision(&request, &turn);
-        decision = turn;
+        log_decision(&request, &queued);
+        decision = queued;
     }
     match decision {
         Decision::Send { address, permit, .. } => {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Has the router choose a target without a wait.
+/// Has the router choose a target; returns `None` instead of waiting in its queue.
 pub fn try_route(context: &Rc<Context>, request: &StageRequest) -> Option<PermitGuard> {
     let decision = context.router.borrow_mut().choose(context.clock.now(), request);
     log_decision(request, &decision);
@@ -51,13 +51,13 @@
     }
 }
 
-/// Takes a call out of the queue where its wait is given up.
-struct WaitGuard {
+/// Removes a call from the queue if its wait is cancelled.
+struct QueueGuard {
     context: Rc<Context>,
     call: CallId,
 }
 
-impl Drop for WaitGuard {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
         self.context.waiting_calls.borrow_mut().swap_remove(&self.call);
         self.context.router.borrow_mut().cancel(self.context.clock.now(), self.call);
--- a/hawthornkeel/src/entry/server.rs
+++ b/hawthornkeel/src/entry/server.rs
@@ -1,4 +1,4 @@
-//! Start and planned stop of an entry.
+//! Server of an entry: listener, controllers and planned stop.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,19 +15,19 @@
 use crate::http::server::Server;
 use crate::stop::StopRequest;
 
-/// Pause between two looks at whether a stop was asked for or is done.
-const POLL: Duration = Duration::from_millis(20);
+/// Interval between checks whether a stop is requested or complete.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a planned stop ended.
+/// Result of a planned stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StopReport {
     /// Every request was answered.
     Complete,
-    /// This many requests were cut off by a second signal or the time limit.
+    /// This many requests were aborted by a second signal or by the stop timeout.
     Aborted(usize),
 }
 
-/// Entry that listens.
+/// Entry that is listening for callers.
 pub struct EntryServer {
     context: Rc<Context>,
     server: Server,
@@ -37,7 +37,7 @@
     /// Listens for callers on `address` and starts the controllers.
     ///
     /// # Errors
-    /// Fails where the address can't be taken.
+    /// Fails if the address can't be bound.
     pub fn listen(context: Rc<Context>, address: SocketAddr) -> Result<Self, ListenError> {
         let server = Server::bind(address, limits(&context.settings.entry))?;
         monoio::spawn(controllers::targets::run(Rc::clone(&context)));
@@ -48,12 +48,12 @@
         Ok(Self { context, server })
     }
 
-    /// Returns the address listened on.
+    /// Returns the address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Serves until `stop` is asked for, then stops as planned.
+    /// Serves until `stop` is requested, then performs a planned stop.
     pub async fn serve(self, stop: StopRequest) -> StopReport {
         let control = self.server.control();
         let context = Rc::clone(&self.context);
@@ -61,11 +61,11 @@
         tracing::info!(event = "entry-started", %name, address = %self.server.address());
         let serving = self.server.serve(EntryHandler::new(Rc::clone(&context)));
         let serving = monoio::spawn(serving);
-        let report = stop_when_asked(&context, &control, &stop).await;
+        let report = stop_when_requested(&context, &control, &stop).await;
         serving.await;
         controllers::lease::resign(&context);
-        // The message leaves before the endpoint for peers is closed.
-        monoio::time::sleep(POLL).await;
+        // The message must be sent before the endpoint for peers is closed.
+        monoio::time::sleep(POLL_INTERVAL).await;
         match report {
             StopReport::Complete => tracing::info!(event = "entry-stopped", cut = 0),
             StopReport::Aborted(cut) => tracing::warn!(event = "entry-stopped", cut),
@@ -83,36 +83,40 @@
     }
 }
 
-/// Waits for the request to stop and takes the steps of a planned stop.
-async fn stop_when_asked(context: &Context, control: &Control, stop: &StopRequest) -> StopReport {
+/// Waits for a stop request, drains the entry and waits for its open requests.
+async fn stop_when_requested(
+    context: &Context,
+    control: &Control,
+    stop: &StopRequest,
+) -> StopReport {
     while stop.count() == 0 {
-        monoio::time::sleep(POLL).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
     tracing::info!(event = "stop-begun", open = context.open_requests.get());
     context.draining.set();
     control.drain.set();
     let entry = &context.settings.entry;
-    // The balancer goes on sending until its next readiness checks have failed.
-    pause(stop, Duration::from_millis(entry.drain_ms)).await;
+    // The load balancer keeps sending requests until its next readiness checks have failed.
+    wait_unless_aborted(stop, Duration::from_millis(entry.drain_ms)).await;
     context.stopping.set();
     control.stop.set();
     let end = context.clock.now() + Duration::from_millis(entry.stop_ms);
     while context.open_requests.get() > 0 {
         if stop.count() > 1 || context.clock.now() >= end {
-            let cut = context.open_requests.get();
+            let aborted = context.open_requests.get();
             control.abort.set();
-            return StopReport::Aborted(cut);
+            return StopReport::Aborted(aborted);
         }
-        monoio::time::sleep(POLL).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
     StopReport::Complete
 }
 
-/// Waits for `time`, or until a second request to stop.
-async fn pause(stop: &StopRequest, time: Duration) {
+/// Waits for `time`, or until a second stop request.
+async fn wait_unless_aborted(stop: &StopRequest, time: Duration) {
     let mut waited = Duration::ZERO;
     while waited < time && stop.count() < 2 {
-        monoio::time::sleep(POLL).await;
-        waited += POLL;
+        monoio::time::sleep(POLL_INTERVAL).await;
+        waited += POLL_INTERVAL;
     }
 }
