--- a/hawthornkeel/benches/centre_failover.rs
+++ b/hawthornkeel/benches/centre_failover.rs
@@ -1,5 +1,5 @@
-//! Service by second while a data centre is taken out and brought back, while it is lost and returns,
-//! and while it is cut off, through real processes; fails below the stated attainment.
+//! Answered requests per second while a data centre is taken out and brought back, crashes and
+//! restarts, or is partitioned. Uses real processes and fails below the required share.
 
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
@@ -19,87 +19,89 @@
 use hawthornkeel_fakes::caller::Seen;
 use hawthornkeel_fakes::thread::block_on;
 
-/// Requests a second over all entries.
+/// Requests per second, over all entries.
 const RATE: u64 = 120;
-/// Seconds measured.
-const SECONDS: u64 = 24;
-/// Second at which the data centre leaves.
-const LEAVES: u64 = 6;
-/// Second at which it returns.
-const RETURNS: u64 = 14;
-/// Share of requests that are to be answered in full with one fault at a time.
-const ATTAINMENT: f64 = 0.999;
-/// Time that a service or the first token takes, in milliseconds.
+/// Duration of a run, in seconds.
+const DURATION_SECONDS: u64 = 24;
+/// Second at which the data centre fails or is taken out.
+const FAILURE_AT: u64 = 6;
+/// Second at which the data centre recovers or is brought back.
+const RECOVERY_AT: u64 = 14;
+/// Minimum share of requests answered completely during a single fault.
+const MIN_ATTAINMENT: f64 = 0.999;
+/// Duration of a service call or of the first token, in milliseconds.
 const FLOOR_MS: u64 = 20;
 
-/// What happens to the data centre.
+/// Event that affects the data centre.
 #[derive(Clone, Copy, Debug)]
-enum Move {
-    /// Operators take it out and bring it back.
+enum CentreEvent {
+    /// Operators take the data centre out and bring it back.
     Ordered,
-    /// Its entries are killed and its targets refuse; both come back.
+    /// Its entries are killed and its targets refuse calls, until both recover.
     Lost,
-    /// It is cut off silently from the others, and its callers go on reaching it.
+    /// A silent partition from the other data centres; callers still reach its entries.
     CutOff,
 }
 
 fn main() {
     let mut failed = false;
-    for movement in [Move::Ordered, Move::Lost, Move::CutOff] {
-        failed |= !run(movement);
+    for event in [CentreEvent::Ordered, CentreEvent::Lost, CentreEvent::CutOff] {
+        failed |= !run(event);
     }
     std::process::exit(i32::from(failed));
 }
 
-fn run(movement: Move) -> bool {
-    let mut fleet = match movement {
-        Move::CutOff => Fleet::prepare_relayed(6, 3),
-        Move::Ordered | Move::Lost => Fleet::prepare(6, 3),
+fn run(event: CentreEvent) -> bool {
+    let mut fleet = match event {
+        CentreEvent::CutOff => Fleet::prepare_relayed(6, 3),
+        CentreEvent::Ordered | CentreEvent::Lost => Fleet::prepare(6, 3),
     };
     for target in &fleet.targets {
         target.thread.behave(&format!("{{\"floor_ms\":{FLOOR_MS}}}")).unwrap();
     }
     fleet.run();
     fleet.warm();
-    println!("\n{movement:?}: {RATE} requests/s, leaves at {LEAVES} s, returns at {RETURNS} s");
+    println!(
+        "\n{event:?}: {RATE} requests/s, leaves at {FAILURE_AT} s, returns at {RECOVERY_AT} s"
+    );
     let start = Instant::now();
     let mut seconds = Vec::new();
-    for second in 0..SECONDS {
+    for second in 0..DURATION_SECONDS {
         match second {
-            LEAVES => leave(&mut fleet, movement),
-            RETURNS => come_back(&mut fleet, movement),
+            FAILURE_AT => fail_centre(&mut fleet, event),
+            RECOVERY_AT => recover_centre(&mut fleet, event),
             _ => {}
         }
-        let out = (LEAVES..RETURNS).contains(&second);
-        seconds.push(callers(&fleet, movement, out, second));
+        let is_out = (FAILURE_AT..RECOVERY_AT).contains(&second);
+        seconds.push(callers(&fleet, event, is_out, second));
         let next = start + Duration::from_secs(second + 1);
         thread::sleep(next.saturating_duration_since(Instant::now()));
     }
-    let held = report(seconds);
+    let is_met = report(seconds);
     report_processes(&fleet);
-    held
+    is_met
 }
 
-/// Prints the memory and the processor time of each process since its start.
+/// Prints the memory and the CPU time of each process since its start.
 fn report_processes(fleet: &Fleet) {
     for (at, instance) in fleet.instances.iter().enumerate() {
         let pid = fleet.pid(at).as_raw_nonzero();
         let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
         let memory = status.lines().find(|l| l.starts_with("VmRSS")).unwrap_or_default();
         let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-        // Fields 14 and 15, user and system time, in ticks of 10 ms.
+        // Fields 14 and 15: user and system time, in ticks of 10 ms.
         let ticks: u64 =
             stat.split(' ').skip(13).take(2).filter_map(|f| f.parse::<u64>().ok()).sum();
         println!("{}: {memory}, processor time {} ms", instance.name, ticks * 10);
     }
 }
 
-/// Calls for one second at the entries that the balancer has ready.
-fn callers(fleet: &Fleet, movement: Move, out: bool, second: u64) -> Vec<JoinHandle<Seen>> {
-    let gone = |centre: &str| matches!(movement, Move::Lost) && out && centre == "dc-0";
+/// Starts callers for one second at the entries that pass the load balancer's readiness check.
+fn callers(fleet: &Fleet, event: CentreEvent, is_out: bool, second: u64) -> Vec<JoinHandle<Seen>> {
+    let is_down = |centre: &str| matches!(event, CentreEvent::Lost) && is_out && centre == "dc-0";
     let ready =
         |address: &SocketAddr| fleet::get(*address, "/ready").is_some_and(|a| a.status == 200);
-    let live = fleet.instances.iter().filter(|i| !gone(&i.centre)).map(|i| i.listen);
+    let live = fleet.instances.iter().filter(|i| !is_down(&i.centre)).map(|i| i.listen);
     let addresses: Vec<_> = live.filter(ready).collect();
     let count = RATE / addresses.len().max(1) as u64;
     let load = |(at, address): (usize, SocketAddr)| Load {
@@ -116,33 +118,33 @@
     addresses.into_iter().enumerate().map(load).map(start).collect()
 }
 
-fn leave(fleet: &mut Fleet, movement: Move) {
-    match movement {
-        Move::Ordered => {
+fn fail_centre(fleet: &mut Fleet, event: CentreEvent) {
+    match event {
+        CentreEvent::Ordered => {
             fleet.order(1, "take-out", 10, "dc-0").unwrap();
         }
-        Move::Lost => {
+        CentreEvent::Lost => {
             for at in [0, 3] {
                 fleet.kill(at);
             }
             behave(fleet, "{\"fault\":\"refuse\"}");
         }
-        Move::CutOff => fleet.network().set_cut("dc-0", true),
+        CentreEvent::CutOff => fleet.network().set_cut("dc-0", true),
     }
 }
 
-fn come_back(fleet: &mut Fleet, movement: Move) {
-    match movement {
-        Move::Ordered => {
+fn recover_centre(fleet: &mut Fleet, event: CentreEvent) {
+    match event {
+        CentreEvent::Ordered => {
             fleet.order(1, "bring-back", 11, "dc-0").unwrap();
         }
-        Move::Lost => {
+        CentreEvent::Lost => {
             behave(fleet, "{\"fault\":\"none\"}");
             for at in [0, 3] {
                 fleet.spawn(at);
             }
         }
-        Move::CutOff => fleet.network().set_cut("dc-0", false),
+        CentreEvent::CutOff => fleet.network().set_cut("dc-0", false),
     }
 }
 
@@ -151,7 +153,7 @@
     near.for_each(|t| t.thread.behave(fields).unwrap());
 }
 
-/// Prints the service by second; returns whether the bound holds.
+/// Prints the results per second and returns whether the required share was reached.
 fn report(seconds: Vec<Vec<JoinHandle<Seen>>>) -> bool {
     println!("second  sent  answered  p99 ms  others");
     let (mut sent, mut answered, mut worst) = (0, 0, 1.0_f64);
@@ -175,8 +177,10 @@
         (sent, answered) = (sent + all, answered + full);
     }
     let attainment = answered as f64 / sent.max(1) as f64;
-    let held = attainment >= ATTAINMENT;
-    let verdict = if held { "ok" } else { "BELOW THE BOUND" };
-    println!("attainment {attainment:.4} (bound {ATTAINMENT}), worst second {worst:.3}: {verdict}");
-    held
+    let is_met = attainment >= MIN_ATTAINMENT;
+    let verdict = if is_met { "ok" } else { "BELOW THE BOUND" };
+    println!(
+        "attainment {attainment:.4} (bound {MIN_ATTAINMENT}), worst second {worst:.3}: {verdict}"
+    );
+    is_met
 }
--- a/hawthornkeel/benches/token_path.rs
+++ b/hawthornkeel/benches/token_path.rs
@@ -1,9 +1,10 @@
-//! What an entry spends on a token: processor time, added time between tokens, memory of a stream.
+//! Cost of a token at an entry: CPU time, added time between tokens and memory of a stream.
 //!
-//! An entry in a process of its own carries streams from a stand-in engine that gives a token every
-//! 30 ms. Its processor time is read over a window in which all streams run, at several numbers of
-//! streams, which gives a slope. The time between tokens is compared with that of streams taken from
-//! the engine directly, in turns of one run. The run fails where the added p99 passes 5% of the gap.
+//! An entry in a separate process relays streams of a fake engine that generates a token every
+//! 30 ms. The CPU time is measured over a window in which all streams are active, for several
+//! numbers of streams; its slope is the cost of a token. The time between tokens is compared with
+//! that of streams read directly from the engine, in alternating rounds. The benchmark fails if the
+//! added p99 exceeds 5% of the token interval.
 
 mod own_process;
 
@@ -51,52 +52,54 @@
 
 use crate::own_process::OwnProcess;
 
-/// Time between the tokens of a stream, in milliseconds.
-const GAP_MS: u64 = 30;
+/// Interval between the tokens of a stream, in milliseconds.
+const TOKEN_INTERVAL_MS: u64 = 30;
 
-/// Added p99 between tokens, in microseconds at most: 5% of the gap.
-const MAX_ADDED: i64 = 1_500;
+/// Maximum added p99 of the time between tokens in microseconds, 5% of the token interval.
+const MAX_ADDED_US: i64 = 1_500;
 
-/// Numbers of streams, the largest first: freed memory must not be measured again.
+/// Numbers of streams. The largest comes first, as memory is measured there and memory that was
+/// freed by earlier streams would be reused.
 const STREAMS: [usize; 4] = [1_000, 750, 500, 250];
 
-/// Callers at once who want whole answers.
-const WHOLE: usize = 1_000;
+/// Number of concurrent callers that request complete answers.
+const COMPLETE_CALLERS: usize = 1_000;
 
-/// Answers whose tokens come as fast as the engine writes them.
+/// Number of answers whose tokens arrive as fast as the engine can write them.
 const BURSTS: u32 = 400;
 
-/// Tokens of such an answer.
+/// Number of tokens of such an answer.
 const BURST_TOKENS: u32 = 256;
 
-/// Streams held while the time between tokens is compared.
-const COMPARED: usize = 250;
+/// Number of streams during the comparison of the time between tokens.
+const COMPARED_STREAMS: usize = 250;
 
-/// Turns of the comparison.
-const TURNS: usize = 7;
+/// Number of rounds of the comparison.
+const ROUNDS: usize = 7;
 
-/// Time that is measured once all streams run.
-const WINDOW: Duration = Duration::from_secs(2);
+/// Duration of a measurement after all streams have started.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(2);
 
-/// Time for all streams to begin, or to end.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Timeout for all streams to start, or to end.
+const STREAMS_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time to open one stream after another.
+/// Interval between opening two streams.
 const STAGGER: Duration = Duration::from_micros(500);
 
-/// Tokens of a stream: more than any is read to.
-const TOKENS: u32 = 2_000;
+/// Number of tokens of a stream, more than are ever read.
+const STREAM_TOKENS: u32 = 2_000;
 
-/// Short calls, one after another, by which the engine's limit rises before streams are opened.
-const WARMING: u64 = 6_000;
+/// Number of short sequential calls that raise the concurrency limit of the engine before streams
+/// are opened.
+const WARM_UP_CALLS: u64 = 6_000;
 
-/// Time for the entry to find an issuer of grants before that.
-const START: Duration = Duration::from_secs(2);
+/// Time for the entry to find an issuer of grants before these calls.
+const ISSUER_WAIT: Duration = Duration::from_secs(2);
 
 /// Key of the only workspace.
 const KEY: &str = "key";
 
-type Failure = Box<dyn Error>;
+type BenchError = Box<dyn Error>;
 
 fn main() -> ExitCode {
     let mut args = env::args().skip_while(|a| a != "--entry");
@@ -114,81 +117,83 @@
     }
 }
 
-fn measure() -> Result<bool, Failure> {
-    let tokens = TOKENS as usize;
-    let behaviour = Behaviour { tokens, token_ms: GAP_MS, ..Behaviour::default() };
+fn measure() -> Result<bool, BenchError> {
+    let tokens = STREAM_TOKENS as usize;
+    let behaviour = Behaviour { tokens, token_ms: TOKEN_INTERVAL_MS, ..Behaviour::default() };
     let engine = TargetThread::start(behaviour)?;
-    let entry = Entry::start(engine.address)?;
+    let entry = EntryProcess::start(engine.address)?;
     let started = entry.memory()?;
     entry.warm()?;
     let before = entry.memory()?;
     let mut points = Vec::new();
     for streams in STREAMS {
-        let seen = thread::block_on(watch(streams, entry.address(), Some(&entry)))??;
-        let rate = seen.gaps.tokens as f64 / WINDOW.as_secs_f64();
-        let busy = seen.busy.as_secs_f64();
-        let each = busy * 1e6 / seen.gaps.tokens as f64;
+        let measured = thread::block_on(measure_streams(streams, entry.address(), Some(&entry)))??;
+        let rate = measured.gaps.tokens as f64 / MEASUREMENT_TIME.as_secs_f64();
+        let cpu_time = measured.cpu_time.as_secs_f64();
+        let each = cpu_time * 1e6 / measured.gaps.tokens as f64;
         println!(
             "streams={streams} tokens_a_second={rate:.0} core={:.1}% us_a_token={each:.2}",
-            busy * 100.0 / WINDOW.as_secs_f64()
+            cpu_time * 100.0 / MEASUREMENT_TIME.as_secs_f64()
         );
         if points.is_empty() {
-            let bytes = seen.memory.saturating_sub(before) / streams;
+            let bytes = measured.memory.saturating_sub(before) / streams;
             println!(
                 "memory=entry started_bytes={started} before_bytes={before} with_bytes={} \
                  each_bytes={bytes}",
-                seen.memory
+                measured.memory
             );
         }
-        points.push((seen.gaps.tokens as f64, busy * 1e6));
+        points.push((measured.gaps.tokens as f64, cpu_time * 1e6));
     }
     println!("slope=us_a_token value={:.2}", slope(&points));
-    measure_whole(&engine, &entry)?;
+    measure_complete(&engine, &entry)?;
     let added = compare(engine.address, &entry)?;
     measure_burst(&engine, &entry)?;
-    let kept = added <= MAX_ADDED;
-    println!("bound=added_p99_us measured={added} max={MAX_ADDED} kept={kept}");
-    Ok(kept)
+    let is_met = added <= MAX_ADDED_US;
+    println!("bound=added_p99_us measured={added} max={MAX_ADDED_US} kept={is_met}");
+    Ok(is_met)
 }
 
-/// Prints the processor time of a token where the callers want whole answers.
-fn measure_whole(engine: &TargetThread, entry: &Entry) -> Result<(), Failure> {
+/// Prints the CPU time per token for callers that request complete answers.
+fn measure_complete(engine: &TargetThread, entry: &EntryProcess) -> Result<(), BenchError> {
     let request = request("/v1/pipelines/write", "application/json");
     let mut callers = Vec::new();
-    for _ in 0..WHOLE {
+    for _ in 0..COMPLETE_CALLERS {
         let mut caller = RawCaller::connect(entry.address())?;
         caller.send(&request)?;
         callers.push(caller);
     }
-    std::thread::sleep(START);
-    let count = || Ok::<_, Failure>(engine.report()?.runs.iter().map(|r| r.tokens).sum::<usize>());
-    let (before, tokens) = (entry.busy()?, count()?);
-    std::thread::sleep(WINDOW);
-    let (busy, tokens) = (entry.busy()?.saturating_sub(before), count()?.saturating_sub(tokens));
-    let each = busy.as_secs_f64() * 1e6 / tokens as f64;
-    println!("whole_answers={WHOLE} tokens={tokens} us_a_token={each:.2}");
+    std::thread::sleep(ISSUER_WAIT);
+    let count =
+        || Ok::<_, BenchError>(engine.report()?.runs.iter().map(|r| r.tokens).sum::<usize>());
+    let (before, tokens) = (entry.cpu_time()?, count()?);
+    std::thread::sleep(MEASUREMENT_TIME);
+    let (cpu_time, tokens) =
+        (entry.cpu_time()?.saturating_sub(before), count()?.saturating_sub(tokens));
+    let each = cpu_time.as_secs_f64() * 1e6 / tokens as f64;
+    println!("whole_answers={COMPLETE_CALLERS} tokens={tokens} us_a_token={each:.2}");
     Ok(())
 }
 
-/// Prints the processor time of a token where the engine waits for nothing between tokens.
-fn measure_burst(engine: &TargetThread, entry: &Entry) -> Result<(), Failure> {
+/// Prints the CPU time per token if the engine doesn't pause between tokens.
+fn measure_burst(engine: &TargetThread, entry: &EntryProcess) -> Result<(), BenchError> {
     engine.behave("{\"token_ms\":0}")?;
     let request = request("/v1/pipelines/burst", "text/event-stream");
     let mut caller = RawCaller::connect(entry.address())?;
-    let before = entry.busy()?;
+    let before = entry.cpu_time()?;
     for _ in 0..BURSTS {
         caller.send(&request)?;
         caller.read_past("event: answer")?;
         caller.read_past("0\r\n\r\n")?;
     }
-    let busy = entry.busy()?.saturating_sub(before);
+    let cpu_time = entry.cpu_time()?.saturating_sub(before);
     let tokens = BURSTS * BURST_TOKENS;
-    let each = busy.as_secs_f64() * 1e6 / f64::from(tokens);
+    let each = cpu_time.as_secs_f64() * 1e6 / f64::from(tokens);
     println!("bursts={BURSTS} tokens={tokens} us_a_token={each:.2}");
     Ok(())
 }
 
-/// Returns the slope of the line that fits `points` best.
+/// Returns the slope of the least-squares line through `points`.
 fn slope(points: &[(f64, f64)]) -> f64 {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|p| p.0).sum::<f64>() / count;
@@ -197,16 +202,19 @@
     rise / points.iter().map(|p| (p.0 - mean_x).powi(2)).sum::<f64>()
 }
 
-/// Prints the time between tokens both ways and returns the median added p99, in microseconds.
-fn compare(engine: SocketAddr, entry: &Entry) -> Result<i64, Failure> {
+/// Prints the time between tokens with and without the entry, and returns the median added p99 in
+/// microseconds.
+fn compare(engine: SocketAddr, entry: &EntryProcess) -> Result<i64, BenchError> {
     let mut added = Vec::new();
-    println!("turn  direct p50    p99  through the entry p50    p99  added p99");
-    for turn in 0..TURNS {
-        let direct = thread::block_on(watch(COMPARED, engine, None))??.gaps;
-        let through = thread::block_on(watch(COMPARED, entry.address(), Some(entry)))??.gaps;
+    println!("round direct p50    p99  through the entry p50    p99  added p99");
+    for round in 0..ROUNDS {
+        let direct = thread::block_on(measure_streams(COMPARED_STREAMS, engine, None))??.gaps;
+        let through =
+            thread::block_on(measure_streams(COMPARED_STREAMS, entry.address(), Some(entry)))??
+                .gaps;
         let more = through.at(0.99) - direct.at(0.99);
         println!(
-            "{turn:4}  {:7} us {:6}  {:18} us {:6}  {more:9}",
+            "{round:4}  {:7} us {:6}  {:18} us {:6}  {more:9}",
             direct.at(0.5),
             direct.at(0.99),
             through.at(0.5),
@@ -215,24 +223,24 @@
         added.push(more);
     }
     added.sort_unstable();
-    Ok(added[TURNS / 2])
+    Ok(added[ROUNDS / 2])
 }
 
-/// Tokens seen in the window and the times between them, in microseconds.
+/// Tokens received during the measurement and the times between them, in microseconds.
 #[derive(Clone)]
-struct Gaps {
-    open: bool,
-    leave: bool,
-    begun: usize,
+struct TokenGaps {
+    measuring: bool,
+    stopped: bool,
+    started: usize,
     ended: usize,
     tokens: u64,
     times: Histogram<u64>,
 }
 
-impl Gaps {
-    fn new() -> Result<Self, Failure> {
+impl TokenGaps {
+    fn new() -> Result<Self, BenchError> {
         let times = Histogram::new(3)?;
-        Ok(Self { open: false, leave: false, begun: 0, ended: 0, tokens: 0, times })
+        Ok(Self { measuring: false, stopped: false, started: 0, ended: 0, tokens: 0, times })
     }
 
     fn at(&self, quantile: f64) -> i64 {
@@ -240,16 +248,20 @@
     }
 }
 
-/// What a window showed.
-struct Seen {
-    gaps: Gaps,
-    busy: Duration,
+/// Results of a measurement.
+struct Measured {
+    gaps: TokenGaps,
+    cpu_time: Duration,
     memory: usize,
 }
 
-/// Opens `streams` streams, and counts their tokens for the window once all have begun.
-async fn watch(streams: usize, to: SocketAddr, entry: Option<&Entry>) -> Result<Seen, Failure> {
-    let gaps = Rc::new(RefCell::new(Gaps::new()?));
+/// Opens `streams` streams and, after all have started, measures their tokens.
+async fn measure_streams(
+    streams: usize,
+    to: SocketAddr,
+    entry: Option<&EntryProcess>,
+) -> Result<Measured, BenchError> {
+    let gaps = Rc::new(RefCell::new(TokenGaps::new()?));
     let path = if entry.is_some() { "/v1/pipelines/write" } else { COMPLETIONS };
     let request: Arc<[u8]> = request(path, "text/event-stream").into_bytes().into();
     for _ in 0..streams {
@@ -263,25 +275,29 @@
         });
         sleep(STAGGER).await;
     }
-    until("begun", streams, || gaps.borrow().begun).await?;
-    let busy = || entry.map_or(Ok(Duration::ZERO), Entry::busy);
-    gaps.borrow_mut().open = true;
-    let before = busy()?;
-    sleep(WINDOW).await;
-    gaps.borrow_mut().open = false;
-    let busy = busy()?.saturating_sub(before);
-    let memory = entry.map_or(Ok(0), Entry::memory)?;
-    gaps.borrow_mut().leave = true;
-    until("ended", streams, || gaps.borrow().ended).await?;
+    wait_for_streams("begun", streams, || gaps.borrow().started).await?;
+    let cpu_time = || entry.map_or(Ok(Duration::ZERO), EntryProcess::cpu_time);
+    gaps.borrow_mut().measuring = true;
+    let before = cpu_time()?;
+    sleep(MEASUREMENT_TIME).await;
+    gaps.borrow_mut().measuring = false;
+    let cpu_time = cpu_time()?.saturating_sub(before);
+    let memory = entry.map_or(Ok(0), EntryProcess::memory)?;
+    gaps.borrow_mut().stopped = true;
+    wait_for_streams("ended", streams, || gaps.borrow().ended).await?;
     let gaps = gaps.borrow().clone();
-    Ok(Seen { gaps, busy, memory })
+    Ok(Measured { gaps, cpu_time, memory })
 }
 
 /// Waits until `count` has reached `streams`.
-async fn until(what: &str, streams: usize, count: impl Fn() -> usize) -> Result<(), Failure> {
-    let limit = Instant::now() + LIMIT;
+async fn wait_for_streams(
+    what: &str,
+    streams: usize,
+    count: impl Fn() -> usize,
+) -> Result<(), BenchError> {
+    let deadline = Instant::now() + STREAMS_TIMEOUT;
     while count() < streams {
-        if Instant::now() > limit {
+        if Instant::now() > deadline {
             return Err(format!("{} of {streams} streams have {what}", count()).into());
         }
         sleep(STAGGER).await;
@@ -289,7 +305,7 @@
     Ok(())
 }
 
-/// Returns the request for an answer of the type `accept`, of an entry or of the engine itself.
+/// Returns a request for an answer of the media type `accept`, to an entry or to the engine.
 fn request(path: &str, accept: &str) -> String {
     let body = "{\"prompt\":\"x\",\"stream\":true}";
     let length = body.len();
@@ -299,12 +315,12 @@
     )
 }
 
-/// Reads one stream until it is to be left.
+/// Reads one stream until `gaps` says to stop.
 async fn read_stream(
     to: SocketAddr,
     request: Arc<[u8]>,
-    gaps: Rc<RefCell<Gaps>>,
-) -> Result<(), Failure> {
+    gaps: Rc<RefCell<TokenGaps>>,
+) -> Result<(), BenchError> {
     let mut stream = TcpStream::connect_addr(to).await?;
     stream.set_nodelay(true)?;
     stream.write_all(request.to_vec()).await.0?;
@@ -323,7 +339,7 @@
         answered = true;
         let mut events = 0;
         for &byte in &filled {
-            // An event ends with an empty line; nothing else in the stream has one.
+            // Only the end of an event is an empty line.
             events += u64::from(byte == b'\n' && previous == b'\n');
             previous = byte;
         }
@@ -333,12 +349,12 @@
         }
         let now = Instant::now();
         let mut gaps = gaps.borrow_mut();
-        if gaps.leave {
+        if gaps.stopped {
             return Ok(());
         }
         match last.replace(now) {
-            None => gaps.begun += 1,
-            Some(before) if gaps.open => {
+            None => gaps.started += 1,
+            Some(before) if gaps.measuring => {
                 gaps.tokens += events;
                 let micros = now.duration_since(before).as_micros();
                 gaps.times.record(micros as u64)?;
@@ -348,22 +364,22 @@
     }
 }
 
-/// Entry in a process of its own, so that its memory and processor time are its own.
-struct Entry {
+/// Entry in a separate process, so that its memory and CPU time can be measured.
+struct EntryProcess {
     process: OwnProcess,
 }
 
-impl Entry {
-    fn start(engine: SocketAddr) -> Result<Self, Failure> {
+impl EntryProcess {
+    fn start(engine: SocketAddr) -> Result<Self, BenchError> {
         Ok(Self { process: OwnProcess::start("--entry", engine)? })
     }
 
-    /// Raises the limit of calls to the engine by short calls.
-    fn warm(&self) -> Result<(), Failure> {
-        std::thread::sleep(START);
+    /// Raises the concurrency limit of the engine with short calls.
+    fn warm(&self) -> Result<(), BenchError> {
+        std::thread::sleep(ISSUER_WAIT);
         let mut caller = RawCaller::connect(self.address())?;
         let request = request("/v1/pipelines/short", "*/*");
-        for _ in 0..WARMING {
+        for _ in 0..WARM_UP_CALLS {
             caller.send(&request)?;
             let answer = caller.answer()?;
             if answer.status != 200 {
@@ -377,19 +393,19 @@
         self.process.address
     }
 
-    /// Returns the time that the entry's first thread has run, which serves callers.
-    fn busy(&self) -> Result<Duration, Failure> {
+    /// Returns the CPU time of the entry's main thread, which serves callers.
+    fn cpu_time(&self) -> Result<Duration, BenchError> {
         let (run, _) = self.process.scheduled()?;
         Ok(run)
     }
 
-    /// Returns the resident memory in bytes.
-    fn memory(&self) -> Result<usize, Failure> {
+    /// Returns the resident memory, in bytes.
+    fn memory(&self) -> Result<usize, BenchError> {
         self.process.memory()
     }
 }
 
-fn run_entry(engine: &str) -> Result<bool, Failure> {
+fn run_entry(engine: &str) -> Result<bool, BenchError> {
     let engine: SocketAddr = engine.parse()?;
     thread::block_on(async move {
         let claims = ClaimStore::Local(Rc::new(LocalState::default()));
@@ -453,7 +469,7 @@
         workspaces: vec![workspace],
         pools: vec![pool],
         pipelines: vec![
-            pipeline("write", TOKENS),
+            pipeline("write", STREAM_TOKENS),
             pipeline("burst", BURST_TOKENS),
             pipeline("short", 1),
         ],
--- a/hawthornkeel/tests/centre_partitions.rs
+++ b/hawthornkeel/tests/centre_partitions.rs
@@ -1,4 +1,7 @@
-//! Data centres that are cut off from each other silently, between real processes.
+//! Silent network partitions between data centres, with real processes.
+//!
+//! Guards against requests confirmed without a quorum, and against a partitioned data centre that
+//! stops serving idempotent requests or misses orders of operators.
 
 mod fleet;
 
@@ -18,20 +21,20 @@
 use hawthornkeel_fakes::thread::block_on;
 use hawthornkeel_fakes::thread::eventually;
 
-/// Requests at each entry, spread over some seconds.
-const COUNT: u64 = 80;
-/// Requests a second at each entry.
+/// Number of requests sent to each entry.
+const REQUESTS: u64 = 80;
+/// Requests per second sent to each entry.
 const RATE: f64 = 20.0;
-/// Time within which a refusal without a quorum comes; a claim is waited for longer.
-const AT_ONCE: Duration = Duration::from_secs(1);
-/// Time within which an accepted document is in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(7);
-/// Time within which a data centre that was taken out gets no new work.
-const OUT_OF_SERVICE: Duration = Duration::from_secs(3);
-/// Data centre that is cut off.
-const APART: &str = "dc-2";
-/// Instance of the data centre that is cut off, without the control role.
-const LONE: usize = 5;
+/// Maximum time of a refusal without a quorum. A claim that is proposed has a longer timeout.
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum time until an accepted document is applied everywhere.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(7);
+/// Time after which a data centre that was taken out gets no new work.
+const TAKE_OUT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Data centre that is partitioned from the others.
+const PARTITIONED: &str = "dc-2";
+/// Instance in the partitioned data centre, without the control role.
+const PARTITIONED_ENTRY: usize = 5;
 
 fn start() -> Fleet {
     let mut fleet = Fleet::prepare_relayed(6, 3);
@@ -40,14 +43,14 @@
     fleet
 }
 
-/// Starts callers at every entry, with requests that may be repeated.
+/// Starts callers with idempotent requests at every entry.
 fn callers(fleet: &Fleet, round: u64) -> Vec<JoinHandle<Seen>> {
     let load = |at: usize| Load {
         address: fleet.instances[at].listen,
         path: "/v1/pipelines/draft".to_owned(),
         fields: format!("authorization: Bearer {KEY}\r\n"),
         rate: RATE,
-        count: COUNT,
+        count: REQUESTS,
         first: (round * 100 + at as u64) * 1_000,
         ..Load::default()
     };
@@ -55,12 +58,12 @@
     (0..fleet.instances.len()).map(load).map(start).collect()
 }
 
-/// Waits for callers, each of whose requests must have got its own answer.
-fn all_answered(fleet: &Fleet, callers: Vec<JoinHandle<Seen>>) {
+/// Waits for the callers and checks that every request got its own answer.
+fn assert_all_answered(fleet: &Fleet, callers: Vec<JoinHandle<Seen>>) {
     for (at, caller) in callers.into_iter().enumerate() {
         let seen = caller.join().unwrap();
         let answered = seen.count(ANSWERED);
-        assert_eq!(answered, COUNT, "at {at}: {:?}\n{}", seen.outcomes, fleet.log(at));
+        assert_eq!(answered, REQUESTS, "at {at}: {:?}\n{}", seen.outcomes, fleet.log(at));
     }
 }
 
@@ -72,54 +75,57 @@
     answer.field("code") == "no-quorum" && answer.field("ran") == "not-run"
 }
 
-/// Sends signatures until one is refused for want of a quorum; returns the keys told not run.
+/// Sends signatures until one is refused for lack of a quorum.
+///
+/// Returns the keys of the requests that were reported as not run.
 fn sign_until_refused(fleet: &Fleet, at: usize) -> Vec<String> {
-    let mut told = Vec::new();
+    let mut not_run_keys = Vec::new();
     let refused = eventually(PATIENCE, || {
-        let key = format!("apart-{at}-{}", told.len());
+        let key = format!("apart-{at}-{}", not_run_keys.len());
         let answer = sign(fleet, at, &key);
         assert_ne!(answer.status, 200, "signed without a quorum");
         let not_run = answer.field("ran") == "not-run";
-        told.extend(not_run.then_some(key));
+        not_run_keys.extend(not_run.then_some(key));
         refused_not_run(&answer)
     });
     assert!(refused, "{}", fleet.log(at));
-    told
+    not_run_keys
 }
 
 #[test]
-fn cut_off_centre_serves_what_it_can() {
+fn partitioned_centre_keeps_serving() {
     let fleet = start();
     let load = callers(&fleet, 1);
-    let before = fleet.runs_in(APART);
-    assert!(eventually(PATIENCE, || fleet.runs_in(APART) > before));
-    fleet.network().set_cut(APART, true);
-    all_answered(&fleet, load);
-
-    // Signatures on the cut-off side are refused, at once from then on, and none ran.
-    let mut told = sign_until_refused(&fleet, LONE);
-    let asked = Instant::now();
-    let refused = sign(&fleet, LONE, "refused");
-    assert!(asked.elapsed() < AT_ONCE, "{:?}", asked.elapsed());
+    let before = fleet.runs_in(PARTITIONED);
+    assert!(eventually(PATIENCE, || fleet.runs_in(PARTITIONED) > before));
+    fleet.network().set_cut(PARTITIONED, true);
+    assert_all_answered(&fleet, load);
+
+    // Signatures in the partitioned data centre are refused without delay, and none has run.
+    let mut not_run_keys = sign_until_refused(&fleet, PARTITIONED_ENTRY);
+    let sent_at = Instant::now();
+    let refused = sign(&fleet, PARTITIONED_ENTRY, "refused");
+    assert!(sent_at.elapsed() < REFUSAL_TIMEOUT, "{:?}", sent_at.elapsed());
     assert!(refused_not_run(&refused), "{refused:?}");
     assert!(refused.fields.contains("retry-after: "), "{refused:?}");
-    told.push("refused".to_owned());
+    not_run_keys.push("refused".to_owned());
     let signed = sign(&fleet, 4, "together");
     assert_eq!(signed.status, 200, "{signed:?}");
 
-    // Both sides go on with their own targets, also after the loss is known.
+    // Both sides keep serving with their own targets after the partition is detected.
     let load = callers(&fleet, 2);
     fleet.submit(4, 2, 1, DOCUMENT);
-    all_answered(&fleet, load);
-    assert_eq!(fleet.version_at(LONE), Some(1));
+    assert_all_answered(&fleet, load);
+    assert_eq!(fleet.version_at(PARTITIONED_ENTRY), Some(1));
     let leader = fleet.leader_of(0);
     let term = fleet.term_at(leader);
 
-    // On return it catches up, without serving a lower version or disturbing the term.
+    // When the partition heals, the data centre catches up without serving a lower version and
+    // without causing an election.
     let load = callers(&fleet, 3);
-    fleet.network().set_cut(APART, false);
-    let healed = Instant::now();
-    for at in [2, LONE] {
+    fleet.network().set_cut(PARTITIONED, false);
+    let healed_at = Instant::now();
+    for at in [2, PARTITIONED_ENTRY] {
         let mut served = 1;
         let caught_up = eventually(PATIENCE, || {
             let version = fleet.version_at(at).unwrap_or(served);
@@ -129,14 +135,14 @@
         });
         assert!(caught_up, "{}", fleet.log(at));
     }
-    assert!(healed.elapsed() < IN_FORCE, "{:?}", healed.elapsed());
-    all_answered(&fleet, load);
-    let signed = || sign(&fleet, LONE, "back").status == 200;
-    assert!(eventually(PATIENCE, signed), "{}", fleet.log(LONE));
-    assert_eq!(fleet.term_at(leader), term, "the term was disturbed");
+    assert!(healed_at.elapsed() < CATCH_UP_TIMEOUT, "{:?}", healed_at.elapsed());
+    assert_all_answered(&fleet, load);
+    let signed = || sign(&fleet, PARTITIONED_ENTRY, "back").status == 200;
+    assert!(eventually(PATIENCE, signed), "{}", fleet.log(PARTITIONED_ENTRY));
+    assert_eq!(fleet.term_at(leader), term, "the term changed");
     assert_eq!(fleet.leader_of(0), leader);
-    for key in told {
-        assert_eq!(fleet.runs("registry", &key), 0, "{key} was told not run");
+    for key in not_run_keys {
+        assert_eq!(fleet.runs("registry", &key), 0, "{key} was reported as not run");
     }
     for key in ["together", "back"] {
         assert_eq!(fleet.runs("registry", key), 1, "{key}");
@@ -152,12 +158,12 @@
     assert!(first.result().is_some(), "{first:?}");
     fleet.network().set_isolated(&fleet.instances[leader].name, true);
 
-    // Neither a document nor a signature is accepted by the old leader.
-    let lost = fleet.try_submit(leader, "lone", 7, 1, DOCUMENT);
-    assert!(lost.as_ref().is_none_or(|l| !l.body.contains("\"accepted\"")), "{lost:?}");
-    let told = sign_until_refused(&fleet, leader);
+    // The old leader accepts neither a document nor a signature.
+    let submitted = fleet.try_submit(leader, "lone", 7, 1, DOCUMENT);
+    assert!(submitted.as_ref().is_none_or(|l| !l.body.contains("\"accepted\"")), "{submitted:?}");
+    let not_run_keys = sign_until_refused(&fleet, leader);
 
-    // The others go on, and resends at any of them get the first outcome.
+    // The others keep serving, and a resend to any of them gets the first outcome.
     fleet.submit(other, 2, 1, DOCUMENT);
     let resent = sign(&fleet, other + 3, "first");
     assert_eq!(resent.result(), first.result(), "{resent:?}");
@@ -170,7 +176,7 @@
     fleet.network().set_isolated(&fleet.instances[leader].name, false);
     let caught_up = || fleet.version_at(leader) == Some(2);
     assert!(eventually(PATIENCE, caught_up), "{}", fleet.log(leader));
-    // It may take a moment to find the new leader; no resend gets another outcome than the first.
+    // Finding the new leader may take a moment. No resend may get another outcome than the first.
     fleet.submit(leader, 2, 1, DOCUMENT);
     let mut resent = first.clone();
     let replayed = eventually(PATIENCE, || {
@@ -179,10 +185,10 @@
     });
     assert!(replayed, "{}", fleet.log(leader));
     assert_eq!(resent.result(), first.result(), "{resent:?}");
-    assert_eq!(fleet.term_at(next), term, "the term was disturbed");
+    assert_eq!(fleet.term_at(next), term, "the term changed");
     assert_eq!(fleet.runs("registry", "first"), 1);
-    for key in told {
-        assert_eq!(fleet.runs("registry", &key), 0, "{key} was told not run");
+    for key in not_run_keys {
+        assert_eq!(fleet.runs("registry", &key), 0, "{key} was reported as not run");
     }
 }
 
@@ -191,49 +197,50 @@
     let fleet = start();
     let leader = fleet.leader();
     let other = (leader + 1) % 3;
-    // It still hears the others, which no longer hear it.
+    // One-way partition: the leader still receives messages, but its own are lost.
     fleet.network().set_muted(&fleet.instances[leader].name, true);
     fleet.submit(other, 2, 1, DOCUMENT);
     assert_ne!(fleet.leader_of(other), leader);
-    let told = sign_until_refused(&fleet, leader);
+    let not_run_keys = sign_until_refused(&fleet, leader);
     let draft = fleet.call(leader, "draft", "", "{\"text\":\"lot\"}").unwrap();
     assert_eq!(draft.status, 200, "{draft:?}\n{}", fleet.log(leader));
     fleet.network().set_muted(&fleet.instances[leader].name, false);
     let caught_up = || fleet.version_at(leader) == Some(2);
     assert!(eventually(PATIENCE, caught_up), "{}", fleet.log(leader));
-    for key in told {
-        assert_eq!(fleet.runs("registry", &key), 0, "{key} was told not run");
+    for key in not_run_keys {
+        assert_eq!(fleet.runs("registry", &key), 0, "{key} was reported as not run");
     }
 }
 
-/// Takes the cut-off data centre out at `ordered`, whose side consists of `heard`.
-fn take_out_apart(ordered: usize, heard: &[usize]) {
+/// Takes the partitioned data centre out by an order to the instance `ordered_at`. The instances
+/// `reached` are on its side of the partition.
+fn take_out_partitioned(ordered_at: usize, reached: &[usize]) {
     let fleet = start();
-    fleet.network().set_cut(APART, true);
-    let out = fleet.order(ordered, "take-out", 5, APART).unwrap();
+    fleet.network().set_cut(PARTITIONED, true);
+    let out = fleet.order(ordered_at, "take-out", 5, PARTITIONED).unwrap();
     assert_eq!(out.status, 200, "{out:?}");
-    thread::sleep(OUT_OF_SERVICE);
-    let before = fleet.runs_in(APART);
-    for at in heard {
+    thread::sleep(TAKE_OUT_TIMEOUT);
+    let before = fleet.runs_in(PARTITIONED);
+    for at in reached {
         let _ = fleet.call(*at, "draft", "", "{\"text\":\"lot\"}");
     }
-    assert_eq!(fleet.runs_in(APART), before, "new work where the order was heard");
-    // After the cut it holds everywhere.
-    fleet.network().set_cut(APART, false);
-    let held = || {
-        let before = fleet.runs_in(APART);
+    assert_eq!(fleet.runs_in(PARTITIONED), before, "new work on the side that got the order");
+    // When the partition heals, the order takes effect everywhere.
+    fleet.network().set_cut(PARTITIONED, false);
+    let takes_effect = || {
+        let before = fleet.runs_in(PARTITIONED);
         (0..6).for_each(|at| drop(fleet.call(at, "draft", "", "{\"text\":\"lot\"}")));
-        fleet.runs_in(APART) == before
+        fleet.runs_in(PARTITIONED) == before
     };
-    assert!(eventually(PATIENCE, held), "{}", fleet.log(LONE));
+    assert!(eventually(PATIENCE, takes_effect), "{}", fleet.log(PARTITIONED_ENTRY));
 }
 
 #[test]
-fn take_out_is_heard_in_the_cut_off_centre() {
-    take_out_apart(LONE, &[2, LONE]);
+fn take_out_reaches_partitioned_centre() {
+    take_out_partitioned(PARTITIONED_ENTRY, &[2, PARTITIONED_ENTRY]);
 }
 
 #[test]
-fn take_out_is_heard_by_the_others() {
-    take_out_apart(3, &[0, 1, 3, 4]);
+fn take_out_reaches_other_centres() {
+    take_out_partitioned(3, &[0, 1, 3, 4]);
 }
--- a/hawthornkeel/tests/claim_crashes.rs
+++ b/hawthornkeel/tests/claim_crashes.rs
@@ -1,4 +1,6 @@
-//! Requests that may not be repeated, while the processes that serve them are killed.
+//! Crashes of instances while they serve requests that aren't idempotent.
+//!
+//! Guards against stages that run twice and against wrong outcomes reported to callers.
 
 mod fleet;
 
@@ -9,7 +11,7 @@
 use fleet::PATIENCE;
 use hawthornkeel_fakes::thread::eventually;
 
-/// Time that a slow signature takes, in milliseconds.
+/// Duration of a slow signature, in milliseconds.
 const SLOW_MS: u64 = 3_000;
 
 fn slow_registry(fleet: &Fleet) {
@@ -19,7 +21,7 @@
 }
 
 #[test]
-fn entry_killed_during_the_call_leaves_an_unknown() {
+fn killed_entry_leaves_unknown_outcome() {
     let mut fleet = Fleet::start(5, 2);
     slow_registry(&fleet);
     let address = fleet.instances[4].listen;
@@ -28,20 +30,20 @@
     assert!(dispatched, "{}", fleet.log(4));
     fleet.kill(4);
     assert!(caller.join().unwrap().is_none(), "the killed entry can't have answered");
-    // The resend waits for the claim to end, and is then told the truth.
-    let again = || fleet.call(0, "release", "lot-1", "{\"lot\":1}").unwrap();
-    let mut answer = again();
-    let told = eventually(PATIENCE, || {
-        answer = again();
+    // Once the claim has expired, the resend is told that the outcome is unknown.
+    let resend = || fleet.call(0, "release", "lot-1", "{\"lot\":1}").unwrap();
+    let mut answer = resend();
+    let is_unknown = eventually(PATIENCE, || {
+        answer = resend();
         answer.field("code") == "outcome-unknown"
     });
-    assert!(told, "{answer:?}\n{}", fleet.log(0));
+    assert!(is_unknown, "{answer:?}\n{}", fleet.log(0));
     assert_eq!(answer.field("ran"), "unknown");
     assert_eq!(fleet.runs("registry", "lot-1"), 1);
 }
 
 #[test]
-fn resends_at_every_instance_run_once() {
+fn concurrent_resends_run_once() {
     let fleet = Fleet::start(5, 2);
     let addresses: Vec<_> = fleet.instances.iter().map(|i| i.listen).collect();
     let callers: Vec<_> = addresses
@@ -56,7 +58,7 @@
 }
 
 #[test]
-fn leader_killed_under_load_doubles_nothing() {
+fn killed_leader_causes_no_duplicates() {
     let mut fleet = Fleet::start(5, 2);
     let addresses = [fleet.instances[3].listen, fleet.instances[4].listen];
     let callers: Vec<_> = (0..40)
@@ -86,7 +88,7 @@
 }
 
 #[test]
-fn minority_refuses_at_once_and_serves_the_rest() {
+fn minority_refuses_only_claims() {
     let mut fleet = Fleet::start(5, 2);
     fleet.kill(0);
     fleet.kill(1);
--- a/hawthornkeel/tests/cold_restart.rs
+++ b/hawthornkeel/tests/cold_restart.rs
@@ -1,4 +1,7 @@
-//! A target that restarts cold under load from every entry.
+//! Restart of a target under load from all entries.
+//!
+//! Guards against entries that keep sending at the rate of a warm target after its process has
+//! restarted cold, which overloads it.
 
 mod fleet;
 
@@ -12,34 +15,34 @@
 use hawthornkeel_fakes::caller::Load;
 use hawthornkeel_fakes::thread::block_on;
 
-/// Calls that a cold target bears at once, one more than the document allows.
-const BEARS: u32 = 2;
-/// Share of requests that are to be answered in full with one fault at a time.
-const ATTAINMENT: f64 = 0.999;
+/// Concurrent calls that a cold target can handle, one more than the document allows.
+const COLD_CAPACITY: u32 = 2;
+/// Minimum share of requests answered completely during a single fault.
+const MIN_ATTAINMENT: f64 = 0.999;
 
 #[test]
-fn restarted_target_is_not_overrun() {
+fn restarted_target_is_not_overloaded() {
     restart_under_load(25, 150, true);
 }
 
 #[test]
-fn restarted_busy_target_is_not_overrun() {
+fn restarted_busy_target_is_not_overloaded() {
     restart_under_load(60, 360, true);
 }
 
 #[test]
-fn restarted_target_with_unnamed_answers_is_not_overrun() {
+fn unnamed_restart_is_not_overloaded() {
     restart_under_load(60, 360, false);
 }
 
-/// Restarts a target while each entry sends `rate` requests a second, `count` in all.
+/// Restarts a target while `rate` requests per second are sent to each entry, `count` in total.
 ///
-/// The answers of the targets name their incarnations, or only their load reports do.
+/// If `named`, answers of targets carry their incarnation, otherwise only their load reports do.
 fn restart_under_load(rate: u64, count: u64, named: bool) {
     let mut fleet = Fleet::prepare(4, 2);
     for target in fleet.pool("writers") {
         let fields = format!(
-            "{{\"floor_ms\":20,\"cold_bears\":{BEARS},\"warm_after\":4,\"named\":{named}}}"
+            "{{\"floor_ms\":20,\"cold_bears\":{COLD_CAPACITY},\"warm_after\":4,\"named\":{named}}}"
         );
         target.thread.behave(&fields).unwrap();
     }
@@ -58,7 +61,7 @@
     let callers: Vec<_> = (0..4).map(load).map(start).collect();
     let target = fleet.targets.iter().find(|t| t.listed.name == "writers-dc-0").unwrap();
     let before = target.thread.report().unwrap();
-    // The load has to stand before the restart comes.
+    // The load must be established before the restart.
     thread::sleep(Duration::from_secs(2));
     target.thread.restart().unwrap();
     let mut answered = 0;
@@ -66,7 +69,7 @@
         answered += caller.join().unwrap().count(ANSWERED);
     }
     let after = target.thread.report().unwrap();
-    assert_eq!(after.falls, before.falls, "the cold target fell over");
+    assert_eq!(after.falls, before.falls, "the cold target was overloaded");
     let sent = 4 * count;
-    assert!(answered as f64 >= ATTAINMENT * sent as f64, "{answered} of {sent} answered");
+    assert!(answered as f64 >= MIN_ATTAINMENT * sent as f64, "{answered} of {sent} answered");
 }
--- a/hawthornkeel/tests/entry_restart.rs
+++ b/hawthornkeel/tests/entry_restart.rs
@@ -1,4 +1,7 @@
-//! Entries that come back while the others serve.
+//! Restart of entries while the others serve.
+//!
+//! Guards against an entry that reports ready before it knows an issuer of grants, whose first
+//! requests wait for one.
 
 mod fleet;
 
@@ -7,11 +10,11 @@
 
 use fleet::Fleet;
 
-/// Time within which the first token is due.
-const FIRST_TOKEN: Duration = Duration::from_millis(1_300);
+/// Maximum time to the first token, within which the complete answer must arrive here.
+const FIRST_TOKEN_TIMEOUT: Duration = Duration::from_millis(1_300);
 
 #[test]
-fn first_caller_of_a_returned_entry_need_not_wait() {
+fn restarted_entry_answers_promptly() {
     let mut fleet = Fleet::start_warm(6, 3);
     for at in [0, 3] {
         fleet.kill(at);
@@ -19,10 +22,10 @@
     }
     for at in [0, 3] {
         fleet.wait_ready(at);
-        let called = Instant::now();
+        let sent_at = Instant::now();
         let answer = fleet.call(at, "draft", "", "{\"text\":\"lot\"}").unwrap();
         assert_eq!(answer.status, 200, "{answer:?}\n{}", fleet.log(at));
-        let taken = called.elapsed();
-        assert!(taken < FIRST_TOKEN, "{taken:?}\n{}", fleet.log(at));
+        let elapsed = sent_at.elapsed();
+        assert!(elapsed < FIRST_TOKEN_TIMEOUT, "{elapsed:?}\n{}", fleet.log(at));
     }
 }
--- a/hawthornkeel/tests/hedged_calls.rs
+++ b/hawthornkeel/tests/hedged_calls.rs
@@ -1,4 +1,5 @@
-//! One of two targets of a pool slows down: the other answers, and the slow run is cancelled.
+//! Hedging of calls to a target that becomes slow: another target answers, and the slow call is
+//! cancelled.
 
 mod fleet;
 
@@ -13,14 +14,14 @@
 use hawthornkeel_fakes::thread::TargetThread;
 use hawthornkeel_fakes::thread::eventually;
 
-/// Usual time of a call, in milliseconds: long enough that jitter alone makes no hedge due.
-const USUAL_MS: u64 = 100;
-/// Time of a call at a slow target, in milliseconds: under the deadline of 8 s.
+/// Normal duration of a call in milliseconds, long enough that jitter alone triggers no hedge.
+const NORMAL_MS: u64 = 100;
+/// Duration of a call to a slow target in milliseconds, below the deadline of 8 s.
 const SLOW_MS: u64 = 6_000;
-/// Time of a call that may not be repeated, in milliseconds: beyond that of a hedge.
-const SIGN_MS: u64 = 2_000;
+/// Duration of a non-idempotent call in milliseconds, beyond the delay of a hedge.
+const NON_IDEMPOTENT_MS: u64 = 2_000;
 
-/// Starts a fleet with two targets of the pool, both warm at the first entry.
+/// Starts a fleet with two targets of the pool, both known to be warm by the first entry.
 fn start(pool: &str) -> Fleet {
     let mut fleet = Fleet::prepare(3, 1);
     let thread = TargetThread::start(Behaviour::default()).unwrap();
@@ -36,10 +37,10 @@
     let instances = fleet.targets.iter().map(|t| t.listed.clone()).collect();
     fleet.platform.set(&List { instances, ..List::default() }).unwrap();
     fleet.run();
-    take(&fleet, pool, USUAL_MS);
+    set_duration(&fleet, pool, NORMAL_MS);
     let mut lot = 0;
     let warm = || {
-        // Calls with the same prompt would keep to one of the targets.
+        // Prefix affinity would send calls with the same prompt to the same target.
         lot += 1;
         let answer = fleet.call(0, "warm", "", &format!("{{\"lot\":{lot}}}"));
         answer.is_some_and(|a| a.status == 200) && is_warm(&fleet, pool)
@@ -48,14 +49,14 @@
     fleet
 }
 
-/// Makes calls to the targets of a pool take `millis` milliseconds.
-fn take(fleet: &Fleet, pool: &str, millis: u64) {
+/// Sets the duration of calls to the targets of a pool.
+fn set_duration(fleet: &Fleet, pool: &str, millis: u64) {
     for target in fleet.pool(pool) {
         target.thread.behave(&format!("{{\"floor_ms\":{millis}}}")).unwrap();
     }
 }
 
-/// Returns the first entry's log line of its last choice of a target in a pool.
+/// Returns the log line of the first entry's last choice of a target of a pool.
 fn last_route(fleet: &Fleet, pool: &str) -> String {
     let name = format!("pool={pool} ");
     let log = fleet.log(0);
@@ -63,19 +64,19 @@
     last.unwrap_or_default().to_owned()
 }
 
-/// Tells whether the last choice in a pool was one of two warm targets.
+/// Returns whether the last choice of a target had two warm candidates.
 fn is_warm(fleet: &Fleet, pool: &str) -> bool {
     last_route(fleet, pool).contains("reason=near candidates=2")
 }
 
-/// Returns the target that the last call to a pool went to.
+/// Returns the target of the last call to a pool.
 fn last_called<'a>(fleet: &'a Fleet, pool: &str) -> &'a fleet::Target {
     let route = last_route(fleet, pool);
     let is_called = |t: &&fleet::Target| route.contains(&format!("target={} ", t.listed.name));
     fleet.pool(pool).find(is_called).unwrap()
 }
 
-/// Returns the value of a metric of the first entry, zero where it was never counted.
+/// Returns the value of a metric of the first entry, or zero if it was never recorded.
 fn metric(fleet: &Fleet, name: &str) -> u64 {
     let page = get(fleet.instances[0].admin, "/metrics").unwrap().body;
     let line = page.lines().find_map(|l| l.strip_prefix(name)).unwrap_or_default();
@@ -83,31 +84,31 @@
 }
 
 #[test]
-fn slow_target_is_beaten_by_the_other_and_its_run_cancelled() {
+fn slow_call_loses_to_hedge() {
     let fleet = start("readers");
-    // The next call with this prompt goes to the same target, by its prefix.
+    // Prefix affinity sends the next call with this prompt to the same target.
     fleet.call(0, "draft", "", "{\"lot\":1}").unwrap();
     let slow = last_called(&fleet, "readers");
     let before = slow.thread.report().unwrap().runs.len();
     slow.thread.behave(&format!("{{\"floor_ms\":{SLOW_MS}}}")).unwrap();
     let new_runs = || slow.thread.report().unwrap().runs.split_off(before);
     let cancelled = || new_runs().iter().any(|r| r.outcome == Outcome::Cancelled);
-    let beaten = eventually(PATIENCE, || {
+    let is_hedged = eventually(PATIENCE, || {
         let answer = fleet.call(0, "draft", "", "{\"lot\":1}").unwrap();
         assert_eq!(answer.status, 200, "{answer:?}\n{}", fleet.log(0));
         cancelled()
     });
-    assert!(beaten, "no run was cancelled: {:?}\n{}", new_runs(), fleet.log(0));
-    let whole = new_runs().iter().filter(|r| r.outcome == Outcome::Done).count();
-    assert_eq!(whole, 0, "a slow call was waited for\n{}", fleet.log(0));
+    assert!(is_hedged, "no run was cancelled: {:?}\n{}", new_runs(), fleet.log(0));
+    let completed = new_runs().iter().filter(|r| r.outcome == Outcome::Done).count();
+    assert_eq!(completed, 0, "a slow call ran to completion\n{}", fleet.log(0));
     assert!(metric(&fleet, "hawthornkeel_hedges_total{stage=\"read\"}") > 0);
     assert!(metric(&fleet, "hawthornkeel_wasted_millis_total{stage=\"read\"}") > 0);
 }
 
 #[test]
-fn stage_that_may_not_be_repeated_is_never_hedged() {
+fn non_idempotent_stage_is_not_hedged() {
     let fleet = start("registry");
-    take(&fleet, "registry", SIGN_MS);
+    set_duration(&fleet, "registry", NON_IDEMPOTENT_MS);
     let answer = fleet.call(0, "release", "slow-sign", "{\"lot\":1}").unwrap();
     assert_eq!(answer.status, 200, "{answer:?}\n{}", fleet.log(0));
     assert_eq!(fleet.runs("registry", "slow-sign"), 1, "{}", fleet.log(0));
--- a/hawthornkeel/tests/late_answers.rs
+++ b/hawthornkeel/tests/late_answers.rs
@@ -1,4 +1,7 @@
-//! Targets that take long: within the deadline, and beyond it.
+//! Slow targets whose answers arrive within or after the deadline.
+//!
+//! Guards against slow calls that are aborted too early, and against late answers of non-idempotent
+//! calls that are discarded although a resend could return them.
 
 mod fleet;
 
@@ -9,9 +12,9 @@
 use hawthornkeel_fakes::thread::eventually;
 use rstest::rstest;
 
-/// Longest call to a cold target, in milliseconds: longer than any deadline.
+/// Maximum duration of a call to a cold target in milliseconds, longer than any deadline.
 const GRANT_MS: u64 = 9_000;
-/// Deadline of a request whose answer comes late, in milliseconds.
+/// Deadline of a request whose answer is late, in milliseconds.
 const SHORT_DEADLINE_MS: u64 = 3_000;
 
 /// Starts a fleet with one target of each pool in each of `centres` data centres.
@@ -22,13 +25,13 @@
         fleet.warm();
         return fleet;
     }
-    // One call each leaves the targets cold, with an issuer of grants known.
+    // After one call, the targets are still cold, but the entry knows an issuer of grants.
     let served = || fleet.call(0, "warm", "", "{}").is_some_and(|a| a.status == 200);
     assert!(eventually(PATIENCE, served), "{}", fleet.log(0));
     fleet
 }
 
-fn slow(fleet: &Fleet, pool: &str, millis: u64) {
+fn set_duration(fleet: &Fleet, pool: &str, millis: u64) {
     for target in fleet.pool(pool) {
         target.thread.behave(&format!("{{\"floor_ms\":{millis}}}")).unwrap();
     }
@@ -37,15 +40,15 @@
 #[rstest]
 #[case("release", "registry", "slow-1")]
 #[case("draft", "readers", "")]
-fn slow_stage_is_waited_for(#[case] pipeline: &str, #[case] pool: &str, #[case] key: &str) {
+fn slow_stage_is_answered(#[case] pipeline: &str, #[case] pool: &str, #[case] key: &str) {
     let fleet = start(2, true);
-    slow(&fleet, pool, 4_000);
+    set_duration(&fleet, pool, 4_000);
     let answer = fleet.call(0, pipeline, key, "{\"lot\":1}").unwrap();
     assert_eq!(answer.status, 200, "{answer:?}\n{}", fleet.log(0));
 }
 
-/// Calls the release pipeline under a deadline of [`SHORT_DEADLINE_MS`].
-fn release_soon(fleet: &Fleet, key: &str) -> Option<Answer> {
+/// Calls the release pipeline with a deadline of [`SHORT_DEADLINE_MS`].
+fn call_release(fleet: &Fleet, key: &str) -> Option<Answer> {
     let fields = format!(
         "authorization: Bearer {KEY}\r\nidempotency-key: {key}\r\n\
          x-deadline-ms: {SHORT_DEADLINE_MS}\r\n"
@@ -56,15 +59,15 @@
 #[rstest]
 #[case("late-1", true)]
 #[case("late-2", false)]
-fn answer_after_the_deadline_is_kept_for_the_resend(#[case] key: &str, #[case] warm: bool) {
+fn late_answer_is_replayed(#[case] key: &str, #[case] warm: bool) {
     let fleet = start(1, warm);
-    slow(&fleet, "registry", SHORT_DEADLINE_MS + 200);
-    let told = release_soon(&fleet, key).unwrap();
-    assert_eq!(told.field("ran"), "unknown", "{told:?}\n{}", fleet.log(0));
-    let replayed = eventually(PATIENCE, || {
-        let again = fleet.call(1, "release", key, "{\"lot\":1}");
-        again.is_some_and(|a| a.status == 200)
+    set_duration(&fleet, "registry", SHORT_DEADLINE_MS + 200);
+    let first = call_release(&fleet, key).unwrap();
+    assert_eq!(first.field("ran"), "unknown", "{first:?}\n{}", fleet.log(0));
+    let is_replayed = eventually(PATIENCE, || {
+        let resend = fleet.call(1, "release", key, "{\"lot\":1}");
+        resend.is_some_and(|a| a.status == 200)
     });
-    assert!(replayed, "{}", fleet.log(0));
+    assert!(is_replayed, "{}", fleet.log(0));
     assert_eq!(fleet.runs("registry", key), 1);
 }
--- a/hawthornkeel/tests/planned_stop.rs
+++ b/hawthornkeel/tests/planned_stop.rs
@@ -1,4 +1,7 @@
 //! Planned stop of an instance under load.
+//!
+//! Guards against requests that are aborted or refused by the stop, and against an election timeout
+//! when the leader stops.
 
 mod fleet;
 
@@ -10,7 +13,7 @@
 use rustix::process::Signal;
 
 #[test]
-fn stop_cuts_and_refuses_nothing() {
+fn stop_completes_open_requests() {
     let mut fleet = Fleet::prepare(5, 2);
     for target in fleet.pool("readers") {
         target.thread.behave("{\"floor_ms\":400}").unwrap();
@@ -29,7 +32,7 @@
     fleet.signal(0, Signal::TERM);
     let unready =
         eventually(PATIENCE, || fleet::get(address, "/ready").is_none_or(|a| a.status == 503));
-    assert!(unready, "the balancer is not told");
+    assert!(unready, "the readiness check doesn't fail");
     for caller in callers {
         let answer = caller.join().unwrap().unwrap();
         assert_eq!(answer.status, 200, "{answer:?}\n{}", fleet.log(0));
@@ -39,14 +42,14 @@
 }
 
 #[test]
-fn stopped_leader_hands_over() {
+fn stopped_leader_transfers_leadership() {
     let mut fleet = Fleet::start(4, 2);
     let leader = fleet.leader();
     let others = [(leader + 1) % 3, (leader + 2) % 3];
-    let waits = |fleet: &Fleet| -> usize {
+    let count_candidacies = |fleet: &Fleet| -> usize {
         others.iter().map(|at| fleet.log(*at).matches("role=PreCandidate").count()).sum()
     };
-    let before = waits(&fleet);
+    let before = count_candidacies(&fleet);
     fleet.signal(leader, Signal::TERM);
     assert_eq!(fleet.wait_exit(leader), Some(0), "{}", fleet.log(leader));
     let signed = eventually(PATIENCE, || {
@@ -55,5 +58,9 @@
     });
     assert!(signed, "{}", fleet.log(3));
     let log = fleet.log(others[0]);
-    assert_eq!(waits(&fleet), before, "an election had to be waited for:\n{log}");
+    assert_eq!(
+        count_candidacies(&fleet),
+        before,
+        "followers waited for an election timeout:\n{log}"
+    );
 }
--- a/hawthornkeel/tests/pool_removal.rs
+++ b/hawthornkeel/tests/pool_removal.rs
@@ -1,4 +1,6 @@
-//! A document that removes a pool under a request that was admitted before.
+//! A new document that removes a pool which a request in progress still needs.
+//!
+//! Guards against admitted requests that fail because a later stage's pool was removed.
 
 mod fleet;
 
@@ -9,10 +11,10 @@
 use fleet::PATIENCE;
 use hawthornkeel_fakes::thread::eventually;
 
-/// Longest call to a cold target, in milliseconds: longer than any deadline.
+/// Maximum duration of a call to a cold target in milliseconds, longer than any deadline.
 const GRANT_MS: u64 = 9_000;
 
-/// Returns [`DOCUMENT`] without the pool `writers` and what uses it.
+/// Returns [`DOCUMENT`] without the pool `writers` and the pipelines that use it.
 fn without_writers() -> String {
     let mut text = String::from("name = \"fleet\"\n[[workspace]]\nname = \"makers\"\n");
     for pool in ["readers", "registry"] {
@@ -23,7 +25,7 @@
 }
 
 #[test]
-fn admitted_request_is_served_by_the_pool_that_a_new_document_removes() {
+fn admitted_request_uses_removed_pool() {
     let mut fleet = Fleet::prepare_granting(4, 2, GRANT_MS);
     fleet.run();
     fleet.warm();
@@ -32,13 +34,13 @@
     }
     let address = fleet.instances[3].listen;
     let caller = thread::spawn(move || fleet::call_at(address, "draft", "", "{\"lot\":1}"));
-    let runs = || fleet.pool("readers").any(|t| t.thread.report().unwrap().running > 0);
-    assert!(eventually(PATIENCE, runs), "first stage not called:\n{}", fleet.log(3));
+    let is_running = || fleet.pool("readers").any(|t| t.thread.report().unwrap().running > 0);
+    assert!(eventually(PATIENCE, is_running), "the first stage was not called:\n{}", fleet.log(3));
     fleet.submit(0, 2, 1, &without_writers());
     assert!(eventually(PATIENCE, || fleet.version_at(3) == Some(2)), "{}", fleet.log(3));
-    assert!(!caller.is_finished(), "the first stage was not held until the document was in force");
+    assert!(!caller.is_finished(), "the first stage ended before the document was applied");
     let answer = caller.join().unwrap().unwrap();
     assert_eq!(answer.status, 200, "{answer:?}\n{}", fleet.log(3));
-    let gone = fleet.call(3, "draft", "", "{}").unwrap();
-    assert_eq!(gone.status, 404, "{gone:?}");
+    let removed = fleet.call(3, "draft", "", "{}").unwrap();
+    assert_eq!(removed.status, 404, "{removed:?}");
 }
--- a/hawthornkeel/tests/silent_targets.rs
+++ b/hawthornkeel/tests/silent_targets.rs
@@ -1,4 +1,8 @@
-//! Connections to targets that go silent for good while new ones work, between real processes.
+//! Established connections to targets that silently stop working while new ones succeed, with real
+//! processes.
+//!
+//! Guards against blaming the target for a lost connection, and against non-idempotent calls that
+//! run twice after one.
 
 mod fleet;
 
@@ -10,11 +14,11 @@
 use fleet::PATIENCE;
 use hawthornkeel_fakes::thread::eventually;
 
-/// Data centre of the test.
+/// The only data centre.
 const CENTRE: &str = "dc-0";
-/// Targets of the test.
+/// Targets of the data centre.
 const TARGETS: [&str; 3] = ["readers-dc-0", "writers-dc-0", "registry-dc-0"];
-/// Deadline of the test's pipelines.
+/// Deadline of the pipelines.
 const DEADLINE: Duration = Duration::from_secs(8);
 
 fn start() -> Fleet {
@@ -31,19 +35,19 @@
         fleet.network().way(CENTRE, target).lose_connections();
     }
     for at in [0, 1, 2, 0, 1, 2] {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let answer = fleet.call(at, "warm", "", "{\"text\":\"lot\"}").unwrap();
         assert_eq!(answer.status, 200, "{answer:?}\n{}", fleet.log(at));
-        assert!(asked.elapsed() < DEADLINE, "{:?}", asked.elapsed());
+        assert!(sent_at.elapsed() < DEADLINE, "{:?}", sent_at.elapsed());
     }
-    // The connections bore the blame: no call to a target failed, and none had to be tried out.
+    // The connections were at fault: no call to a target failed, and no target was probed.
     for log in (0..3).map(|at| fleet.log(at)) {
         assert!(!log.contains("outcome=silent") && !log.contains("reason=probe"), "{log}");
     }
 }
 
 #[test]
-fn signature_gone_silent_is_unknown() {
+fn silent_call_has_unknown_outcome() {
     let fleet = start();
     let registry = fleet.pool("registry").next().unwrap();
     registry.thread.behave("{\"floor_ms\":1000}").unwrap();
@@ -51,32 +55,32 @@
     let caller = thread::spawn(move || fleet::call_at(address, "release", "lot-1", "{\"lot\":1}"));
     assert!(eventually(PATIENCE, || fleet.runs("registry", "lot-1") == 1));
     fleet.network().way(CENTRE, TARGETS[2]).lose_connections();
-    // Another entry's idle connections are silent as well; its signature takes none of them.
+    // Idle connections of another entry are silent too, and its signature must use none of them.
     let other = fleet.call(1, "release", "lot-2", "{\"lot\":2}").unwrap();
     assert_eq!(other.status, 200, "{other:?}\n{}", fleet.log(1));
     let answer = caller.join().unwrap().unwrap();
     assert_eq!(answer.field("ran"), "unknown", "{answer:?}");
-    // Resends are told the same, wherever they come to, and don't run it again.
+    // Resends to any instance get the same outcome and don't run the call again.
     for at in 0..3 {
-        let told = || {
-            let again = fleet.call(at, "release", "lot-1", "{\"lot\":1}").unwrap();
-            again.field("code") == "outcome-unknown" && again.field("ran") == "unknown"
+        let is_unknown = || {
+            let answer = fleet.call(at, "release", "lot-1", "{\"lot\":1}").unwrap();
+            answer.field("code") == "outcome-unknown" && answer.field("ran") == "unknown"
         };
-        assert!(eventually(PATIENCE, told), "{}", fleet.log(at));
+        assert!(eventually(PATIENCE, is_unknown), "{}", fleet.log(at));
     }
     assert_eq!(fleet.runs("registry", "lot-1"), 1);
 }
 
 #[test]
-fn signature_that_found_no_connection_runs_once_later() {
+fn unsent_call_runs_once() {
     let fleet = start();
-    let way = fleet.network().way(CENTRE, TARGETS[2]);
-    way.set_cut(true).unwrap();
+    let link = fleet.network().way(CENTRE, TARGETS[2]);
+    link.set_cut(true).unwrap();
     let answer = fleet.call(0, "release", "lot-3", "{\"lot\":3}").unwrap();
     assert!(answer.status != 200 && answer.field("ran") != "done", "{answer:?}");
     assert_eq!(fleet.runs("registry", "lot-3"), 0);
-    way.set_cut(false).unwrap();
-    let again = || fleet.call(0, "release", "lot-3", "{\"lot\":3}").unwrap().status == 200;
-    assert!(eventually(PATIENCE, again), "{}", fleet.log(0));
+    link.set_cut(false).unwrap();
+    let is_answered = || fleet.call(0, "release", "lot-3", "{\"lot\":3}").unwrap().status == 200;
+    assert!(eventually(PATIENCE, is_answered), "{}", fleet.log(0));
     assert_eq!(fleet.runs("registry", "lot-3"), 1);
 }
--- a/hawthornkeel/tests/token_events.rs
+++ b/hawthornkeel/tests/token_events.rs
@@ -1,4 +1,5 @@
-//! Streamed answers to callers: tokens that come together go on in one piece, each its own event.
+//! Streamed answers to callers: tokens that arrive together are sent in one chunk, each as its own
+//! event.
 
 use futures_channel::oneshot;
 use hawthornkeel::entry::reply::Reply;
@@ -12,12 +13,12 @@
 async fn next(receiver: &mut Receiver) -> String {
     match receiver.next().await {
         Piece::Data(data) => String::from_utf8(data.to_vec()).unwrap(),
-        other => panic!("no piece: {other:?}"),
+        other => panic!("no chunk: {other:?}"),
     }
 }
 
 #[test]
-fn each_token_is_an_event_of_its_own() {
+fn each_token_is_one_event() {
     thread::block_on(async {
         let (sender, response) = oneshot::channel();
         let reply = Reply::new(RequestId(1), true, sender);
@@ -37,12 +38,12 @@
 }
 
 #[test]
-fn piece_is_bounded() {
+fn chunk_size_is_bounded() {
     let mut events = TokenEvents::default();
     let mut tokens = 0;
     while !events.is_full() {
         events.add("word ");
         tokens += 1;
     }
-    assert!((50..500).contains(&tokens), "{tokens} tokens in a piece");
+    assert!((50..500).contains(&tokens), "{tokens} tokens in a chunk");
 }
