--- a/hawthornkeel/src/entry/call.rs
+++ b/hawthornkeel/src/entry/call.rs
@@ -55,7 +55,7 @@
     pub input: Bytes,
     /// Answer of the previous stage.
     pub previous_answer: Option<Bytes>,
-    /// Time by which the whole answer to the caller is due.
+    /// Time by which the complete answer to the caller is due.
     pub deadline: Instant,
     /// Length in bytes of the text received by earlier attempts, from which the stream resumes.
     pub resume_offset: usize,
@@ -79,22 +79,22 @@
         let stage = plan.stage.name.as_str().to_owned();
         metrics::counter!(telemetry::COLD_CALLS, "stage" => stage).increment(1);
     }
-    let heard = Heard::default();
+    let reported = Heard::default();
     let record = CallRecord::start(&context, &plan);
-    let result = execute(&context, &permit, &plan, &heard).await;
-    permit.report_incarnation(heard.get());
+    let result = execute(&context, &permit, &plan, &reported).await;
+    permit.report_incarnation(reported.get());
     match result {
         Ok(answer) => {
             let tokens = answer.tokens;
             let latency = record.answered(tokens);
-            permit.finish(CallOutcome::Answered { latency, tokens, incarnation: heard.get() });
+            permit.finish(CallOutcome::Answered { latency, tokens, incarnation: reported.get() });
             Input::Answered { call: plan.id, answer: answer.body }
         }
         Err(error) => {
             record.failed(error.name());
             let failure = failure(&error);
             match error {
-                CallError::Restarted => permit.finish_restarted(heard.get()),
+                CallError::Restarted => permit.finish_restarted(reported.get()),
                 _ => permit.finish(outcome(failure)),
             }
             if error == CallError::NotResumed && plan.reply.is_none() {
@@ -111,7 +111,7 @@
     context: &Context,
     permit: &PermitGuard,
     plan: &CallPlan,
-    heard: &Heard,
+    reported: &Heard,
 ) -> Result<TargetAnswer, CallError> {
     let address: SocketAddr = permit
         .address
@@ -127,7 +127,7 @@
         false => non_idempotent_timeout(context, permit, plan),
     };
     let process = permit.expected_process();
-    let call = Call { process, heard: heard.clone(), ..encode(plan, timeout) };
+    let call = Call { process, heard: reported.clone(), ..encode(plan, timeout) };
     match plan.pool.kind {
         PoolKind::Service => {
             let answer = context.client.call(address, &call).await?;
--- a/hawthornkeel/src/entry/controllers/lease.rs
+++ b/hawthornkeel/src/entry/controllers/lease.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Releases the lease, so that another member needn't wait for it to expire.
+/// Releases the lease, so that another member does not have to wait for it to expire.
 pub fn resign(context: &Rc<Context>) {
     let resign = context.lease.borrow_mut().holder.resign(context.clock.now());
     send_to_voters(context, &resign);
