--- a/hawthornkeel/src/target/builtin.rs
+++ b/hawthornkeel/src/target/builtin.rs
@@ -1,4 +1,4 @@
-//! Plain answering target for trials: speaks both protocols, with text made from the request.
+//! Built-in target for trials: serves JSON services and completions, echoing the request.
 
 use std::sync::OnceLock;
 
@@ -24,19 +24,19 @@
 use crate::target::order;
 use crate::target::process::INCARNATION;
 
-/// Tokens that wait to be sent, at most.
-const QUEUE: usize = 16;
+/// Largest number of tokens queued for sending.
+const TOKEN_QUEUE: usize = 16;
 
-/// Words of the prompt that an answer repeats, at most.
-const MAX_WORDS: usize = 24;
+/// Largest number of prompt words that a response repeats.
+const MAX_PROMPT_WORDS: usize = 24;
 
-/// Tokens of an answer where the request sets no bound.
-const MAX_TOKENS: usize = 256;
+/// Token limit of a response if the request does not set one.
+const DEFAULT_MAX_TOKENS: usize = 256;
 
-/// Request of the completions protocol, as far as it is used.
+/// Fields of a completions request that this target uses.
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct Ask {
+struct CompletionRequest {
     prompt: String,
     messages: Vec<Message>,
     max_tokens: Option<usize>,
@@ -50,7 +50,7 @@
 }
 
 #[derive(Serialize)]
-struct ServiceAnswer<'a> {
+struct ServiceResponse<'a> {
     service: &'a str,
     input: &'a RawValue,
 }
@@ -74,60 +74,60 @@
     content: &'a str,
 }
 
-/// Answers a request to the target; to be given to [`crate::http::server::Server::serve`].
+/// Handles a request to the target; a handler for [`crate::http::server::Server::serve`].
 pub async fn handle(request: Request) -> Response {
     let id = request.head.header(REQUEST_ID).unwrap_or_default().to_owned();
     let response = match (&request.head.method, request.head.path.as_str()) {
-        (&Method::GET, load::PATH) => report(),
+        (&Method::GET, load::PATH) => load_report(),
         (&Method::POST, order::PATH) => Response::json("{}"),
-        (&Method::POST, completion::COMPLETIONS | completion::CHAT) => complete(&request),
-        (&Method::POST, _) => serve(&request),
+        (&Method::POST, completion::COMPLETIONS | completion::CHAT) => serve_completion(&request),
+        (&Method::POST, _) => serve_json(&request),
         _ => Problem::not_run(Code::NotFound).into_response(),
     };
     let response = response.with_header(INCARNATION, &own_incarnation().to_string());
     if id.is_empty() { response } else { response.with_header(REQUEST_ID, &id) }
 }
 
-/// Returns the incarnation of this process, which tells it from the one before.
+/// Returns the incarnation of this process: a random number that changes with each restart.
 fn own_incarnation() -> u64 {
     static OWN: OnceLock<u64> = OnceLock::new();
     *OWN.get_or_init(rand::random)
 }
 
-fn report() -> Response {
+fn load_report() -> Response {
     let incarnation = Some(Incarnation(own_incarnation()));
     let report = LoadReport { incarnation, cold: Some(false), ..LoadReport::default() };
     Response::json(serde_json::to_vec(&report).unwrap_or_default())
 }
 
-fn serve(request: &Request) -> Response {
+fn serve_json(request: &Request) -> Response {
     let Ok(input) = serde_json::from_slice::<&RawValue>(&request.body) else {
         return Problem::not_run(Code::BadRequest).into_response();
     };
-    let answer = ServiceAnswer { service: &request.head.path, input };
-    Response::json(serde_json::to_vec(&answer).unwrap_or_default())
+    let response = ServiceResponse { service: &request.head.path, input };
+    Response::json(serde_json::to_vec(&response).unwrap_or_default())
 }
 
-fn complete(request: &Request) -> Response {
-    let Ok(ask) = serde_json::from_slice::<Ask>(&request.body) else {
+fn serve_completion(request: &Request) -> Response {
+    let Ok(completion) = serde_json::from_slice::<CompletionRequest>(&request.body) else {
         return Problem::not_run(Code::BadRequest).into_response();
     };
     let chat = request.head.path == completion::CHAT;
-    let tokens = tokens_of(&ask);
-    if !ask.stream {
+    let tokens = response_tokens(&completion);
+    if !completion.stream {
         return Response::json(encode(&tokens.concat(), chat));
     }
     let offset = request.head.header(RESUME_OFFSET).and_then(|o| o.parse().ok()).unwrap_or(0);
-    let (sender, receiver) = channel::bounded(QUEUE);
+    let (sender, receiver) = channel::bounded(TOKEN_QUEUE);
     monoio::spawn(async move {
-        // The caller has left where this fails: nobody is there to be told.
-        let _ = stream(sender, tokens, offset, chat).await;
+        // Fails only if the caller has disconnected.
+        let _ = send_tokens(sender, tokens, offset, chat).await;
     });
     let response = Response::events(receiver);
     if offset > 0 { response.with_header(RESUME_OFFSET, &offset.to_string()) } else { response }
 }
 
-async fn stream(
+async fn send_tokens(
     sender: Sender,
     tokens: Vec<String>,
     offset: usize,
@@ -135,7 +135,7 @@
 ) -> Result<(), Closed> {
     let mut skip = offset;
     for token in tokens {
-        // Tokens before the offset are passed over, one that straddles it is cut.
+        // Skips tokens before the offset, and the part before it of a token that contains it.
         let rest = token.get(skip.min(token.len())..).unwrap_or_default();
         skip = skip.saturating_sub(token.len());
         if !rest.is_empty() {
@@ -159,11 +159,11 @@
     serde_json::to_vec(&Chunk { choices: [choice] }).unwrap_or_default()
 }
 
-fn tokens_of(ask: &Ask) -> Vec<String> {
-    let last = ask.messages.last().map(|m| m.content.as_str());
-    let prompt = last.unwrap_or(&ask.prompt);
-    let max = ask.max_tokens.unwrap_or(MAX_TOKENS);
-    let opening = ["Answer ", "to: "].into_iter().map(str::to_owned);
-    let words = prompt.split_whitespace().take(MAX_WORDS).map(|w| format!("{w} "));
-    opening.chain(words).take(max).collect()
+fn response_tokens(request: &CompletionRequest) -> Vec<String> {
+    let last = request.messages.last().map(|m| m.content.as_str());
+    let prompt = last.unwrap_or(&request.prompt);
+    let max = request.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
+    let prefix = ["Answer ", "to: "].into_iter().map(str::to_owned);
+    let words = prompt.split_whitespace().take(MAX_PROMPT_WORDS).map(|w| format!("{w} "));
+    prefix.chain(words).take(max).collect()
 }
--- a/hawthornkeel/src/target/call.rs
+++ b/hawthornkeel/src/target/call.rs
@@ -1,4 +1,4 @@
-//! What a call to a target asks for.
+//! A call to a target and its encoding as an HTTP/1.1 request.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use crate::target::process::ExpectedProcess;
 use crate::target::process::ReportedIncarnation;
 
-/// Header with the call's identity, which an answer echoes.
+/// Header with the call's ID, which the response echoes.
 pub const REQUEST_ID: &str = "x-request-id";
 
 /// Header with the call's priority.
 pub const PRIORITY: &str = "x-priority";
 
-/// Header with the offset that a stream goes on from, which an answer echoes.
+/// Header with the offset from which a stream resumes, which the response echoes.
 pub const RESUME_OFFSET: &str = "x-resume-offset";
 
 /// Header with the caller's idempotency key.
@@ -26,27 +26,27 @@
 /// Call to a target.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Identity that the answer is matched to.
+    /// ID by which the response is matched to the call.
     pub id: CallId,
-    /// Path, as `/v1/completions`.
+    /// Path, such as `/v1/completions`.
     pub path: String,
     /// JSON body.
     pub body: Bytes,
     /// Whether the call may run more than once.
     pub idempotent: bool,
-    /// Idempotency key passed on to the target, where the request has one.
+    /// Idempotency key of the request, which is passed on to the target.
     pub key: Option<String>,
     /// Priority: higher goes first.
     pub priority: u8,
-    /// Time for the whole call.
+    /// Time limit for the whole call.
     pub timeout: Duration,
-    /// Time without a byte after which the connection counts as silent.
+    /// Longest time without a byte before the call times out.
     pub progress_timeout: Duration,
-    /// Bytes of generated text that an engine's stream goes on from.
+    /// Offset in bytes of generated text from which an engine's stream resumes.
     pub resume_offset: u64,
-    /// Which process of the target may get the call.
+    /// Process of the target that may receive the call.
     pub expected_process: ExpectedProcess,
-    /// Incarnation that the target names on the call; shared by the clones of the call.
+    /// Incarnation that the target reports in its response; clones of the call share it.
     pub reported: ReportedIncarnation,
 }
 
@@ -72,31 +72,33 @@
     /// Encodes the call as a request to `host`.
     ///
     /// # Errors
-    /// Fails with `NotSent` where the path or the key can't stand in a request.
+    /// Fails with `NotSent` if the path or the key has characters that HTTP does not allow there.
     pub(crate) fn encode(&self, method: &Method, host: &str) -> Result<Bytes, CallError> {
-        if !is_path(&self.path) || self.key.as_deref().is_some_and(|k| !is_value(k)) {
-            return Err(CallError::NotSent("path or key can't stand in a request".to_owned()));
+        if !is_valid_path(&self.path) || self.key.as_deref().is_some_and(|k| !is_valid_value(k)) {
+            return Err(CallError::NotSent(
+                "invalid character in path or idempotency key".to_owned(),
+            ));
         }
         let mut text = format!("{method} {} HTTP/1.1\r\nhost: {host}\r\n", self.path);
-        let mut field = |name: &str, value: &str| {
+        let mut header = |name: &str, value: &str| {
             text.push_str(name);
             text.push_str(": ");
             text.push_str(value);
             text.push_str("\r\n");
         };
-        field(REQUEST_ID, &self.id.to_string());
+        header(REQUEST_ID, &self.id.to_string());
         if let Some(key) = &self.key {
-            field(IDEMPOTENCY_KEY, key);
+            header(IDEMPOTENCY_KEY, key);
         }
         if self.priority > 0 {
-            field(PRIORITY, &self.priority.to_string());
+            header(PRIORITY, &self.priority.to_string());
         }
         if self.resume_offset > 0 {
-            field(RESUME_OFFSET, &self.resume_offset.to_string());
+            header(RESUME_OFFSET, &self.resume_offset.to_string());
         }
         if method != Method::GET {
-            field("content-type", "application/json");
-            field("content-length", &self.body.len().to_string());
+            header("content-type", "application/json");
+            header("content-length", &self.body.len().to_string());
         }
         text.push_str("\r\n");
         let mut out = BytesMut::with_capacity(text.len().saturating_add(self.body.len()));
@@ -108,10 +110,10 @@
     }
 }
 
-fn is_path(path: &str) -> bool {
+fn is_valid_path(path: &str) -> bool {
     path.starts_with('/') && path.bytes().all(|b| b.is_ascii_graphic())
 }
 
-fn is_value(value: &str) -> bool {
+fn is_valid_value(value: &str) -> bool {
     !value.is_empty() && value.bytes().all(|b| b.is_ascii_graphic() || b == b' ')
 }
--- a/hawthornkeel/src/target/client.rs
+++ b/hawthornkeel/src/target/client.rs
@@ -1,4 +1,4 @@
-//! Client towards targets: sends calls and gives on only whole answers that belong to them.
+//! HTTP client for targets: returns only complete responses that belong to their call.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,13 +27,13 @@
 /// Bounds of a client.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClientLimits {
-    /// Idle connections kept for each target, at most.
+    /// Largest number of idle connections kept for each target.
     pub max_idle: usize,
-    /// Time that an idle connection is kept.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
-    /// Time for a connection to open.
+    /// Time limit for opening a connection.
     pub connect_timeout: Duration,
-    /// Largest response, in bytes.
+    /// Largest response body, in bytes.
     pub max_response: usize,
 }
 
@@ -48,10 +48,10 @@
     }
 }
 
-/// Whole answer of a plain service.
+/// Complete response of a service.
 #[derive(Clone, Debug)]
 pub struct CallResponse {
-    /// Status, a success.
+    /// Status code, always a success.
     pub status: StatusCode,
     /// Header fields.
     pub headers: HeaderMap,
@@ -59,7 +59,7 @@
     pub body: Bytes,
 }
 
-/// Client towards targets; clones share its connections.
+/// Client for targets; clones share its connections.
 #[derive(Clone)]
 pub struct Client {
     inner: Rc<Inner>,
@@ -70,7 +70,7 @@
     pool: ConnectionPool,
 }
 
-/// Response whose body has not been read, with the connection that it comes on.
+/// Response whose body has not been read yet, with its connection.
 pub(crate) struct PendingResponse {
     pub(crate) connection: Connection,
     pub(crate) head: ReceivedHead,
@@ -84,30 +84,30 @@
         Self { inner: Rc::new(Inner { limits, pool }) }
     }
 
-    /// Closes the idle connections to `address`, as after its target was replaced.
+    /// Closes the idle connections to `address`, for example after its target was replaced.
     pub fn close_idle(&self, address: SocketAddr) {
         self.inner.pool.close_idle(address);
     }
 
-    /// Closes idle connections that their targets have closed, and returns whose they were.
+    /// Closes idle connections that the target has closed, and returns them.
     pub async fn reap_lost(&self) -> Vec<LostConnection> {
         self.inner.pool.reap_lost().await
     }
 
-    /// Calls a plain service and returns its whole answer.
+    /// Calls a service and returns its complete response.
     ///
     /// Dropping the future closes the connection, which cancels the call.
     ///
     /// # Errors
-    /// Fails as [`CallError`] says; nothing of the answer is given on then.
+    /// Returns a [`CallError`] and no part of the response.
     pub async fn call(&self, address: SocketAddr, call: &Call) -> Result<CallResponse, CallError> {
         self.exchange(address, &Method::POST, call).await
     }
 
-    /// Gets `call`'s path, whose body is left out.
+    /// Sends a GET request for the call's path, without its body.
     ///
     /// # Errors
-    /// Fails as [`CallError`] says.
+    /// Returns a [`CallError`] as [`Client::call`] does.
     pub async fn get(&self, address: SocketAddr, call: &Call) -> Result<CallResponse, CallError> {
         self.exchange(address, &Method::GET, call).await
     }
@@ -117,7 +117,7 @@
     /// Dropping the future or the stream closes the connection, which cancels the call.
     ///
     /// # Errors
-    /// Fails as [`CallError`] says; the stream itself may fail later in the same ways.
+    /// Returns a [`CallError`]; the stream may fail with the same errors later.
     pub async fn stream(&self, address: SocketAddr, call: &Call) -> Result<TokenStream, CallError> {
         let open = self.open(address, &Method::POST, call).await?;
         if call.resume_offset > 0 && !is_resumed(&open.head.headers, call.resume_offset) {
@@ -126,7 +126,7 @@
         Ok(TokenStream::new(self.clone(), address, open, call.resume_offset))
     }
 
-    /// Puts a connection back after a whole exchange.
+    /// Returns a connection to the pool after a complete exchange.
     pub(crate) fn release(&self, address: SocketAddr, open: PendingResponse) {
         if open.head.reusable && open.head.body.is_done() {
             self.inner.pool.put(address, open.connection);
@@ -147,7 +147,7 @@
         Ok(CallResponse { status, headers, body })
     }
 
-    /// Sends the call and reads the head of its answer, a success.
+    /// Sends the call and reads the head of its response; fails unless the status is a success.
     async fn open(
         &self,
         address: SocketAddr,
@@ -156,51 +156,52 @@
     ) -> Result<PendingResponse, CallError> {
         let request = call.encode(method, &address.to_string())?;
         let timeouts = CallTimeouts::start(call.timeout, call.progress_timeout);
-        // A call that may not be repeated never meets a connection that may have died unseen.
+        // Non-idempotent calls use fresh connections only. A pooled connection may have broken
+        // unnoticed, which would leave it unknown whether the call ran.
         let pooled =
             if call.idempotent { self.take(address, call).await? } else { PoolLookup::default() };
         let mut first = None;
         if let Some(connection) = pooled.connection {
             match self.reuse(address, connection, call, request.clone(), timeouts).await {
-                Err(error) if is_connection(&error) => {
+                Err(error) if is_connection_error(&error) => {
                     self.inner.pool.close_idle(address);
                     if call.expected_process == ExpectedProcess::Unchanged
                         && pooled.recent
-                        && is_lost(&error)
+                        && is_disconnect(&error)
                     {
-                        return Err(lost_error(error));
+                        return Err(restart_error(error));
                     }
-                    if timeouts.left().is_zero() {
+                    if timeouts.remaining().is_zero() {
                         return Err(error);
                     }
                     first = Some(error);
                 }
-                other => return self.accept(address, call, other?).await,
+                other => return self.check_status(address, call, other?).await,
             }
         }
         let connection = match (self.connect(address, call, &timeouts).await, first) {
-            // The call may have run on the connection before.
+            // The call may have run on the pooled connection.
             (Err(CallError::Restarted), Some(sent)) if !sent.is_not_run() => return Err(sent),
             (connection, _) => connection?,
         };
         let open = self.send(connection, call, request, timeouts).await?;
-        self.accept(address, call, open).await
+        self.check_status(address, call, open).await
     }
 
-    /// Takes an idle connection, where there is one; fails where the target has restarted.
+    /// Takes an idle connection if there is one; fails if the target has restarted.
     async fn take(&self, address: SocketAddr, call: &Call) -> Result<PoolLookup, CallError> {
-        let wanted = match call.expected_process {
+        let expected = match call.expected_process {
             ExpectedProcess::Incarnation(incarnation) => Some(incarnation),
             ExpectedProcess::Any | ExpectedProcess::Unchanged => None,
         };
-        let taken = self.inner.pool.take(address, wanted).await;
+        let lookup = self.inner.pool.take(address, expected).await;
         match call.expected_process {
-            ExpectedProcess::Unchanged if taken.lost => Err(CallError::Restarted),
-            _ => Ok(taken),
+            ExpectedProcess::Unchanged if lookup.lost => Err(CallError::Restarted),
+            _ => Ok(lookup),
         }
     }
 
-    /// Sends the call over a connection that was idle.
+    /// Sends the call on a pooled connection.
     async fn reuse(
         &self,
         address: SocketAddr,
@@ -211,26 +212,26 @@
     ) -> Result<PendingResponse, CallError> {
         match self.verify_process(address, connection, call, timeouts).await? {
             Some(connection) => self.send(connection, call, request, timeouts).await,
-            None => Err(CallError::NotSent("connection can't be used again".to_owned())),
+            None => Err(CallError::NotSent("connection is not reusable".to_owned())),
         }
     }
 
-    /// Opens a connection to whichever process listens.
+    /// Opens a connection without checking which process accepts it.
     pub(crate) async fn connect_unchecked(
         &self,
         address: SocketAddr,
         timeouts: &CallTimeouts,
     ) -> Result<Connection, CallError> {
-        let limit = self.inner.limits.connect_timeout.min(timeouts.left());
+        let limit = self.inner.limits.connect_timeout.min(timeouts.remaining());
         Connection::open(address, limit).await
     }
 
-    /// Returns the idle connections.
+    /// Returns the pool of idle connections.
     pub(crate) fn pool(&self) -> &ConnectionPool {
         &self.inner.pool
     }
 
-    /// Sends a request and reads the head of its answer.
+    /// Sends a request and reads the head of its response.
     pub(crate) async fn send(
         &self,
         mut connection: Connection,
@@ -245,8 +246,8 @@
         Ok(PendingResponse { connection, head, timeouts })
     }
 
-    /// Turns an answer that is no success into an error, reading it whole to keep the connection.
-    async fn accept(
+    /// Returns an error for a non-success status; reads the body so that the connection is reusable.
+    async fn check_status(
         &self,
         address: SocketAddr,
         call: &Call,
@@ -258,7 +259,7 @@
         }
         let retry_after = connection::retry_after(&open.head.headers);
         let body = read_to_end(&mut open).await;
-        let not_run = body.as_ref().is_ok_and(refusal::says_not_run);
+        let not_run = body.as_ref().is_ok_and(refusal::states_not_run);
         if body.is_ok() {
             self.release(address, open);
         }
@@ -266,7 +267,7 @@
     }
 }
 
-/// Reads the body of an answer to its end.
+/// Reads the body of a response to its end.
 pub(crate) async fn read_to_end(open: &mut PendingResponse) -> Result<Bytes, CallError> {
     let PendingResponse { connection, head, timeouts } = open;
     let body = &mut head.body;
@@ -275,29 +276,29 @@
         return Ok(first);
     }
     let mut whole = BytesMut::from(first.as_ref());
-    while let Some(piece) = connection.next_chunk(body, timeouts).await? {
-        whole.extend_from_slice(&piece);
+    while let Some(chunk) = connection.next_chunk(body, timeouts).await? {
+        whole.extend_from_slice(&chunk);
     }
     Ok(whole.freeze())
 }
 
-/// Tells whether the connection is blamed before the target.
+/// Returns whether the fault may lie with the reused connection rather than with the target.
 ///
-/// It may have been lost on the way, or bring a second answer to an earlier call.
-fn is_connection(error: &CallError) -> bool {
+/// The network may have dropped it, or it may carry a duplicate response to an earlier call.
+fn is_connection_error(error: &CallError) -> bool {
     matches!(
         error,
         CallError::NotSent(_) | CallError::Reset(_) | CallError::TimedOut | CallError::WrongCall
     )
 }
 
-/// Tells whether the other end closed or broke the connection.
-fn is_lost(error: &CallError) -> bool {
+/// Returns whether the target closed or reset the connection.
+fn is_disconnect(error: &CallError) -> bool {
     matches!(error, CallError::NotSent(_) | CallError::Reset(_))
 }
 
-/// Returns the error of a call whose target has restarted, as a lost connection tells.
-fn lost_error(error: CallError) -> CallError {
+/// Returns the error of a call whose lost connection shows that the target has restarted.
+fn restart_error(error: CallError) -> CallError {
     if error.is_not_run() { CallError::Restarted } else { error }
 }
 
--- a/hawthornkeel/src/target/completion.rs
+++ b/hawthornkeel/src/target/completion.rs
@@ -6,24 +6,24 @@
 /// Path of the completions protocol.
 pub const COMPLETIONS: &str = "/v1/completions";
 
-/// Path of the protocol's form for conversations.
+/// Path of the chat form of the protocol.
 pub const CHAT: &str = "/v1/chat/completions";
 
-/// Body of a completions request with a streamed answer.
+/// Body of a completions request with a streamed response.
 #[derive(Clone, Debug, Serialize)]
 pub struct Completion<'a> {
-    /// Model asked for.
+    /// Requested model.
     pub model: &'a str,
-    /// Text that the answer goes on from.
+    /// Prompt.
     pub prompt: &'a str,
-    /// Text generated so far, where a broken stream goes on; the prompt stays as it was.
+    /// Text generated so far, if a broken stream is resumed; the prompt stays the same.
     #[serde(skip_serializing_if = "str::is_empty")]
     pub resume: &'a str,
-    /// Tokens to generate, at most.
+    /// Largest number of tokens to generate.
     pub max_tokens: u32,
     /// Priority: higher goes first.
     pub priority: u8,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
 }
 
--- a/hawthornkeel/src/target/connection.rs
+++ b/hawthornkeel/src/target/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a target and the exchange on it.
+//! A connection to a target and the HTTP exchange on it.
 
 use std::future::Future;
 use std::future::poll_fn;
@@ -34,31 +34,31 @@
 use crate::target::error::CallError;
 use crate::target::process;
 
-/// Head of an answer, in bytes at most.
+/// Largest response head, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
 
-/// Interim answers (status 1xx) before the answer itself, at most.
+/// Largest number of interim responses (status 1xx) before the final one.
 const MAX_INTERIM: usize = 4;
 
-/// Times that a call must keep.
+/// Time limits of a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallTimeouts {
-    /// When the whole call must have ended.
-    pub(crate) end: Instant,
-    /// Time without a byte after which the connection counts as silent.
-    pub(crate) progress: Duration,
+    /// Time at which the whole call must have ended.
+    pub(crate) deadline: Instant,
+    /// Longest time without a byte.
+    pub(crate) progress_timeout: Duration,
 }
 
 impl CallTimeouts {
-    /// Creates a watch that starts now.
-    pub(crate) fn start(timeout: Duration, progress: Duration) -> Self {
+    /// Starts the time limits of a call now.
+    pub(crate) fn start(timeout: Duration, progress_timeout: Duration) -> Self {
         let now = Instant::now();
-        Self { end: now.checked_add(timeout).unwrap_or(now), progress }
+        Self { deadline: now.checked_add(timeout).unwrap_or(now), progress_timeout }
     }
 
-    /// Returns the time left for the next byte.
-    pub(crate) fn left(&self) -> Duration {
-        self.end.saturating_duration_since(Instant::now()).min(self.progress)
+    /// Returns the time remaining until the next byte must arrive.
+    pub(crate) fn remaining(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now()).min(self.progress_timeout)
     }
 }
 
@@ -66,21 +66,21 @@
 pub(crate) struct Connection {
     reader: Reader,
     write: OwnedWriteHalf<TcpStream>,
-    /// Whether an answer was read from it.
+    /// Whether a response head has been read from it.
     used: bool,
-    /// Incarnation of the process that it leads to, where the target named it.
+    /// Incarnation of the process at the other end, if the target has reported it.
     pub(crate) incarnation: Option<Incarnation>,
 }
 
-/// Head of an answer that belongs to the call.
+/// Head of a response that belongs to the call.
 pub(crate) struct ReceivedHead {
-    /// Status.
+    /// Status code.
     pub(crate) status: StatusCode,
-    /// Header fields.
+    /// Headers.
     pub(crate) headers: HeaderMap,
-    /// Body, not read yet.
+    /// Reader of the body, which has not been read yet.
     pub(crate) body: BodyReader,
-    /// Whether the connection may carry another exchange after the body.
+    /// Whether the connection can be reused after the body.
     pub(crate) reusable: bool,
 }
 
@@ -92,13 +92,13 @@
             Ok(Err(error)) => return Err(CallError::NotSent(error.to_string())),
             Err(_) => return Err(CallError::NotSent("connect timed out".to_owned())),
         };
-        // Calls are written whole: waiting for more would only add delay.
+        // Requests are written in one go, so Nagle's algorithm would only delay them.
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
         Ok(Self { reader: Reader::new(read), write, used: false, incarnation: None })
     }
 
-    /// Tells whether nothing came and the other end has not closed since the last exchange.
+    /// Returns whether the connection is open and no byte has arrived since the last exchange.
     pub(crate) async fn is_idle(&mut self) -> bool {
         if self.reader.buffered() > 0 {
             return false;
@@ -107,7 +107,7 @@
         poll_fn(|cx| Poll::Ready(fill.as_mut().poll(cx).is_pending())).await
     }
 
-    /// Sends `request` whole.
+    /// Sends `request`.
     pub(crate) async fn send(
         &mut self,
         request: Bytes,
@@ -116,7 +116,8 @@
         let mut rest = request;
         let mut sent = false;
         while rest.has_remaining() {
-            let written = match timeout(timeouts.left(), self.write.write(rest.clone())).await {
+            let written = match timeout(timeouts.remaining(), self.write.write(rest.clone())).await
+            {
                 Ok((Ok(count @ 1..), _)) => count,
                 Ok((Ok(_), _)) => return Err(send_error(sent, "nothing written".to_owned())),
                 Ok((Err(error), _)) => return Err(send_error(sent, error.to_string())),
@@ -129,10 +130,10 @@
         Ok(())
     }
 
-    /// Reads the head of the answer to call `id` and checks that it belongs to it.
+    /// Reads the head of the response and checks that it belongs to call `id`.
     ///
-    /// On a connection that was used before the answer must carry the identity: a
-    /// second answer to an earlier call can't be told from this one otherwise.
+    /// On a reused connection the response must echo the call's ID. Otherwise a duplicate
+    /// response to an earlier call could be taken for this one.
     pub(crate) async fn read_head(
         &mut self,
         id: CallId,
@@ -149,19 +150,19 @@
         };
         self.incarnation = process::incarnation(&head.headers).or(self.incarnation);
         let length = framing::body_length(head.version, &head.headers).map_err(read_error)?;
-        let bodiless = matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+        let has_no_body = matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         let length = match length {
-            _ if bodiless => BodyLength::Absent,
-            BodyLength::Absent => return Err(CallError::Malformed("answer has no length")),
+            _ if has_no_body => BodyLength::Absent,
+            BodyLength::Absent => return Err(CallError::Malformed("response has no length")),
             length => length,
         };
         let body = BodyReader::new(length, max_body).map_err(read_error)?;
-        let lasting = head.version == Version::HTTP_11 && !has_token(&head.headers, "close");
+        let is_persistent = head.version == Version::HTTP_11 && !has_token(&head.headers, "close");
         Ok(ReceivedHead {
             status: head.status,
             headers: head.headers,
             body,
-            reusable: echoed && lasting,
+            reusable: echoed && is_persistent,
         })
     }
 
@@ -171,15 +172,15 @@
     ) -> Result<ResponseHead, CallError> {
         for _ in 0..=MAX_INTERIM {
             let read = framing::read_response_head(&mut self.reader, MAX_HEAD);
-            let head = within(timeouts, read).await?;
+            let head = with_timeout(timeouts, read).await?;
             if !head.status.is_informational() {
                 return Ok(head);
             }
         }
-        Err(CallError::Malformed("too many interim answers"))
+        Err(CallError::Malformed("too many interim responses"))
     }
 
-    /// Returns a piece of the answer's body that was read already, if any.
+    /// Returns a chunk of the body that is already buffered, if any.
     pub(crate) fn take_buffered(
         &mut self,
         body: &mut BodyReader,
@@ -187,22 +188,22 @@
         body.take_buffered(&mut self.reader).map_err(read_error)
     }
 
-    /// Returns the next piece of the answer's body, `None` once it is whole.
+    /// Returns the next chunk of the body, or `None` at its end.
     pub(crate) async fn next_chunk(
         &mut self,
         body: &mut BodyReader,
         timeouts: &CallTimeouts,
     ) -> Result<Option<Bytes>, CallError> {
-        within(timeouts, body.next(&mut self.reader)).await
+        with_timeout(timeouts, body.next(&mut self.reader)).await
     }
 }
 
-/// Runs a read under the timeouts.
-async fn within<T>(
+/// Applies the time limits to a read.
+async fn with_timeout<T>(
     timeouts: &CallTimeouts,
     read: impl Future<Output = Result<T, ReadError>>,
 ) -> Result<T, CallError> {
-    match timeout(timeouts.left(), read).await {
+    match timeout(timeouts.remaining(), read).await {
         Ok(result) => result.map_err(read_error),
         Err(_) => Err(CallError::TimedOut),
     }
@@ -214,17 +215,17 @@
 
 fn read_error(error: ReadError) -> CallError {
     match error {
-        ReadError::Closed => CallError::Reset("closed before the answer".to_owned()),
+        ReadError::Closed => CallError::Reset("closed before the response".to_owned()),
         ReadError::Truncated => CallError::Truncated,
-        ReadError::HeadTooLarge => CallError::Malformed("answer head is too large"),
-        ReadError::BodyTooLarge => CallError::Malformed("answer is too large"),
+        ReadError::HeadTooLarge => CallError::Malformed("response head is too large"),
+        ReadError::BodyTooLarge => CallError::Malformed("response is too large"),
         ReadError::Malformed(what) => CallError::Malformed(what),
         ReadError::Io(error) if error.kind() == io::ErrorKind::TimedOut => CallError::TimedOut,
         ReadError::Io(error) => CallError::Reset(error.to_string()),
     }
 }
 
-/// Returns the time after which an answer asks to come back.
+/// Returns the delay of a Retry-After header in seconds.
 pub(crate) fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(RETRY_AFTER)?.to_str().ok()?;
     text.trim().parse().ok().map(Duration::from_secs)
--- a/hawthornkeel/src/target/error.rs
+++ b/hawthornkeel/src/target/error.rs
@@ -1,48 +1,49 @@
-//! Why a call to a target brought no whole answer.
+//! Errors of calls to targets.
 
 use std::error::Error;
 use std::fmt;
 use std::time::Duration;
 
-/// Why a call to a target brought no whole answer.
+/// Reason why a call to a target returned no complete response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CallError {
-    /// Not a byte was sent: the target can't have run the call.
+    /// No byte was sent, so the target can't have run the call.
     NotSent(String),
-    /// Nothing was sent, as the target's process is not the one that the call is for, or may not be.
+    /// Nothing was sent because the target's process is not, or may not be, the expected one.
     Restarted,
     /// The target refused the call.
     Refused {
-        /// Status.
+        /// Status code.
         status: u16,
-        /// Time after which the target asks to come back.
+        /// Delay after which the target asks for a retry.
         retry_after: Option<Duration>,
-        /// Whether the target says that the call did not run; always so for an unrepeatable call.
+        /// Whether the target states that the call did not run; always true for a non-idempotent
+        /// call.
         not_run: bool,
     },
-    /// No byte came for the progress time or the whole time; the call may have run.
+    /// The progress timeout or the timeout of the whole call expired; the call may have run.
     TimedOut,
-    /// The answer ended before it was whole.
+    /// The response ended before it was complete.
     Truncated,
-    /// The answer belongs to another call.
+    /// The response belongs to another call.
     WrongCall,
     /// The connection failed after the call was sent; the call may have run.
     Reset(String),
-    /// The answer breaks the protocol.
+    /// The response violates the protocol.
     Malformed(&'static str),
-    /// The target did not go on from the offset asked for.
+    /// The target did not resume the stream from the requested offset.
     NotResumed,
-    /// The target failed the call; it may have run.
+    /// The target returned another error status; the call may have run.
     Status(u16),
 }
 
 impl CallError {
-    /// Tells whether the call certainly did not run.
+    /// Returns whether the call is known not to have run.
     pub fn is_not_run(&self) -> bool {
         matches!(self, Self::NotSent(_) | Self::Restarted | Self::Refused { not_run: true, .. })
     }
 
-    /// Returns the name of the error for logs and metrics.
+    /// Returns the label of the error in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::NotSent(_) => "not-sent",
@@ -65,11 +66,11 @@
             Self::NotSent(cause) => write!(f, "call not sent: {cause}"),
             Self::Restarted => f.write_str("call not sent: target restarted"),
             Self::Refused { status, .. } => write!(f, "call refused with status {status}"),
-            Self::TimedOut => f.write_str("connection silent"),
-            Self::Truncated => f.write_str("answer truncated"),
-            Self::WrongCall => f.write_str("answer belongs to another call"),
+            Self::TimedOut => f.write_str("call timed out"),
+            Self::Truncated => f.write_str("response truncated"),
+            Self::WrongCall => f.write_str("response belongs to another call"),
             Self::Reset(cause) => write!(f, "connection reset: {cause}"),
-            Self::Malformed(what) => write!(f, "answer malformed: {what}"),
+            Self::Malformed(what) => write!(f, "malformed response: {what}"),
             Self::NotResumed => f.write_str("stream not resumed"),
             Self::Status(status) => write!(f, "call failed with status {status}"),
         }
--- a/hawthornkeel/src/target/load.rs
+++ b/hawthornkeel/src/target/load.rs
@@ -13,29 +13,29 @@
 /// Path of the load report.
 pub const PATH: &str = "/load";
 
-/// Load that a target reports, with a lag.
+/// Load reported by a target; it lags behind the actual load.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LoadReport {
-    /// Incarnation of the target's process, where it names one.
+    /// Incarnation of the target's process, if it reports one.
     pub incarnation: Option<Incarnation>,
-    /// Calls being run.
+    /// Number of running calls.
     pub running: u32,
-    /// Calls waiting to be run.
+    /// Number of queued calls.
     pub waiting: u32,
-    /// Whether the target says that it is cold, where it says so at all.
+    /// Whether the target is cold, if it reports that.
     pub cold: Option<bool>,
 }
 
 impl Client {
-    /// Asks the target at `address` for its load, with the identity and times of `call`.
+    /// Requests the load report of the target at `address`, with the ID and timeouts of `call`.
     ///
     /// # Errors
-    /// Fails as [`CallError`] says.
+    /// Returns a [`CallError`] if there is no valid report.
     pub async fn load(&self, address: SocketAddr, call: &Call) -> Result<LoadReport, CallError> {
         let call = Call { path: PATH.to_owned(), ..call.clone() };
-        let answer = self.get(address, &call).await?;
-        serde_json::from_slice(&answer.body)
+        let response = self.get(address, &call).await?;
+        serde_json::from_slice(&response.body)
             .map_err(|_| CallError::Malformed("load report can't be parsed"))
     }
 }
--- a/hawthornkeel/src/target/mod.rs
+++ b/hawthornkeel/src/target/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP towards targets: calls, streams, load reports, orders and connections.
+//! HTTP client for targets: calls, streams, load reports, orders and connections.
 
 pub mod builtin;
 pub mod call;
--- a/hawthornkeel/src/target/order.rs
+++ b/hawthornkeel/src/target/order.rs
@@ -1,4 +1,4 @@
-//! Orders to targets, each with a fencing number.
+//! Orders to targets, which carry fencing numbers.
 
 use std::net::SocketAddr;
 
@@ -11,13 +11,13 @@
 use crate::target::client::Client;
 use crate::target::error::CallError;
 
-/// Path that takes orders.
+/// Path for orders.
 pub const PATH: &str = "/orders";
 
-/// Status of a target that refuses an old fencing number.
-const OLD: u16 = 409;
+/// Status code with which a target rejects a stale fencing number.
+const STALE_STATUS: u16 = 409;
 
-/// What a target is ordered to do.
+/// Order to a target.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "kebab-case")]
 pub enum Order {
@@ -25,7 +25,7 @@
     LoadModel {
         /// Model.
         model: ModelName,
-        /// Version of it, where one is asked for.
+        /// Version of the model, if a specific one is required.
         version: Option<String>,
     },
     /// Load an adapter for a model.
@@ -37,36 +37,36 @@
     },
     /// Change role.
     SetRole {
-        /// Role, as `prefill` or `decode`.
+        /// Role, such as `prefill` or `decode`.
         role: String,
     },
 }
 
-/// Order with its fencing number, as sent.
+/// Order with its fencing number, as it is sent.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct FencedOrder {
-    /// Number that rises with each order.
+    /// Number that increases with each order.
     pub fencing: FencingNumber,
     /// Order.
     #[serde(flatten)]
     pub order: Order,
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderResult {
-    /// The target took the order.
+    /// The target accepted the order.
     Accepted,
-    /// The target has taken an order with a higher number.
+    /// The target rejected the order: it has accepted one with a higher fencing number.
     RefusedOld,
-    /// The order failed, and may have been taken unless the error says otherwise.
+    /// The call failed; the target may have accepted the order unless the error excludes that.
     Failed(CallError),
 }
 
 impl Client {
-    /// Orders the target at `address`, with the identity and times of `call`.
+    /// Sends an order to the target at `address`, with the ID and timeouts of `call`.
     ///
-    /// The order is sent once, on a fresh connection.
+    /// The order is sent at most once, on a fresh connection.
     pub async fn order(
         &self,
         address: SocketAddr,
@@ -80,7 +80,7 @@
         let call = Call { path, body: body.into(), idempotent: false, ..call.clone() };
         match self.call(address, &call).await {
             Ok(_) => OrderResult::Accepted,
-            Err(CallError::Status(OLD)) => OrderResult::RefusedOld,
+            Err(CallError::Status(STALE_STATUS)) => OrderResult::RefusedOld,
             Err(error) => OrderResult::Failed(error),
         }
     }
--- a/hawthornkeel/src/target/pool.rs
+++ b/hawthornkeel/src/target/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to targets.
+//! Pool of idle connections to targets.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -11,15 +11,15 @@
 
 use crate::target::connection::Connection;
 
-/// Idle time within which no server closes a connection for being idle.
+/// Idle time within which no server closes a connection because it is idle.
 const RECENT: Duration = Duration::from_secs(1);
 
-/// Idle connections to targets, bounded for each target.
+/// Pool of idle connections to targets, bounded per target.
 ///
-/// Only a connection whose last exchange ended whole is ever put back.
+/// A connection is returned to the pool only after a complete exchange.
 pub(crate) struct ConnectionPool {
     max_idle: usize,
-    idle_time: Duration,
+    idle_timeout: Duration,
     targets: RefCell<IndexMap<SocketAddr, VecDeque<IdleConnection>>>,
 }
 
@@ -28,48 +28,48 @@
     since: Instant,
 }
 
-/// What a search for an idle connection found.
+/// Result of a lookup in the pool.
 #[derive(Default)]
 pub(crate) struct PoolLookup {
-    /// Connection, if there is one.
+    /// Connection, if one was found.
     pub(crate) connection: Option<Connection>,
-    /// Whether the connection was used so recently that its loss tells of a restart.
+    /// Whether the connection was used so recently that its loss indicates a restart.
     pub(crate) recent: bool,
-    /// Whether the target closed a connection that was used so recently.
+    /// Whether the target closed a connection that was used this recently.
     pub(crate) lost: bool,
 }
 
-/// Loss of an idle connection.
+/// Idle connection that its target has closed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LostConnection {
     /// Address of the target.
     pub address: SocketAddr,
-    /// Whether the connection was used so recently that its loss tells of a restart.
+    /// Whether the connection was used so recently that its loss indicates a restart.
     pub recent: bool,
 }
 
 impl ConnectionPool {
-    /// Creates a pool that keeps `max_idle` connections a target, each for `idle_time`.
-    pub(crate) fn new(max_idle: usize, idle_time: Duration) -> Self {
-        Self { max_idle, idle_time, targets: RefCell::new(IndexMap::new()) }
+    /// Creates a pool that keeps up to `max_idle` connections per target for up to `idle_timeout`.
+    pub(crate) fn new(max_idle: usize, idle_timeout: Duration) -> Self {
+        Self { max_idle, idle_timeout, targets: RefCell::new(IndexMap::new()) }
     }
 
-    /// Takes a connection to `address` that nothing came on since its last exchange.
+    /// Takes an open connection to `address` on which no byte has arrived since its last exchange.
     ///
-    /// Connections known to lead to another process than `wanted` are closed.
+    /// Closes connections that are known to lead to a process other than `expected`.
     pub(crate) async fn take(
         &self,
         address: SocketAddr,
-        wanted: Option<Incarnation>,
+        expected: Option<Incarnation>,
     ) -> PoolLookup {
         let mut lost = false;
         while let Some(idle) = self.pop(address) {
             let mut connection = idle.connection;
             let age = idle.since.elapsed();
-            let other = wanted.is_some()
+            let other = expected.is_some()
                 && connection.incarnation.is_some()
-                && connection.incarnation != wanted;
-            if other || age >= self.idle_time {
+                && connection.incarnation != expected;
+            if other || age >= self.idle_timeout {
                 continue;
             }
             let recent = age < RECENT;
@@ -81,7 +81,7 @@
         PoolLookup { lost, ..PoolLookup::default() }
     }
 
-    /// Tells whether the target closed the connection to `address` that was used last.
+    /// Returns whether the target has closed the most recently used connection to `address`.
     pub(crate) async fn is_lost(&self, address: SocketAddr) -> bool {
         let Some(mut idle) = self.pop(address) else { return false };
         let recent = idle.since.elapsed() < RECENT;
@@ -92,11 +92,11 @@
         false
     }
 
-    /// Closes idle connections that their targets have closed; returns whose and how recent.
+    /// Closes idle connections that their targets have closed; returns at most one per target.
     ///
-    /// Connections of a target are looked at from the one that was used last, up to an open one.
+    /// Checks the connections of a target from the most recently used one up to the first open one.
     pub(crate) async fn reap_lost(&self) -> Vec<LostConnection> {
-        self.close_old();
+        self.close_expired();
         let addresses: Vec<SocketAddr> = self.targets.borrow().keys().copied().collect();
         let mut lost = Vec::new();
         for address in addresses {
@@ -114,40 +114,40 @@
         lost
     }
 
-    /// Closes connections that were idle for too long, and forgets targets without any.
-    fn close_old(&self) {
+    /// Closes expired connections and removes targets that have none left.
+    fn close_expired(&self) {
         let now = Instant::now();
         self.targets.borrow_mut().retain(|_, idle| {
-            self.drop_old(idle, now);
+            self.drop_expired(idle, now);
             !idle.is_empty()
         });
     }
 
-    /// Closes those connections of a target that were idle for too long.
-    fn drop_old(&self, idle: &mut VecDeque<IdleConnection>, now: Instant) {
-        // The first has been idle longest, as the last is the first to be taken.
-        while idle.front().is_some_and(|i| now.duration_since(i.since) >= self.idle_time) {
+    /// Closes the expired connections of a target.
+    fn drop_expired(&self, idle: &mut VecDeque<IdleConnection>, now: Instant) {
+        // The front has been idle longest, since connections are taken from the back.
+        while idle.front().is_some_and(|i| now.duration_since(i.since) >= self.idle_timeout) {
             idle.pop_front();
         }
     }
 
-    /// Puts a connection back that was only looked at.
+    /// Returns a connection to the pool that was only checked.
     fn restore(&self, address: SocketAddr, idle: IdleConnection) {
         self.targets.borrow_mut().entry(address).or_default().push_back(idle);
     }
 
-    /// Takes out the connection that was used last.
+    /// Removes the most recently used connection.
     fn pop(&self, address: SocketAddr) -> Option<IdleConnection> {
-        // The borrow ends before any check, which may let other tasks run.
+        // The borrow must end before the connection is checked, since other tasks may run then.
         self.targets.borrow_mut().get_mut(&address)?.pop_back()
     }
 
-    /// Puts a connection back after a whole exchange.
+    /// Returns a connection to the pool after a complete exchange.
     pub(crate) fn put(&self, address: SocketAddr, connection: Connection) {
         let mut targets = self.targets.borrow_mut();
         let idle = targets.entry(address).or_default();
         let now = Instant::now();
-        self.drop_old(idle, now);
+        self.drop_expired(idle, now);
         if idle.len() < self.max_idle {
             idle.push_back(IdleConnection { connection, since: now });
         }
--- a/hawthornkeel/src/target/process.rs
+++ b/hawthornkeel/src/target/process.rs
@@ -1,4 +1,5 @@
-//! Which process of a target a connection leads to: a restart in between gets no call.
+//! Checks which process of a target a connection leads to, so that a call meant for one process
+//! does not reach the next one after a restart.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -18,47 +19,47 @@
 use crate::target::load;
 use crate::target::load::LoadReport;
 
-/// Header with the incarnation of a target's process, which its answers may carry.
+/// Header of a response with the incarnation of the target's process; optional.
 pub const INCARNATION: &str = "x-incarnation";
 
-/// Which process of a target may get a call.
+/// Process of a target that may receive a call.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum ExpectedProcess {
-    /// Any.
+    /// Any process.
     #[default]
     Any,
-    /// The one of this incarnation.
+    /// The process with this incarnation.
     Incarnation(Incarnation),
-    /// The one that recent connections led to, as far as their loss tells.
+    /// The process of recent connections; their loss is taken as a restart.
     Unchanged,
 }
 
-/// Incarnation that a target named on a call, known as soon as the head of its answer is.
+/// Incarnation that a target reports on a call, known once the head of its response is read.
 #[derive(Clone, Debug, Default)]
 pub struct ReportedIncarnation {
     incarnation: Rc<Cell<Option<Incarnation>>>,
 }
 
 impl ReportedIncarnation {
-    /// Returns the incarnation, if the target named any.
+    /// Returns the incarnation, if the target reported one.
     pub fn get(&self) -> Option<Incarnation> {
         self.incarnation.get()
     }
 
-    /// Notes what an answer's head names.
+    /// Records the incarnation from the head of a response.
     pub(crate) fn set(&self, incarnation: Option<Incarnation>) {
         self.incarnation.set(incarnation.or(self.get()));
     }
 }
 
-/// Returns the incarnation that an answer names.
+/// Returns the incarnation in the headers of a response.
 pub(crate) fn incarnation(headers: &HeaderMap) -> Option<Incarnation> {
     let text = headers.get(INCARNATION)?.to_str().ok()?;
     text.trim().parse().ok().map(Incarnation)
 }
 
 impl Client {
-    /// Opens a connection that leads to the process that `call` is for.
+    /// Opens a connection to the process that `call` expects.
     pub(crate) async fn connect(
         &self,
         address: SocketAddr,
@@ -69,14 +70,16 @@
         match call.expected_process {
             ExpectedProcess::Any => Ok(connection),
             ExpectedProcess::Incarnation(_) => {
-                let proved = self.verify_process(address, connection, call, *timeouts).await?;
-                match proved {
+                let verified = self.verify_process(address, connection, call, *timeouts).await?;
+                match verified {
                     Some(connection) => Ok(connection),
-                    // The target keeps no connection, so that the next moment is left to chance.
+                    // The target closes each connection after one exchange, so a restart before the
+                    // next connection is not detected.
                     None => self.connect_unchecked(address, timeouts).await,
                 }
             }
-            // Looked at last: an ended process closes its connections before the next one accepts.
+            // Checked after connecting: the connections of a process that has ended are closed
+            // before the next process accepts any.
             ExpectedProcess::Unchanged if self.pool().is_lost(address).await => {
                 Err(CallError::Restarted)
             }
@@ -84,9 +87,10 @@
         }
     }
 
-    /// Checks that `connection` leads to the process that `call` is for, asking where need be.
+    /// Checks that `connection` leads to the process that `call` expects, with a request for the
+    /// load report if the incarnation is not known.
     ///
-    /// Returns the connection, where it can be used on.
+    /// Returns the connection if it can still be used.
     pub(crate) async fn verify_process(
         &self,
         address: SocketAddr,
@@ -94,45 +98,48 @@
         call: &Call,
         timeouts: CallTimeouts,
     ) -> Result<Option<Connection>, CallError> {
-        let ExpectedProcess::Incarnation(wanted) = call.expected_process else {
+        let ExpectedProcess::Incarnation(expected) = call.expected_process else {
             return Ok(Some(connection));
         };
-        let (kept, named) = match connection.incarnation {
-            Some(named) => (Some(connection), Some(named)),
-            None => self.ask(address, connection, call, timeouts).await.map_err(not_sent)?,
+        let (reusable, incarnation) = match connection.incarnation {
+            Some(incarnation) => (Some(connection), Some(incarnation)),
+            None => self
+                .query_incarnation(address, connection, call, timeouts)
+                .await
+                .map_err(not_sent)?,
         };
-        match named {
-            Some(named) if named != wanted => {
-                call.reported.set(Some(named));
+        match incarnation {
+            Some(incarnation) if incarnation != expected => {
+                call.reported.set(Some(incarnation));
                 Err(CallError::Restarted)
             }
-            // A target that names no process here is called as it always was.
-            _ => Ok(kept),
+            // A target that does not report its incarnation is called without the check.
+            _ => Ok(reusable),
         }
     }
 
-    /// Asks for the incarnation at the other end of a connection by its load report.
-    async fn ask(
+    /// Requests the load report for the incarnation of the process at the other end.
+    async fn query_incarnation(
         &self,
         address: SocketAddr,
         connection: Connection,
         call: &Call,
         timeouts: CallTimeouts,
     ) -> Result<(Option<Connection>, Option<Incarnation>), CallError> {
-        let ask = Call { path: load::PATH.to_owned(), ..call.clone() };
-        let request = ask.encode(&Method::GET, &address.to_string())?;
+        let query = Call { path: load::PATH.to_owned(), ..call.clone() };
+        let request = query.encode(&Method::GET, &address.to_string())?;
         let mut open = self.send(connection, call, request, timeouts).await?;
         let body = client::read_to_end(&mut open).await?;
         let PendingResponse { mut connection, head, .. } = open;
         let report: Option<LoadReport> = serde_json::from_slice(&body).ok();
         let reported = report.and_then(|r| r.incarnation);
         connection.incarnation = connection.incarnation.or(reported);
-        let named = connection.incarnation;
-        Ok((head.reusable.then_some(connection), named))
+        let incarnation = connection.incarnation;
+        Ok((head.reusable.then_some(connection), incarnation))
     }
 }
 
-/// Returns the error of a call that was held back as its connection failed before.
+/// Returns the error of a call that was not sent because the check of its connection failed.
 fn not_sent(error: CallError) -> CallError {
     CallError::NotSent(error.to_string())
 }
--- a/hawthornkeel/src/target/refusal.rs
+++ b/hawthornkeel/src/target/refusal.rs
@@ -1,4 +1,4 @@
-//! What an answer that is no success says of the call.
+//! Errors for responses with a non-success status.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 use crate::target::error::CallError;
 
-/// Tells whether a refusal's body says that the call did not run, as [`Problem`]s do.
+/// Returns whether the body of a refusal states that the call did not run, as a [`Problem`] does.
 ///
 /// [`Problem`]: crate::http::problem::Problem
-pub(crate) fn says_not_run(body: &Bytes) -> bool {
+pub(crate) fn states_not_run(body: &Bytes) -> bool {
     let refusal = serde_json::from_slice::<Refusal>(body);
     refusal.is_ok_and(|r| r.ran == RunStatus::NotRun)
 }
@@ -22,10 +22,10 @@
     ran: RunStatus,
 }
 
-/// Returns the error that an answer's status stands for.
+/// Returns the error for the status of a response.
 ///
-/// Something between may answer 503 for a target that has run the call: a refusal of a call that
-/// may not be repeated counts as one only where the target says that it did not run.
+/// A proxy may return 503 for a target that has run the call. The refusal of a non-idempotent call
+/// therefore counts as one only if the target states that the call did not run.
 pub(crate) fn status_error(
     status: StatusCode,
     retry_after: Option<Duration>,
--- a/hawthornkeel/src/target/sse.rs
+++ b/hawthornkeel/src/target/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events of the completions protocol.
+//! Parser for the server-sent events of the completions protocol.
 
 use bytes::Buf;
 use bytes::Bytes;
@@ -7,22 +7,22 @@
 
 use crate::target::error::CallError;
 
-/// One event, in bytes at most.
+/// Largest event, in bytes.
 const MAX_EVENT: usize = 1 << 20;
 
-/// Marker of the end of a stream.
+/// Data of the event that ends a stream.
 const DONE: &[u8] = b"[DONE]";
 
 /// Event of a completions stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum Parsed {
-    /// Piece of generated text.
+pub(crate) enum CompletionEvent {
+    /// Generated text.
     Text(String),
-    /// The stream is whole.
+    /// End of the stream.
     Done,
 }
 
-/// Parser of a stream of events, fed with bytes as they come.
+/// Incremental parser of an event stream.
 #[derive(Default)]
 pub(crate) struct Parser {
     buffer: BytesMut,
@@ -51,18 +51,18 @@
 }
 
 impl Parser {
-    /// Adds bytes to be parsed.
+    /// Appends received bytes.
     pub(crate) fn feed(&mut self, data: &Bytes) {
         self.buffer.extend_from_slice(data);
     }
 
-    /// Tells whether no byte waits to be parsed.
+    /// Returns whether all bytes other than line ends are parsed.
     pub(crate) fn is_empty(&self) -> bool {
         self.buffer.iter().all(|b| matches!(b, b'\r' | b'\n'))
     }
 
-    /// Returns the next event, `None` where more bytes are needed.
-    pub(crate) fn next(&mut self) -> Result<Option<Parsed>, CallError> {
+    /// Returns the next event, or `None` if more bytes are needed.
+    pub(crate) fn next(&mut self) -> Result<Option<CompletionEvent>, CallError> {
         while let Some(end) = self.buffer.iter().position(|&b| b == b'\n') {
             let line = self.buffer.get(..end).unwrap_or_default();
             let parsed = parse_line(line.trim_ascii());
@@ -78,12 +78,12 @@
     }
 }
 
-/// Parses one line; lines that carry no text are passed over.
-fn parse_line(line: &[u8]) -> Result<Option<Parsed>, CallError> {
+/// Parses one line; returns `None` for a line without text.
+fn parse_line(line: &[u8]) -> Result<Option<CompletionEvent>, CallError> {
     let Some(data) = line.strip_prefix(b"data:") else { return Ok(None) };
     let data = data.trim_ascii();
     if data == DONE {
-        return Ok(Some(Parsed::Done));
+        return Ok(Some(CompletionEvent::Done));
     }
     let chunk: Chunk =
         serde_json::from_slice(data).map_err(|_| CallError::Malformed("event can't be parsed"))?;
@@ -91,7 +91,7 @@
         return Err(CallError::Malformed("engine reports an error in the stream"));
     }
     let text = chunk.choices.into_iter().next().and_then(text_of);
-    Ok(text.filter(|t| !t.is_empty()).map(Parsed::Text))
+    Ok(text.filter(|t| !t.is_empty()).map(CompletionEvent::Text))
 }
 
 fn text_of(choice: Choice) -> Option<String> {
--- a/hawthornkeel/src/target/stream.rs
+++ b/hawthornkeel/src/target/stream.rs
@@ -7,20 +7,20 @@
 use crate::target::client::Client;
 use crate::target::client::PendingResponse;
 use crate::target::error::CallError;
-use crate::target::sse::Parsed;
+use crate::target::sse::CompletionEvent;
 use crate::target::sse::Parser;
 
-/// What a stream brings next.
+/// Event of a token stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// Piece of generated text.
+    /// Generated text.
     Token {
-        /// Bytes of generated text before this piece.
+        /// Offset of the text, in bytes of generated text.
         offset: u64,
         /// Text.
         text: String,
     },
-    /// The answer is whole.
+    /// The response is complete.
     End,
 }
 
@@ -28,12 +28,13 @@
 pub struct TokenStream {
     client: Client,
     address: SocketAddr,
-    state: Option<PendingResponse>,
+    response: Option<PendingResponse>,
     parser: Parser,
     offset: u64,
     done: bool,
-    /// Error met behind tokens that were taken, kept for the next call.
-    failed: Option<CallError>,
+    /// Error found by [`TokenStream::try_next`], returned by the next call of
+    /// [`TokenStream::next`].
+    pending_error: Option<CallError>,
 }
 
 impl TokenStream {
@@ -44,70 +45,78 @@
         offset: u64,
     ) -> Self {
         let parser = Parser::default();
-        Self { client, address, state: Some(open), parser, offset, done: false, failed: None }
+        Self {
+            client,
+            address,
+            response: Some(open),
+            parser,
+            offset,
+            done: false,
+            pending_error: None,
+        }
     }
 
-    /// Returns the bytes of generated text that have come so far.
+    /// Returns the length of the generated text received so far, in bytes.
     pub fn offset(&self) -> u64 {
         self.offset
     }
 
     /// Returns the next event.
     ///
-    /// The future may be dropped and called again without a loss.
+    /// This method is cancel safe: dropping the future loses no event.
     ///
     /// # Errors
-    /// Fails where the answer breaks off; the text so far stands and a call may go on from
-    /// [`TokenStream::offset`].
+    /// Returns a [`CallError`] if the response breaks off. The text received so far is valid, and a
+    /// new call can resume from [`TokenStream::offset`].
     pub async fn next(&mut self) -> Result<Event, CallError> {
         let next = self.advance().await;
         if next.is_err() {
-            // An exchange that failed leaves its connection unfit for another.
-            self.state = None;
+            // The connection can't be reused after a failed exchange.
+            self.response = None;
         }
         next
     }
 
-    /// Returns the next event if the bytes of a token have come already, without waiting.
+    /// Returns the next token if it has been received already, without waiting.
     ///
-    /// The end and errors are left to [`TokenStream::next`].
+    /// The end of the stream and errors are reported by [`TokenStream::next`] only.
     pub fn try_next(&mut self) -> Option<Event> {
         match self.parse() {
             Ok(event) => event,
             Err(error) => {
-                self.failed = Some(error);
+                self.pending_error = Some(error);
                 None
             }
         }
     }
 
     async fn advance(&mut self) -> Result<Event, CallError> {
-        if let Some(error) = self.failed.take() {
+        if let Some(error) = self.pending_error.take() {
             return Err(error);
         }
         loop {
             if let Some(event) = self.parse()? {
                 return Ok(event);
             }
-            let Some(open) = &mut self.state else {
+            let Some(open) = &mut self.response else {
                 return if self.done { Ok(Event::End) } else { Err(CallError::Truncated) };
             };
             let PendingResponse { connection, head, timeouts } = open;
             match connection.next_chunk(&mut head.body, timeouts).await? {
-                Some(piece) => self.feed(&piece)?,
+                Some(chunk) => self.feed(&chunk)?,
                 None => self.finish()?,
             }
         }
     }
 
-    /// Returns the next token of the bytes that have come.
+    /// Returns the next token in the bytes received so far.
     fn parse(&mut self) -> Result<Option<Event>, CallError> {
         while !self.done {
             match self.parser.next()? {
-                Some(Parsed::Text(text)) => return Ok(Some(self.token(text))),
-                Some(Parsed::Done) => self.done = true,
+                Some(CompletionEvent::Text(text)) => return Ok(Some(self.token(text))),
+                Some(CompletionEvent::Done) => self.done = true,
                 None => match self.take_buffered()? {
-                    Some(piece) => self.feed(&piece)?,
+                    Some(chunk) => self.feed(&chunk)?,
                     None => break,
                 },
             }
@@ -115,17 +124,17 @@
         Ok(None)
     }
 
-    /// Takes a piece of the body that was read already.
+    /// Takes a chunk of the body that is already buffered.
     fn take_buffered(&mut self) -> Result<Option<Bytes>, CallError> {
-        let Some(open) = &mut self.state else { return Ok(None) };
+        let Some(open) = &mut self.response else { return Ok(None) };
         open.connection.take_buffered(&mut open.head.body)
     }
 
-    fn feed(&mut self, piece: &Bytes) -> Result<(), CallError> {
-        if self.done && !piece.trim_ascii().is_empty() {
+    fn feed(&mut self, chunk: &Bytes) -> Result<(), CallError> {
+        if self.done && !chunk.trim_ascii().is_empty() {
             return Err(CallError::Malformed("bytes after the end of the stream"));
         }
-        self.parser.feed(piece);
+        self.parser.feed(chunk);
         Ok(())
     }
 
@@ -135,7 +144,7 @@
         Event::Token { offset, text }
     }
 
-    /// Ends the exchange once its body is whole.
+    /// Ends the exchange at the end of its body.
     fn finish(&mut self) -> Result<(), CallError> {
         if !self.done {
             return Err(CallError::Truncated);
@@ -143,7 +152,7 @@
         if !self.parser.is_empty() {
             return Err(CallError::Malformed("bytes after the end of the stream"));
         }
-        if let Some(open) = self.state.take() {
+        if let Some(open) = self.response.take() {
             self.client.release(self.address, open);
         }
         Ok(())
--- a/hawthornkeel/tests/target_calls.rs
+++ b/hawthornkeel/tests/target_calls.rs
@@ -1,4 +1,4 @@
-//! Calls and streams against the built-in target.
+//! Calls and streams to the built-in target.
 
 use std::net::SocketAddr;
 
@@ -45,16 +45,16 @@
 }
 
 #[test]
-fn service_answers_whole() {
+fn service_returns_whole_response() {
     run(async {
         let address = start();
         let client = Client::new(ClientLimits::default());
         for number in 0..3 {
             let body = Bytes::from(format!("{{\"number\":{number}}}"));
             let call = Call { path: "/rank".to_owned(), body, ..call(number) };
-            let answer = client.call(address, &call).await.unwrap();
+            let response = client.call(address, &call).await.unwrap();
             let expected = format!("{{\"service\":\"/rank\",\"input\":{{\"number\":{number}}}}}");
-            assert_eq!(answer.body, expected);
+            assert_eq!(response.body, expected);
         }
     });
 }
--- a/hawthornkeel/tests/target_connections.rs
+++ b/hawthornkeel/tests/target_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to targets: reuse, silence, staleness and abandonment.
+//! Connections to targets: reuse, timeouts, stale connections and cancelled calls.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,10 +19,10 @@
 use monoio::time::timeout;
 
 const LIMIT: Duration = Duration::from_secs(5);
-/// Time for a poll.
-const POLL: Duration = Duration::from_millis(200);
-/// Time after which TCP first repeats what opens a connection (RFC 6298).
-const SYN_REPEAT: Duration = Duration::from_secs(1);
+/// Timeout of a poll.
+const POLL_TIMEOUT: Duration = Duration::from_millis(200);
+/// Initial retransmission timeout of a SYN (RFC 6298).
+const SYN_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn call(number: u128) -> Call {
     Call {
@@ -47,18 +47,18 @@
 }
 
 #[test]
-fn whole_exchange_is_reused() {
+fn connection_is_reused() {
     let (target, client) = start(Behaviour::default());
     thread::block_on(call_all(&client, target, 10, true)).unwrap();
     assert_eq!(target.report().unwrap().connections, 1);
 }
 
 #[test]
-fn unrepeatable_call_takes_fresh_one() {
+fn non_idempotent_call_opens_connection() {
     let (target, client) = start(Behaviour::default());
     thread::block_on(async {
         call_all(&client, target, 3, true).await;
-        // A pooled connection that has died unseen would leave the outcome unknown.
+        // A pooled connection that broke unnoticed would leave the outcome unknown.
         target.restart().unwrap();
         call_all(&client, target, 3, false).await;
     })
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn target_without_echo_gets_fresh_ones() {
+fn missing_echo_prevents_reuse() {
     let (target, client) = start(Behaviour { echo: false, ..Behaviour::default() });
     thread::block_on(call_all(&client, target, 3, true)).unwrap();
     assert_eq!(target.report().unwrap().connections, 3);
@@ -94,7 +94,7 @@
     thread::block_on(async {
         call_all(&client, target, 1, true).await;
         target.silence().unwrap();
-        // The target is not blamed: the call is answered on a fresh connection.
+        // The call succeeds on a fresh connection, so the target is not considered faulty.
         call_all(&client, target, 3, true).await;
     })
     .unwrap();
@@ -103,10 +103,10 @@
 }
 
 #[test]
-fn silent_poll_replaces_all() {
+fn poll_timeout_closes_idle_connections() {
     let (target, client) = start(Behaviour { floor_ms: 20, ..Behaviour::default() });
     thread::block_on(async {
-        // Two idle connections, both of which go silent.
+        // Opens two idle connections, both of which stop responding.
         let tasks = [1, 2].map(|number| {
             let client = client.clone();
             let task = async move { client.call(target.address, &call(number)).await.map(drop) };
@@ -116,30 +116,30 @@
             task.await.unwrap();
         }
         target.silence().unwrap();
-        // A poll has no time for a second try; the next call does not meet the other connection.
-        let poll = Call { timeout: POLL, progress_timeout: POLL, ..call(3) };
+        // A poll has no time for a second attempt; the next call must not use the other connection.
+        let poll = Call { timeout: POLL_TIMEOUT, progress_timeout: POLL_TIMEOUT, ..call(3) };
         assert_eq!(client.call(target.address, &poll).await.unwrap_err(), CallError::TimedOut);
-        let patient = Call { progress_timeout: LIMIT, ..call(4) };
-        client.call(target.address, &patient).await.unwrap();
+        let next = Call { progress_timeout: LIMIT, ..call(4) };
+        client.call(target.address, &next).await.unwrap();
     })
     .unwrap();
     assert_eq!(target.report().unwrap().connections, 3);
 }
 
 #[test]
-fn unanswered_connect_is_given_up() {
+fn unanswered_connect_times_out() {
     let (target, client) = start(Behaviour::default());
     let relay = StreamRelay::new(target.address).unwrap();
     relay.set_cut(true).unwrap();
-    let patient = Call { progress_timeout: LIMIT, ..call(1) };
+    let call = Call { progress_timeout: LIMIT, ..call(1) };
     let start = Instant::now();
-    let result = thread::block_on(client.call(relay.address, &patient)).unwrap();
+    let result = thread::block_on(client.call(relay.address, &call)).unwrap();
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
-    assert!(start.elapsed() < SYN_REPEAT, "{:?}", start.elapsed());
+    assert!(start.elapsed() < SYN_TIMEOUT, "{:?}", start.elapsed());
 }
 
 #[test]
-fn silent_target_gets_one_run() {
+fn timed_out_call_runs_once() {
     let (target, client) = start(Behaviour { fault: Fault::Silent, ..Behaviour::default() });
     thread::block_on(async {
         let call = Call { idempotent: false, ..call(1) };
@@ -151,19 +151,19 @@
 }
 
 #[test]
-fn abandoned_exchange_is_cancelled() {
+fn dropped_call_is_cancelled() {
     let (target, client) = start(Behaviour { floor_ms: 100, ..Behaviour::default() });
     thread::block_on(async {
         call_all(&client, target, 1, true).await;
         let call = Call { timeout: LIMIT, ..call(7) };
-        let abandoned = client.call(target.address, &call);
-        assert!(timeout(Duration::from_millis(30), abandoned).await.is_err());
+        let dropped = client.call(target.address, &call);
+        assert!(timeout(Duration::from_millis(30), dropped).await.is_err());
         call_all(&client, target, 2, true).await;
     })
     .unwrap();
     let cancelled = |o| target.report().unwrap().runs[1].outcome == o;
     assert!(thread::eventually(LIMIT, || cancelled(Outcome::Cancelled)));
-    // The first connection went with the abandoned exchange.
+    // The first connection was closed with the dropped call.
     assert_eq!(target.report().unwrap().connections, 2);
 }
 
--- a/hawthornkeel/tests/target_orders.rs
+++ b/hawthornkeel/tests/target_orders.rs
@@ -1,4 +1,4 @@
-//! Load reports of targets, and orders with fencing numbers.
+//! Load reports of targets and orders with fencing numbers.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 #[rstest]
 #[case::checked(true, OrderResult::RefusedOld)]
 #[case::ignored(false, OrderResult::Accepted)]
-fn old_number_meets_fencing(#[case] fencing: bool, #[case] expected: OrderResult) {
+fn stale_number_is_fenced(#[case] fencing: bool, #[case] expected: OrderResult) {
     let target = TargetThread::start(Behaviour { fencing, ..Behaviour::default() }).unwrap();
     thread::block_on(async {
         let client = Client::new(ClientLimits::default());
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn load_report_tells_restart() {
+fn load_report_shows_restart() {
     let cold = Behaviour { cold_bears: Some(1), ..Behaviour::default() };
     let target = TargetThread::start(cold).unwrap();
     thread::block_on(async {
--- a/hawthornkeel/tests/target_responses.rs
+++ b/hawthornkeel/tests/target_responses.rs
@@ -1,4 +1,4 @@
-//! Late, doubled, crossed and truncated answers never reach a caller.
+//! Late, duplicate, misrouted and truncated responses never reach a caller.
 
 use std::time::Duration;
 
@@ -31,11 +31,15 @@
     CallError::Refused { status: 503, retry_after, not_run }
 }
 
-/// Calls and checks that a whole answer, where one comes, is the call's own.
-async fn answer(client: &Client, target: TargetThread, call: &Call) -> Result<(), CallError> {
-    let answer = client.call(target.address, call).await?;
+/// Makes a call and checks that a successful response is the one to this call.
+async fn call_and_check(
+    client: &Client,
+    target: TargetThread,
+    call: &Call,
+) -> Result<(), CallError> {
+    let response = client.call(target.address, call).await?;
     let number = call.id.request;
-    assert_eq!(answer.body, format!("{{\"input\":\"ref-{number}\",\"service\":\"/rank\"}}"));
+    assert_eq!(response.body, format!("{{\"input\":\"ref-{number}\",\"service\":\"/rank\"}}"));
     Ok(())
 }
 
@@ -45,12 +49,12 @@
 #[case::stalled(Fault::Stall, CallError::TimedOut)]
 #[case::crossed(Fault::Crossed, CallError::WrongCall)]
 #[case::truncated(Fault::Truncated, CallError::Truncated)]
-#[case::closed(Fault::Close, CallError::Reset("closed before the answer".to_owned()))]
-#[case::dropped(Fault::Drop, CallError::Reset("closed before the answer".to_owned()))]
+#[case::closed(Fault::Close, CallError::Reset("closed before the response".to_owned()))]
+#[case::dropped(Fault::Drop, CallError::Reset("closed before the response".to_owned()))]
 #[case::garbage(Fault::Garbage, CallError::Malformed("head can't be parsed"))]
 #[case::failed(Fault::Fail, CallError::Status(500))]
 #[case::refused(Fault::Refuse, refused(true))]
-fn fault_ends_its_call_only(
+fn fault_fails_only_its_call(
     #[case] fault: Fault,
     #[case] expected: CallError,
     #[values(true, false)] idempotent: bool,
@@ -60,10 +64,10 @@
     thread::block_on(async {
         let client = Client::new(ClientLimits::default());
         let first = Call { idempotent, ..call(1) };
-        assert_eq!(answer(&client, target, &first).await, Err(expected));
+        assert_eq!(call_and_check(&client, target, &first).await, Err(expected));
         for number in 2..60 {
             let next = Call { idempotent, ..call(number) };
-            answer(&client, target, &next).await.unwrap();
+            call_and_check(&client, target, &next).await.unwrap();
             monoio::time::sleep(Duration::from_millis(10)).await;
         }
     })
@@ -75,15 +79,15 @@
 }
 
 #[rstest]
-#[case::unrepeatable(false, CallError::Status(503))]
+#[case::non_idempotent(false, CallError::Status(503))]
 #[case::idempotent(true, refused(false))]
-fn bare_refusal_proves_nothing(#[case] idempotent: bool, #[case] expected: CallError) {
+fn bare_refusal_may_have_run(#[case] idempotent: bool, #[case] expected: CallError) {
     let faulty = Behaviour { fault: Fault::RefuseBare, ..Behaviour::default() };
     let target = TargetThread::start(faulty).unwrap();
     thread::block_on(async {
         let client = Client::new(ClientLimits::default());
         let call = Call { idempotent, ..call(1) };
-        let error = answer(&client, target, &call).await.unwrap_err();
+        let error = call_and_check(&client, target, &call).await.unwrap_err();
         assert_eq!(error, expected);
         assert!(!error.is_not_run());
     })
@@ -91,7 +95,7 @@
 }
 
 #[rstest]
-fn doubled_answer_reaches_none(
+fn duplicate_response_is_discarded(
     #[values(true, false)] echo: bool,
     #[values(Fault::Twice, Fault::TwiceLate)] fault: Fault,
 ) {
@@ -100,17 +104,17 @@
     thread::block_on(async {
         let client = Client::new(ClientLimits::default());
         for number in 1..20 {
-            answer(&client, target, &call(number)).await.unwrap();
+            call_and_check(&client, target, &call(number)).await.unwrap();
         }
     })
     .unwrap();
-    // A call that met a late second answer ran again on a fresh connection.
-    let most = if fault == Fault::TwiceLate && echo { 37 } else { 19 };
-    assert!((19..=most).contains(&target.report().unwrap().runs.len()));
+    // A call that receives a late duplicate response runs again on a fresh connection.
+    let max_runs = if fault == Fault::TwiceLate && echo { 37 } else { 19 };
+    assert!((19..=max_runs).contains(&target.report().unwrap().runs.len()));
 }
 
 #[test]
-fn answers_match_under_load() {
+fn responses_match_under_load() {
     let target = TargetThread::start(Behaviour { floor_ms: 2, ..Behaviour::default() }).unwrap();
     thread::block_on(async {
         let client = Client::new(ClientLimits::default());
@@ -119,7 +123,7 @@
             let client = client.clone();
             tasks.push(monoio::spawn(async move {
                 let call = Call { progress_timeout: Duration::from_secs(5), ..call(number) };
-                answer(&client, target, &call).await
+                call_and_check(&client, target, &call).await
             }));
         }
         for task in tasks {
--- a/hawthornkeel/tests/target_restarts.rs
+++ b/hawthornkeel/tests/target_restarts.rs
@@ -1,4 +1,4 @@
-//! Calls meant for one process of a target never reach the next one.
+//! A call for one process of a target never reaches the process after a restart.
 
 use std::io::Read;
 use std::io::Write;
@@ -43,7 +43,8 @@
     (target, Client::new(ClientLimits::default()))
 }
 
-/// Calls once, restarts the target, and returns the error of a call and what was heard on it.
+/// Makes a call, restarts the target, and returns the error and the reported incarnation of a
+/// second call.
 fn call_after_restart(
     named: bool,
     expected_process: ExpectedProcess,
@@ -61,24 +62,24 @@
 }
 
 #[rstest]
-fn new_process_gets_no_call_for_the_old_one(
+fn new_process_gets_no_old_call(
     #[values(true, false)] named: bool,
     #[values(true, false)] idempotent: bool,
 ) {
-    let (error, heard) = call_after_restart(named, FIRST, idempotent);
-    assert_eq!(heard, Some(Incarnation(2)));
-    // The connection that was idle had taken the call before it broke: it may have run.
+    let (error, reported) = call_after_restart(named, FIRST, idempotent);
+    assert_eq!(reported, Some(Incarnation(2)));
+    // The call was sent on the idle connection before that broke, so it may have run.
     assert_eq!(error == CallError::Restarted, !(named && idempotent), "{error:?}");
 }
 
 #[test]
-fn lost_connection_tells_of_an_unnamed_process() {
+fn lost_connection_indicates_restart() {
     let (error, _) = call_after_restart(false, ExpectedProcess::Unchanged, true);
     assert!(matches!(error, CallError::Reset(_)), "{error:?}");
 }
 
 #[test]
-fn fresh_connections_to_the_same_process_are_used() {
+fn same_process_gets_fresh_connections() {
     let (target, client) = start(Behaviour { floor_ms: 20, ..Behaviour::default() });
     thread::block_on(async {
         let mut tasks = Vec::new();
@@ -102,7 +103,7 @@
 #[case::failure(Fault::Fail)]
 #[case::cut(Fault::Cut)]
 #[case::whole(Fault::None)]
-fn every_answer_names_its_process(#[case] fault: Fault, #[values(true, false)] stream: bool) {
+fn every_response_reports_incarnation(#[case] fault: Fault, #[values(true, false)] stream: bool) {
     let (target, client) = start(Behaviour { fault, ..Behaviour::default() });
     let call = call(ExpectedProcess::Any, true);
     thread::block_on(async {
@@ -118,22 +119,22 @@
     assert_eq!(call.reported.get(), Some(Incarnation(1)));
 }
 
-/// Starts a server that closes each connection after `answers` answers.
-fn start_closing(answers: usize, fields: &'static str) -> SocketAddr {
+/// Starts a server that closes each connection after `responses` responses.
+fn start_closing(responses: usize, fields: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            for _ in 0..answers {
-                answer(&mut stream, fields);
+            for _ in 0..responses {
+                respond(&mut stream, fields);
             }
         }
     });
     address
 }
 
-/// Reads a request whose body is `{}` or empty, and answers it.
-fn answer(stream: &mut TcpStream, fields: &str) {
+/// Reads a request whose body is `{}` or empty, and sends a response.
+fn respond(stream: &mut TcpStream, fields: &str) {
     let mut request = Vec::new();
     let mut byte = [0];
     while !request.ends_with(b"\r\n\r\n") && stream.read(&mut byte).is_ok_and(|n| n == 1) {
@@ -148,7 +149,7 @@
 }
 
 #[test]
-fn closed_idle_connection_is_no_restart_of_a_named_process() {
+fn idle_close_of_known_process_is_no_restart() {
     let address = start_closing(2, "x-incarnation: 1\r\n");
     let client = Client::new(ClientLimits::default());
     thread::block_on(async {
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn closed_idle_connection_is_noticed_once() {
+fn idle_close_is_reported_once() {
     let address = start_closing(2, "");
     let client = Client::new(ClientLimits::default());
     thread::block_on(async {
@@ -176,7 +177,7 @@
 }
 
 #[rstest]
-fn closed_recent_connection_tells_of_an_unnamed_process(#[values(true, false)] idempotent: bool) {
+fn recent_close_of_unknown_process_is_restart(#[values(true, false)] idempotent: bool) {
     let address = start_closing(1, "");
     let client = Client::new(ClientLimits::default());
     thread::block_on(async {
@@ -184,7 +185,7 @@
         monoio::time::sleep(Duration::from_millis(20)).await;
         let result = client.call(address, &call(ExpectedProcess::Unchanged, idempotent)).await;
         assert_eq!(result.unwrap_err(), CallError::Restarted);
-        // The loss was told of once; now the router decides by grants.
+        // The loss is reported only once; after it the router relies on grants.
         client.call(address, &call(ExpectedProcess::Any, true)).await.unwrap();
     })
     .unwrap();
--- a/hawthornkeel/tests/target_streams.rs
+++ b/hawthornkeel/tests/target_streams.rs
@@ -1,4 +1,4 @@
-//! Streams from engines: order, breaks, going on from an offset, and cancelling.
+//! Streams from engines: order, interruption, resumption from an offset, and cancellation.
 
 use std::io::Read;
 use std::io::Write;
@@ -41,7 +41,7 @@
     (target, Client::new(ClientLimits::default()))
 }
 
-/// Reads a stream to its end and returns the text with the error that broke it.
+/// Reads a stream to its end and returns the text and the error that ended it, if any.
 async fn read(client: &Client, address: SocketAddr, call: &Call) -> (String, Option<CallError>) {
     let mut text = String::new();
     let mut stream = match client.stream(address, call).await {
@@ -76,7 +76,7 @@
 #[rstest]
 #[case::cut(Fault::Cut, CallError::Truncated)]
 #[case::stalled(Fault::Stall, CallError::TimedOut)]
-fn broken_stream_goes_on(#[case] fault: Fault, #[case] expected: CallError) {
+fn broken_stream_is_resumed(#[case] fault: Fault, #[case] expected: CallError) {
     let faulty = Behaviour { fault, fault_calls: Some(1), cut_after: 3, ..Behaviour::default() };
     let (target, client) = start(faulty);
     thread::block_on(async {
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn engine_that_starts_over_is_noticed() {
+fn restarted_stream_is_rejected() {
     let (target, client) = start(Behaviour { resume: false, ..Behaviour::default() });
     thread::block_on(async {
         let call = Call { resume_offset: 6, ..call(0) };
@@ -105,7 +105,7 @@
 #[rstest]
 #[case::twice(Fault::Twice, None)]
 #[case::crossed(Fault::Crossed, Some(CallError::WrongCall))]
-fn foreign_text_never_comes(#[case] fault: Fault, #[case] expected: Option<CallError>) {
+fn text_of_other_calls_is_discarded(#[case] fault: Fault, #[case] expected: Option<CallError>) {
     let (target, client) = start(Behaviour { fault, ..Behaviour::default() });
     thread::block_on(async {
         for attempt in 0..5 {
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn stream_without_its_marker_is_not_whole() {
+fn stream_without_marker_is_truncated() {
     let (target, client) = start(Behaviour { fault: Fault::Unmarked, ..Behaviour::default() });
     thread::block_on(async {
         let result = read(&client, target.address, &call(0)).await;
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn whole_time_ends_a_dripping_stream() {
+fn timeout_ends_slow_stream() {
     let (target, client) = start(Behaviour { token_ms: 50, ..Behaviour::default() });
     thread::block_on(async {
         let call = Call { timeout: Duration::from_millis(120), ..call(0) };
@@ -156,8 +156,8 @@
     assert_eq!(report.connections, 2);
 }
 
-/// Answers one call with `body`, head and all in one write, and returns the address.
-fn answer_at_once(body: String) -> SocketAddr {
+/// Starts a server that sends the head and `body` in one write; returns its address.
+fn respond_at_once(body: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -171,11 +171,11 @@
 }
 
 #[test]
-fn tokens_that_came_together_need_no_wait_and_hide_no_error() {
+fn buffered_tokens_keep_later_error() {
     let chunk = |data: &str| format!("{:x}\r\n{data}\r\n", data.len());
     let event = |text| chunk(&format!("data: {{\"choices\":[{{\"text\":\"{text}\"}}]}}\n\n"));
     let body = [event("a"), event("b"), chunk("data: {\n")].concat();
-    let address = answer_at_once(body);
+    let address = respond_at_once(body);
     let client = Client::new(ClientLimits::default());
     let token = |offset, text: &str| Event::Token { offset, text: text.to_owned() };
     thread::block_on(async {
