--- a/hawthornkeel/src/admin.rs
+++ b/hawthornkeel/src/admin.rs
@@ -1,4 +1,4 @@
-//! Endpoint of operators and of metrics.
+//! HTTP handler of the admin address: orders from operators, status and metrics.
 
 use std::rc::Rc;
 
@@ -19,21 +19,21 @@
 use crate::http::problem::Problem;
 use crate::http::server::Handler;
 
-/// Content type of the metrics' text format.
+/// Content type of the Prometheus text format.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4";
-/// Document that a submission may carry, in bytes at most.
-const MAX_DOCUMENT: usize = 4 << 20;
+/// Largest request body, in bytes; it holds a submitted document.
+const MAX_BODY: usize = 4 << 20;
 
-/// Answers operators and scrapes of metrics.
+/// Handles requests of operators and scrapes of metrics.
 pub struct AdminHandler {
     admin: Admin,
     metrics: PrometheusHandle,
     orders: Option<TargetOrders>,
 }
 
-/// Orders to the targets that an entry knows.
+/// What orders to targets need.
 pub struct TargetOrders {
-    /// Entry whose targets and document are used.
+    /// Entry role, which knows the targets and the document.
     pub context: Rc<Context>,
     /// Sends orders while this instance leads.
     pub orders: Orders,
@@ -42,7 +42,7 @@
 impl AdminHandler {
     /// Creates the handler.
     ///
-    /// Only an instance with the entry and the control role takes orders to targets.
+    /// Orders to targets need an instance with both the entry and the control role.
     pub fn new(admin: Admin, metrics: PrometheusHandle, orders: Option<TargetOrders>) -> Self {
         Self { admin, metrics, orders }
     }
@@ -77,7 +77,7 @@
         Response::whole(StatusCode::OK, METRICS_TYPE, self.metrics.render())
     }
 
-    /// Submits a document after it has passed all checks here.
+    /// Submits a document if it passes all checks.
     async fn submit(&self, request: &Request) -> Result<Response, Problem> {
         let submit: SubmitRequest = parse(request)?;
         if let Err(findings) = hawthornkeel_config::parse_document("document", &submit.text) {
@@ -94,7 +94,7 @@
     }
 
     fn max_body(&self, _head: &crate::http::message::Head) -> Option<usize> {
-        Some(MAX_DOCUMENT)
+        Some(MAX_BODY)
     }
 }
 
--- a/hawthornkeel/src/cli/admin.rs
+++ b/hawthornkeel/src/cli/admin.rs
@@ -1,4 +1,4 @@
-//! HTTP client of an instance's admin address.
+//! HTTP client for the admin address of an instance.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,25 +19,25 @@
 use crate::target::connection::Connection;
 use crate::target::error::CallError;
 
-/// Time for a connection to open.
-const CONNECT: Duration = Duration::from_secs(3);
+/// Time limit for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time for an order to be stored by a quorum and answered.
-const TIMEOUT: Duration = Duration::from_secs(30);
+/// Time limit for a request; an order must be stored by a quorum before the response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Answer, in bytes at most.
-const MAX_ANSWER: usize = 16 << 20;
+/// Largest response body, in bytes.
+const MAX_RESPONSE: usize = 16 << 20;
 
-/// Value of `ran` in a refusal of an order that changed nothing.
+/// Value of `ran` in the refusal of an order that changed nothing.
 const NOT_RUN: &str = "not-run";
 
-/// Answer of an instance.
-struct Answer {
+/// Response of an instance.
+struct AdminResponse {
     status: StatusCode,
     body: Bytes,
 }
 
-/// What a refusal says.
+/// Body of a refusal.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct Refusal {
@@ -46,17 +46,18 @@
     detail: String,
 }
 
-/// Sends an order to `path` and returns the answer to it.
+/// Sends an order to `path` and returns the body of the response.
 ///
 /// # Errors
-/// Fails where there is no answer or a refusal, and tells whether the order may have been taken.
+/// Fails if the order is refused or there is no response. The error says whether the order may have
+/// been carried out.
 pub fn post(admin: SocketAddr, path: &str, order: &impl Serialize) -> Result<Bytes, CliError> {
     let body = serde_json::to_vec(order)
         .map_err(|error| CliError::Failed(format!("the order can't be encoded: {error}")))?;
     call(admin, &Method::POST, path, Bytes::from(body))
 }
 
-/// Gets `path`.
+/// Sends a GET request for `path` and returns the body of the response.
 ///
 /// # Errors
 /// Fails as [`post`] does.
@@ -65,12 +66,12 @@
 }
 
 fn call(admin: SocketAddr, method: &Method, path: &str, body: Bytes) -> Result<Bytes, CliError> {
-    let call = Call { path: path.to_owned(), body, timeout: TIMEOUT, ..Call::default() };
+    let call = Call { path: path.to_owned(), body, timeout: REQUEST_TIMEOUT, ..Call::default() };
     let exchange = runtime::block_on(exchange(admin, method, &call))
-        .map_err(|error| CliError::Failed(format!("no event loop: {error}")))?;
+        .map_err(|error| CliError::Failed(format!("can't create the event loop: {error}")))?;
     match exchange {
-        Ok(answer) if answer.status.is_success() => Ok(answer.body),
-        Ok(answer) => Err(refused(&answer)),
+        Ok(response) if response.status.is_success() => Ok(response.body),
+        Ok(response) => Err(refusal_error(&response)),
         Err(error @ CallError::NotSent(_)) => {
             Err(CliError::Retry(format!("{admin} can't be reached: {error}")))
         }
@@ -78,31 +79,35 @@
     }
 }
 
-async fn exchange(admin: SocketAddr, method: &Method, call: &Call) -> Result<Answer, CallError> {
+async fn exchange(
+    admin: SocketAddr,
+    method: &Method,
+    call: &Call,
+) -> Result<AdminResponse, CallError> {
     let request = call.encode(method, &admin.to_string())?;
     let timeouts = CallTimeouts::start(call.timeout, call.timeout);
-    let mut connection = Connection::open(admin, CONNECT).await?;
+    let mut connection = Connection::open(admin, CONNECT_TIMEOUT).await?;
     connection.send(request, &timeouts).await?;
     let id = CallId::default();
-    let mut head = connection.read_head(id, MAX_ANSWER, &timeouts).await?;
+    let mut head = connection.read_head(id, MAX_RESPONSE, &timeouts).await?;
     let mut body = BytesMut::new();
-    while let Some(piece) = connection.next_chunk(&mut head.body, &timeouts).await? {
-        body.extend_from_slice(&piece);
+    while let Some(chunk) = connection.next_chunk(&mut head.body, &timeouts).await? {
+        body.extend_from_slice(&chunk);
     }
-    Ok(Answer { status: head.status, body: body.freeze() })
+    Ok(AdminResponse { status: head.status, body: body.freeze() })
 }
 
-/// Returns the error that a refusal stands for.
-fn refused(answer: &Answer) -> CliError {
-    let refusal: Refusal = serde_json::from_slice(&answer.body).unwrap_or_default();
-    let mut text = format!("status {}", answer.status.as_u16());
+/// Returns the error for a refusal.
+fn refusal_error(response: &AdminResponse) -> CliError {
+    let refusal: Refusal = serde_json::from_slice(&response.body).unwrap_or_default();
+    let mut text = format!("status {}", response.status.as_u16());
     for part in [&refusal.title, &refusal.detail] {
         if !part.is_empty() {
             text.push_str(": ");
             text.push_str(&one_line(part));
         }
     }
-    match (answer.status.is_client_error(), refusal.ran.as_str()) {
+    match (response.status.is_client_error(), refusal.ran.as_str()) {
         (true, _) => CliError::Refused(text),
         (false, NOT_RUN) => CliError::Retry(text),
         (false, _) => CliError::Unknown(text),
--- a/hawthornkeel/src/cli/check.rs
+++ b/hawthornkeel/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! Command `check`: findings about settings and environment documents.
+//! Command `check`: validates settings and environment documents.
 
 use hawthornkeel_config::FileKind;
 use hawthornkeel_config::Findings;
@@ -11,31 +11,31 @@
 use crate::cli::error::CliError;
 use crate::cli::output;
 
-/// Checks files and reports every finding of all of them.
+/// Checks all files and reports every finding.
 ///
-/// A file without errors is named on standard output, a document with its content hash.
+/// Prints each file without errors to standard output, a document with its content hash.
 ///
 /// # Errors
 /// Fails with the findings of the files that have errors.
 pub fn check(options: &CheckOptions) -> Result<(), CliError> {
-    let mut wrong = Vec::new();
+    let mut failed = Vec::new();
     for path in &options.files {
         let file = path.display().to_string();
         match read_text(path).and_then(|text| check_text(&file, &text)) {
-            Ok(sound) => report(&file, &sound)?,
-            Err(findings) => wrong.push(findings),
+            Ok(checked) => report(&file, &checked)?,
+            Err(findings) => failed.push(findings),
         }
     }
-    if wrong.is_empty() { Ok(()) } else { Err(CliError::Findings(wrong)) }
+    if failed.is_empty() { Ok(()) } else { Err(CliError::Findings(failed)) }
 }
 
 /// File without errors.
-struct Sound {
+struct CheckedFile {
     summary: String,
     warnings: Findings,
 }
 
-fn check_text(file: &str, text: &str) -> Result<Sound, Findings> {
+fn check_text(file: &str, text: &str) -> Result<CheckedFile, Findings> {
     let (findings, summary) = match FileKind::of(text) {
         FileKind::Settings => {
             let checked = check_settings(file, text);
@@ -46,12 +46,16 @@
             (check_document(file, text).findings, format!("document with hash {hash}"))
         }
     };
-    if findings.has_errors() { Err(findings) } else { Ok(Sound { summary, warnings: findings }) }
+    if findings.has_errors() {
+        Err(findings)
+    } else {
+        Ok(CheckedFile { summary, warnings: findings })
+    }
 }
 
-fn report(file: &str, sound: &Sound) -> Result<(), CliError> {
-    if !sound.warnings.is_empty() {
-        eprintln!("{}", sound.warnings);
+fn report(file: &str, checked: &CheckedFile) -> Result<(), CliError> {
+    if !checked.warnings.is_empty() {
+        eprintln!("{}", checked.warnings);
     }
-    output::write(&format!("{file}: {}\n", sound.summary))
+    output::write(&format!("{file}: {}\n", checked.summary))
 }
--- a/hawthornkeel/src/cli/command.rs
+++ b/hawthornkeel/src/cli/command.rs
@@ -1,4 +1,4 @@
-//! Commands with their options.
+//! Commands and their options.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -26,7 +26,7 @@
     TakeOut(CentreOptions),
     /// Brings a data centre back into service.
     BringBack(CentreOptions),
-    /// Makes certificates for instances.
+    /// Creates certificates for instances.
     Keys(KeysOptions),
     /// Prints the help of a topic.
     Help(Topic),
@@ -34,7 +34,7 @@
     Version,
 }
 
-/// Topic of the help.
+/// Help topic.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Topic {
     /// The command line as a whole.
@@ -58,7 +58,7 @@
 }
 
 impl Topic {
-    /// Every command's topic.
+    /// Topics of all commands.
     pub const COMMANDS: [Self; 8] = [
         Self::Check,
         Self::Trial,
@@ -96,7 +96,7 @@
 /// Options of `trial`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TrialOptions {
-    /// File of the environment document.
+    /// Path of the environment document.
     pub document: PathBuf,
     /// Address to listen on.
     pub listen: SocketAddr,
@@ -105,38 +105,38 @@
 /// Options of `run`.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RunOptions {
-    /// File of the settings.
+    /// Path of the settings file.
     pub settings: PathBuf,
 }
 
 /// Options of `submit`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SubmitOptions {
-    /// File of the environment document.
+    /// Path of the environment document.
     pub document: PathBuf,
     /// Version that the document replaces.
     pub expected: Version,
-    /// Who orders it, where and under which number.
+    /// Options of the order.
     pub order: OrderOptions,
 }
 
 /// Options of `take-out` and `bring-back`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CentreOptions {
-    /// Data centre concerned.
+    /// Data centre.
     pub centre: CentreName,
-    /// Who orders it, where and under which number.
+    /// Options of the order.
     pub order: OrderOptions,
 }
 
-/// Options that all orders have.
+/// Options common to all orders.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OrderOptions {
     /// Admin address of an instance.
     pub admin: SocketAddr,
-    /// Who orders.
+    /// Operator who gives the order.
     pub operator: OperatorName,
-    /// Operation number; drawn at random where none is given.
+    /// Operation number; random if none is given.
     pub operation: OperationNumber,
 }
 
@@ -150,8 +150,8 @@
 /// Options of `keys`.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct KeysOptions {
-    /// Folder of the authority and the certificates.
+    /// Folder for the certificate authority and the certificates.
     pub folder: PathBuf,
-    /// Instances to make certificates for.
+    /// Instances to create certificates for.
     pub names: Vec<InstanceName>,
 }
--- a/hawthornkeel/src/cli/error.rs
+++ b/hawthornkeel/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails, and the exit code that it fails with.
+//! Errors of commands and their exit codes.
 
 use std::error::Error;
 use std::fmt;
@@ -7,21 +7,22 @@
 
 /// Exit code: the command could not be carried out.
 pub const EXIT_FAILED: u8 = 1;
-/// Exit code: the command line is wrong.
+/// Exit code: the command line is invalid.
 pub const EXIT_USAGE: u8 = 2;
-/// Exit code: the order was refused, and a resend of it will be too.
+/// Exit code: the order was refused; a retry will be refused too.
 pub const EXIT_REFUSED: u8 = 3;
-/// Exit code: the order was not carried out and changed nothing; a resend may be accepted.
+/// Exit code: the order was not carried out and changed nothing; a retry may be accepted.
 pub const EXIT_RETRY: u8 = 4;
-/// Exit code: whether the order was carried out is not known; a resend under its number is safe.
+/// Exit code: it is unknown whether the order was carried out; a retry with the same operation
+/// number is safe.
 pub const EXIT_UNKNOWN: u8 = 5;
 
-/// Why a command fails.
+/// Reason why a command failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CliError {
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage(String),
-    /// Files have findings.
+    /// Files have errors.
     Findings(Vec<Findings>),
     /// The command could not be carried out.
     Failed(String),
@@ -29,7 +30,7 @@
     Refused(String),
     /// The order was not carried out and changed nothing.
     Retry(String),
-    /// Whether the order was carried out is not known.
+    /// It is unknown whether the order was carried out.
     Unknown(String),
 }
 
@@ -73,7 +74,7 @@
     }
 }
 
-/// Returns `text` on one line, as errors are printed.
+/// Replaces control characters so that an error is printed on one line.
 pub fn one_line(text: &str) -> String {
     text.replace(char::is_control, " ")
 }
--- a/hawthornkeel/src/cli/help.rs
+++ b/hawthornkeel/src/cli/help.rs
@@ -5,8 +5,8 @@
 use crate::cli::error::CliError;
 use crate::cli::output;
 
-/// Options that every command has.
-const COMMON: &str = "  -h, --help             print this help
+/// Options common to all commands.
+const COMMON_OPTIONS: &str = "  -h, --help             print this help
   -V, --version          print the version
 ";
 
@@ -20,8 +20,9 @@
   5  whether the order was carried out is not known; a resend under its number is safe
 ";
 
-/// Options of an order.
-const ORDER: &str = "  --admin ADDRESS        admin address of an instance, such as 127.0.0.1:9901
+/// Options of orders.
+const ORDER_OPTIONS: &str =
+    "  --admin ADDRESS        admin address of an instance, such as 127.0.0.1:9901
   --operator NAME        who orders
   --operation NUMBER     operation number, the same on a resend; drawn at random and printed
                          where it is left out
@@ -30,7 +31,7 @@
 /// Prints the help of `topic`.
 ///
 /// # Errors
-/// Fails where standard output can't be written.
+/// Fails if standard output can't be written.
 pub fn print(topic: Topic) -> Result<(), CliError> {
     output::write(&text(topic))
 }
@@ -38,7 +39,7 @@
 /// Prints the version.
 ///
 /// # Errors
-/// Fails where standard output can't be written.
+/// Fails if standard output can't be written.
 pub fn print_version() -> Result<(), CliError> {
     output::write(&format!("hawthornkeel {VERSION}\n"))
 }
@@ -66,7 +67,7 @@
         Topic::Submit => (
             "submit --admin ADDRESS --operator NAME --expected VERSION DOCUMENT",
             "Submits an environment document; success is reported once it is stored by a quorum.",
-            format!("{ORDER}  --expected VERSION     version that the document replaces\n"),
+            format!("{ORDER_OPTIONS}  --expected VERSION     version that the document replaces\n"),
         ),
         Topic::Status => (
             "status --admin ADDRESS",
@@ -77,12 +78,12 @@
         Topic::TakeOut => (
             "take-out --admin ADDRESS --operator NAME CENTRE",
             "Takes a data centre out of service; work that runs there finishes.",
-            ORDER.to_owned(),
+            ORDER_OPTIONS.to_owned(),
         ),
         Topic::BringBack => (
             "bring-back --admin ADDRESS --operator NAME CENTRE",
             "Brings a data centre back into service.",
-            ORDER.to_owned(),
+            ORDER_OPTIONS.to_owned(),
         ),
         Topic::Keys => (
             "keys FOLDER NAME...",
@@ -91,7 +92,9 @@
             String::new(),
         ),
     };
-    format!("Usage: hawthornkeel {usage}\n\n{purpose}\n\nOptions:\n{options}{COMMON}\n{EXIT_CODES}")
+    format!(
+        "Usage: hawthornkeel {usage}\n\n{purpose}\n\nOptions:\n{options}{COMMON_OPTIONS}\n{EXIT_CODES}"
+    )
 }
 
 fn general() -> String {
@@ -111,7 +114,7 @@
   keys FOLDER NAME...    make certificates for instances
 
 Options:
-{COMMON}
+{COMMON_OPTIONS}
 {EXIT_CODES}"
     )
 }
--- a/hawthornkeel/src/cli/keys.rs
+++ b/hawthornkeel/src/cli/keys.rs
@@ -1,14 +1,14 @@
-//! Command `keys`: certificates for instances.
+//! Command `keys`: creates certificates for instances.
 
 use crate::cli::command::KeysOptions;
 use crate::cli::error::CliError;
 use crate::cli::output;
 use crate::peer::certificate;
 
-/// Makes a certificate for each instance and names its files on standard output.
+/// Creates a certificate for each instance and prints the paths of its files to standard output.
 ///
 /// # Errors
-/// Fails where a file can't be read or written.
+/// Fails if a file can't be read or written.
 pub fn keys(options: &KeysOptions) -> Result<(), CliError> {
     for name in &options.names {
         let issued = certificate::issue(&options.folder, name).map_err(|error| {
--- a/hawthornkeel/src/cli/mod.rs
+++ b/hawthornkeel/src/cli/mod.rs
@@ -18,12 +18,12 @@
 use crate::cli::command::Command;
 use crate::cli::error::CliError;
 
-/// Version of the command.
+/// Version of the program.
 pub const VERSION: &str = env!("CARGO_PKG_VERSION");
 
-/// Runs the command given by `args`, the program's name left out.
+/// Runs the command in `args`, which do not include the program's name.
 ///
-/// An error goes to standard error, one line for each fault.
+/// Errors are printed to standard error, one line each.
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     match parse::parse(args).and_then(execute) {
         Ok(()) => ExitCode::SUCCESS,
--- a/hawthornkeel/src/cli/output.rs
+++ b/hawthornkeel/src/cli/output.rs
@@ -1,4 +1,4 @@
-//! Standard output of the commands.
+//! Standard output of commands.
 
 use std::io;
 use std::io::Write;
@@ -8,7 +8,7 @@
 /// Writes `text` to standard output.
 ///
 /// # Errors
-/// Fails where it can't be written, but not where the reader has seen enough and left.
+/// Fails if standard output can't be written, but not if the reader has closed the pipe.
 pub fn write(text: &str) -> Result<(), CliError> {
     match io::stdout().write_all(text.as_bytes()) {
         Err(error) if error.kind() != io::ErrorKind::BrokenPipe => {
--- a/hawthornkeel/src/cli/parse.rs
+++ b/hawthornkeel/src/cli/parse.rs
@@ -1,4 +1,4 @@
-//! Parses the command line.
+//! Parser for the command line.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -26,14 +26,14 @@
 use crate::cli::command::TrialOptions;
 use crate::cli::error::CliError;
 
-/// Address that `trial` listens on where none is given.
+/// Default listen address of `trial`.
 const TRIAL_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 8080);
 
-/// Bits of an operation number that is drawn at random: any JSON reader takes it whole.
-const DRAWN_BITS: u32 = 48;
+/// Bits of a random operation number; JSON readers that use doubles represent it exactly.
+const RANDOM_OPERATION_BITS: u32 = 48;
 
-/// Arguments of one command before it is known which of them it needs.
+/// Parsed arguments, before they are checked against the command.
 #[derive(Debug, Default)]
 struct Arguments {
     values: Vec<OsString>,
@@ -45,10 +45,10 @@
     settings: Option<PathBuf>,
 }
 
-/// Parses `args`, the program's name left out.
+/// Parses `args`, which do not include the program's name.
 ///
 /// # Errors
-/// Fails where the command line is wrong.
+/// Fails if the command line is invalid.
 pub fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Command, CliError> {
     let mut parser = Parser::from_args(args);
     let topic = match parser.next()? {
@@ -64,7 +64,7 @@
             Arg::Long("help") | Arg::Short('h') => return Ok(Command::Help(topic)),
             Arg::Long("version") | Arg::Short('V') => return Ok(Command::Version),
             Arg::Value(value) => arguments.values.push(value),
-            Arg::Long(name) if takes(topic, name) => {
+            Arg::Long(name) if accepts(topic, name) => {
                 let name = name.to_owned();
                 let value = parser.value()?;
                 arguments.set(&name, value)?;
@@ -77,11 +77,11 @@
 
 fn topic(name: &OsString) -> Result<Topic, CliError> {
     let found = Topic::COMMANDS.into_iter().find(|t| name == t.name());
-    found.ok_or_else(|| CliError::Usage(format!("no command is called {name:?}")))
+    found.ok_or_else(|| CliError::Usage(format!("unknown command: {name:?}")))
 }
 
-/// Tells whether a command takes the option `name`.
-fn takes(topic: Topic, name: &str) -> bool {
+/// Returns whether a command accepts the option `name`.
+fn accepts(topic: Topic, name: &str) -> bool {
     match topic {
         Topic::General | Topic::Check | Topic::Keys => false,
         Topic::Trial => name == "listen",
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Takes the first argument that is no option.
+    /// Takes the next positional argument.
     fn value(&mut self, what: &str) -> Result<OsString, CliError> {
         if self.values.is_empty() { Err(missing(what)) } else { Ok(self.values.remove(0)) }
     }
@@ -148,9 +148,9 @@
 
     fn order(&mut self) -> Result<OrderOptions, CliError> {
         let operator = self.operator.take().ok_or_else(|| missing("--operator"))?;
-        let operator = checked(&operator, "an operator", schema::is_name)?;
+        let operator = validate_name(&operator, "an operator", schema::is_name)?;
         let operation =
-            self.operation.unwrap_or_else(|| rand::random::<u64>() >> (64 - DRAWN_BITS));
+            self.operation.unwrap_or_else(|| rand::random::<u64>() >> (64 - RANDOM_OPERATION_BITS));
         Ok(OrderOptions {
             admin: self.admin()?,
             operator: OperatorName::new(operator),
@@ -160,7 +160,7 @@
 
     fn centre(&mut self) -> Result<CentreOptions, CliError> {
         let name = self.value("a data centre")?.string()?;
-        let name = checked(&name, "a data centre", schema::is_name)?;
+        let name = validate_name(&name, "a data centre", schema::is_name)?;
         Ok(CentreOptions { centre: CentreName::new(name), order: self.order()? })
     }
 
@@ -175,7 +175,7 @@
 
     fn instance(&mut self) -> Result<InstanceName, CliError> {
         let name = self.value("the name of an instance")?.string()?;
-        let name = checked(&name, "an instance", schema::is_host_name)?;
+        let name = validate_name(&name, "an instance", schema::is_host_name)?;
         Ok(InstanceName::new(name))
     }
 }
@@ -184,10 +184,14 @@
     CliError::Usage(format!("missing: {what}"))
 }
 
-fn checked<'n>(name: &'n str, what: &str, ok: fn(&str) -> bool) -> Result<&'n str, CliError> {
-    if ok(name) {
+fn validate_name<'n>(
+    name: &'n str,
+    what: &str,
+    is_valid: fn(&str) -> bool,
+) -> Result<&'n str, CliError> {
+    if is_valid(name) {
         Ok(name)
     } else {
-        Err(CliError::Usage(format!("not the name of {what}: {name:?}")))
+        Err(CliError::Usage(format!("invalid name of {what}: {name:?}")))
     }
 }
--- a/hawthornkeel/src/cli/run.rs
+++ b/hawthornkeel/src/cli/run.rs
@@ -1,4 +1,4 @@
-//! Command `run`: an instance.
+//! Command `run`: runs an instance.
 
 use hawthornkeel_config::check_settings;
 use hawthornkeel_config::load::read_text;
@@ -14,13 +14,13 @@
 use crate::stop::StopRequest;
 use crate::telemetry;
 
-/// Runs an instance until it is asked to stop.
+/// Runs an instance until it receives a request to stop.
 ///
-/// Warnings about the settings go to standard error.
+/// Prints warnings about the settings to standard error.
 ///
 /// # Errors
-/// Fails where the settings have errors, an address, certificate or folder can't be used, or a
-/// planned stop cut requests off.
+/// Fails if the settings have errors, an address, certificate or folder can't be used, or a planned
+/// stop aborted requests.
 pub fn run(options: &RunOptions) -> Result<(), CliError> {
     let path = &options.settings;
     let warnings = check_settings(&path.display().to_string(), &read_text(path)?).findings;
@@ -36,7 +36,7 @@
     stop_result(report)
 }
 
-/// Returns the result of a process that stopped as `report` says.
+/// Returns the result of a command for the report of a planned stop.
 pub fn stop_result(report: StopReport) -> Result<(), CliError> {
     match report {
         StopReport::Complete => Ok(()),
@@ -44,7 +44,7 @@
     }
 }
 
-/// Returns the error of a command that `error` ended.
+/// Converts an error that ended a command.
 pub(crate) fn command_error(error: impl std::error::Error) -> CliError {
     CliError::Failed(one_line(&error.to_string()))
 }
--- a/hawthornkeel/src/cli/trial.rs
+++ b/hawthornkeel/src/cli/trial.rs
@@ -1,4 +1,4 @@
-//! Command `trial`: a document in one process with built-in targets.
+//! Command `trial`: runs a document in one process with built-in targets.
 
 use hawthornkeel_config::load::read_text;
 use hawthornkeel_config::parse_document;
@@ -13,11 +13,10 @@
 use crate::stop::StopRequest;
 use crate::trial;
 
-/// Runs a document until the process is asked to stop.
+/// Runs a document until the process receives a request to stop.
 ///
 /// # Errors
-/// Fails where the document has errors, an address can't be used, or a planned stop cut requests
-/// off.
+/// Fails if the document has errors, an address can't be used, or a planned stop aborted requests.
 pub fn trial(options: &TrialOptions) -> Result<(), CliError> {
     let text = read_text(&options.document)?;
     let document = parse_document(&options.document.display().to_string(), &text)?;
--- a/hawthornkeel/src/clock.rs
+++ b/hawthornkeel/src/clock.rs
@@ -1,4 +1,4 @@
-//! Clocks of the process: the one that decisions take, and the wall clock.
+//! Clocks of the process: the boot-time clock and the wall clock.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -9,23 +9,23 @@
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-/// Clock that decisions take: leases on it run out while the machine is suspended.
+/// Clock for decisions. It runs while the machine is suspended, so leases expire meanwhile.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock;
 
 impl Clock {
-    /// Returns the present point.
+    /// Returns the current time.
     pub fn now(&self) -> Instant {
         boot_now()
     }
 
-    /// Returns the time until `point`, or zero where it has passed.
+    /// Returns the time until `point`, or zero if it has passed.
     pub fn time_until(&self, point: Instant) -> Duration {
         point.since(self.now())
     }
 }
 
-/// Returns the present point on the clock that goes on while the machine is suspended.
+/// Returns the current time of the clock that runs while the machine is suspended.
 pub fn boot_now() -> Instant {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
@@ -33,7 +33,7 @@
     Instant::from_micros(seconds.saturating_mul(1_000_000).saturating_add(nanos / 1_000))
 }
 
-/// Returns the present point on the wall clock; a clock before the epoch reads as the epoch.
+/// Returns the current wall clock time; a time before the Unix epoch is returned as the epoch.
 pub fn wall_now() -> WallTime {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     WallTime::from_millis(u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX))
--- a/hawthornkeel/src/instance.rs
+++ b/hawthornkeel/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance with the roles that its settings give it, from its start to its planned stop.
+//! An instance with its configured roles, from its start to its planned stop.
 
 use std::error::Error;
 use std::fmt;
@@ -41,21 +41,21 @@
 use crate::peer::frame::FrameKind;
 use crate::stop::StopRequest;
 
-/// Pause between two looks at whether a stop was asked for.
-const POLL: Duration = Duration::from_millis(20);
+/// Interval at which requests to stop and the leadership are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why an instance could not start, or had to end.
+/// Reason why an instance could not start or had to stop.
 #[derive(Debug)]
 pub enum RunError {
     /// The endpoint for peers can't be opened.
     Peer(PeerError),
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     Listen(ListenError),
     /// The control role can't start.
     Control(OpenError),
-    /// The entry role has no address.
+    /// The entry role has no listen address.
     NoListenAddress,
-    /// The control role failed, and nothing more can be acknowledged.
+    /// The control role failed and can't acknowledge anything any more.
     Failed(ControlFailure),
 }
 
@@ -91,10 +91,11 @@
     }
 }
 
-/// Runs an instance until `stop` is asked for.
+/// Runs an instance until a stop is requested.
 ///
 /// # Errors
-/// Fails where an address, a certificate or the data folder can't be used.
+/// Fails if an address, a certificate or the data folder can't be used, or if the control role
+/// fails.
 pub async fn run(
     settings: Settings,
     stop: StopRequest,
@@ -128,20 +129,20 @@
     Ok(report)
 }
 
-/// Hands the lead over, for as long as that may take, and ends the control role.
+/// Transfers the leadership, waiting up to `limit` for that, and stops the control role.
 async fn stop_control(control: &Control, limit: Duration) {
     let mut waited = Duration::ZERO;
     control.hand_over();
     while control.lead().own && waited < limit {
-        monoio::time::sleep(POLL).await;
-        waited += POLL;
+        monoio::time::sleep(POLL_INTERVAL).await;
+        waited += POLL_INTERVAL;
     }
-    // A voter that was just told to take over gets the message before the endpoint is closed.
-    monoio::time::sleep(POLL).await;
+    // Leaves time to send the transfer message to the next leader before the endpoint is closed.
+    monoio::time::sleep(POLL_INTERVAL).await;
     control.stop();
 }
 
-/// Serves callers where the instance is an entry, and waits for the request to stop.
+/// Serves callers if the instance is an entry, and waits for a request to stop.
 async fn serve(
     settings: &Settings,
     context: Option<Rc<Context>>,
@@ -154,7 +155,7 @@
     Ok(Started::listen(context, listen)?.serve(stop).await)
 }
 
-/// Waits until the control role has failed; for ever where there is none.
+/// Waits until the control role fails, or forever if there is none.
 async fn control_failure(control: Option<Control>) -> ControlFailure {
     match control {
         Some(control) => control.failed().await,
@@ -162,7 +163,7 @@
     }
 }
 
-/// Serves the platform's operators and the entries that follow, where the settings ask for it.
+/// Serves operators on the platform's paths, and discovery for forwarding entries, if configured.
 fn serve_operators(
     settings: &Settings,
     endpoint: &Endpoint,
@@ -198,21 +199,21 @@
     Ok(())
 }
 
-/// Returns what orders to targets need, where the instance is an entry and has the control role.
+/// Returns what orders to targets need, if the instance has the control role.
 fn target_orders(
     settings: &Settings,
     context: &Rc<Context>,
     parts: &Parts,
 ) -> Option<TargetOrders> {
     let control = parts.control.clone()?;
-    // A leader's lease is shorter than the time after which its followers elect another.
+    // A leader's lease is shorter than the election timeout of its followers.
     let lease = Duration::from_millis(settings.control.election_ms);
     let settings = OrderSettings { lease, ..OrderSettings::default() };
     let orders = Orders::start(control, context.client.clone(), settings);
     Some(TargetOrders { context: Rc::clone(context), orders })
 }
 
-/// Creates the state of the entry role, which begins to follow the published state.
+/// Creates the context of the entry role and starts to follow the published state.
 fn open_entry(settings: &Settings, endpoint: &Endpoint, parts: &Parts) -> Rc<Context> {
     let wiring = Wiring {
         claims: ClaimStore::Control(parts.client.clone()),
@@ -239,10 +240,10 @@
     });
 }
 
-/// Waits for the request to stop an instance without the entry role.
+/// Waits for a request to stop an instance without the entry role.
 async fn wait_for_stop(stop: StopRequest) -> StopReport {
     while stop.count() == 0 {
-        monoio::time::sleep(POLL).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
     StopReport::Complete
 }
--- a/hawthornkeel/src/lib.rs
+++ b/hawthornkeel/src/lib.rs
@@ -1,4 +1,4 @@
-//! Edges of the hawthornkeel serving system: HTTP, QUIC, disk, clock, roles and command line.
+//! I/O layer of the hawthornkeel serving system: HTTP, QUIC, disk, clocks, roles and command line.
 
 #![deny(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing)]
 
--- a/hawthornkeel/src/logging.rs
+++ b/hawthornkeel/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log output: one key=value line an event, on standard output.
+//! Log output to standard output, one logfmt line per event.
 
 use std::error::Error;
 use std::fmt;
@@ -8,30 +8,30 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Why log output can't start.
+/// Reason why log output could not be initialized.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LoggingError {
-    /// The filter can't be read.
+    /// The filter is invalid.
     InvalidFilter(String),
-    /// Log output has started already.
+    /// Log output is already initialized.
     AlreadyInitialized,
 }
 
 impl fmt::Display for LoggingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::InvalidFilter(cause) => write!(f, "log.filter can't be read: {cause}"),
-            Self::AlreadyInitialized => f.write_str("log output has started already"),
+            Self::InvalidFilter(cause) => write!(f, "invalid log.filter: {cause}"),
+            Self::AlreadyInitialized => f.write_str("log output is already initialized"),
         }
     }
 }
 
 impl Error for LoggingError {}
 
-/// Starts log output with `filter`, such as `info` or `hawthornkeel=debug`.
+/// Initializes log output with `filter`, such as `info` or `hawthornkeel=debug`.
 ///
 /// # Errors
-/// Fails where the filter can't be read or log output has started already.
+/// Fails if the filter is invalid or log output is already initialized.
 pub fn init(filter: &str) -> Result<(), LoggingError> {
     let filter = EnvFilter::try_new(filter)
         .map_err(|error| LoggingError::InvalidFilter(error.to_string()))?;
--- a/hawthornkeel/src/main.rs
+++ b/hawthornkeel/src/main.rs
@@ -1,4 +1,4 @@
-//! Entry point of the `hawthornkeel` command.
+//! The `hawthornkeel` program.
 
 #![deny(clippy::unwrap_used, clippy::expect_used, clippy::panic, clippy::indexing_slicing)]
 
--- a/hawthornkeel/src/runtime.rs
+++ b/hawthornkeel/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The process's event loop: one thread on epoll.
+//! Event loop of the process: a single thread on epoll.
 
 use std::future::Future;
 use std::io;
@@ -6,10 +6,10 @@
 use monoio::LegacyDriver;
 use monoio::RuntimeBuilder;
 
-/// Runs `future` to its end on this thread.
+/// Runs `future` to completion on this thread.
 ///
 /// # Errors
-/// Fails where the event loop can't be created.
+/// Fails if the event loop can't be created.
 pub fn block_on<F: Future>(future: F) -> io::Result<F::Output> {
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new().enable_timer().build()?;
     Ok(runtime.block_on(future))
--- a/hawthornkeel/src/stop.rs
+++ b/hawthornkeel/src/stop.rs
@@ -1,4 +1,4 @@
-//! Requests to stop, the signals TERM and INT, and to read the settings again, the signal HUP.
+//! Signals: SIGTERM and SIGINT request a stop, SIGHUP a reload of the settings.
 
 use std::io;
 use std::sync::Arc;
@@ -11,41 +11,41 @@
 use signal_hook::consts::SIGTERM;
 use signal_hook::flag;
 
-/// Count of requests to stop; clones share it.
+/// Counter of requests to stop, with a flag for reloads; clones share their state.
 #[derive(Clone, Debug, Default)]
 pub struct StopRequest {
-    signalled: Arc<AtomicBool>,
+    stop_signalled: Arc<AtomicBool>,
     count: Arc<AtomicUsize>,
-    reloaded: Arc<AtomicBool>,
+    reload_signalled: Arc<AtomicBool>,
 }
 
 impl StopRequest {
-    /// Creates a count that follows the process's signals.
+    /// Creates a counter that is updated by the signals of the process.
     ///
     /// # Errors
-    /// Fails where a signal can't be handled.
+    /// Fails if a signal handler can't be installed.
     pub fn from_signals() -> io::Result<Self> {
         let request = Self::default();
         for signal in [SIGTERM, SIGINT] {
-            flag::register(signal, Arc::clone(&request.signalled))?;
+            flag::register(signal, Arc::clone(&request.stop_signalled))?;
         }
-        flag::register(SIGHUP, Arc::clone(&request.reloaded))?;
+        flag::register(SIGHUP, Arc::clone(&request.reload_signalled))?;
         Ok(request)
     }
 
-    /// Asks to stop.
+    /// Requests a stop.
     pub fn request(&self) {
         self.count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Tells whether the settings were said to have changed since the last call.
+    /// Returns whether a reload was requested since the last call.
     pub fn take_reload(&self) -> bool {
-        self.reloaded.swap(false, Ordering::Relaxed)
+        self.reload_signalled.swap(false, Ordering::Relaxed)
     }
 
-    /// Returns how often a stop was asked for; signals between two looks count once.
+    /// Returns how often a stop was requested; several signals between two calls count once.
     pub fn count(&self) -> usize {
-        if self.signalled.swap(false, Ordering::Relaxed) {
+        if self.stop_signalled.swap(false, Ordering::Relaxed) {
             self.request();
         }
         self.count.load(Ordering::Relaxed)
--- a/hawthornkeel/src/trial.rs
+++ b/hawthornkeel/src/trial.rs
@@ -1,4 +1,4 @@
-//! Trial: an entry with built-in targets and replicated state in one process, without a disk.
+//! Trial: an entry with built-in targets and in-memory state in one process.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -33,26 +33,28 @@
 
 /// Data centre of a trial.
 const CENTRE: &str = "trial";
-/// Start of the caller's key of each workspace.
+/// Prefix of each workspace's API key; the name of the workspace follows.
 const KEY_PREFIX: &str = "trial-";
-/// Targets in each pool.
-const TARGETS: usize = 2;
-/// Lease of a trial, whose one voter needs no long wait.
-const LEASE_PERIOD: Duration = Duration::from_millis(300);
-const LEASE_RENEW: Duration = Duration::from_millis(100);
-const GRANT: Duration = Duration::from_secs(1);
+/// Number of targets in each pool.
+const POOL_TARGETS: usize = 2;
+/// Lease duration; short, since a trial has a single voter.
+const LEASE_DURATION: Duration = Duration::from_millis(300);
+/// Renew interval of the lease.
+const RENEW_INTERVAL: Duration = Duration::from_millis(100);
+/// Duration of a grant.
+const GRANT_DURATION: Duration = Duration::from_secs(1);
 
-/// Serves `document` on `listen` until `stop` is asked for.
+/// Serves `document` on `listen` until a stop is requested.
 ///
 /// # Errors
-/// Fails where an address can't be taken.
+/// Fails if listening on an address fails.
 pub async fn run(
     document: Document,
     listen: SocketAddr,
     stop: StopRequest,
 ) -> Result<StopReport, ListenError> {
     let targets = start_targets(&document)?;
-    let guide = guide(&document);
+    let commands = example_commands(&document);
     let context = Rc::new(Context::new(settings(&document, listen), wiring()));
     *context.targets.borrow_mut() = targets.clone();
     let now = context.clock.now();
@@ -60,15 +62,15 @@
     context.router.borrow_mut().update_targets(now, &targets);
     let started = Started::listen(context, listen)?;
     tracing::info!(event = "trial-started", address = %started.address());
-    println!("{}", guide.replace("{address}", &started.address().to_string()));
+    println!("{}", commands.replace("{address}", &started.address().to_string()));
     Ok(started.serve(stop).await)
 }
 
 fn wiring() -> Wiring {
     let lease = LeaseSettings {
-        lease_duration: LEASE_PERIOD,
-        renew_interval: LEASE_RENEW,
-        grant_duration: GRANT,
+        lease_duration: LEASE_DURATION,
+        renew_interval: RENEW_INTERVAL,
+        grant_duration: GRANT_DURATION,
         ..LeaseSettings::default()
     };
     let claims = ClaimStore::Local(Rc::new(LocalState::default()));
@@ -91,7 +93,7 @@
     settings
 }
 
-/// Returns a key for each workspace: `trial-` and its name.
+/// Returns the digest of the API key of each workspace.
 fn keys(document: &Document) -> IndexMap<String, WorkspaceName> {
     let digest = |name: &WorkspaceName| content_hash(&format!("{KEY_PREFIX}{name}"));
     document.workspaces.iter().map(|w| (digest(&w.name), w.name.clone())).collect()
@@ -100,7 +102,7 @@
 fn start_targets(document: &Document) -> Result<Vec<TargetInfo>, ListenError> {
     let mut targets = Vec::new();
     for pool in &document.pools {
-        for number in 0..TARGETS {
+        for number in 0..POOL_TARGETS {
             let address = SocketAddr::from(([127, 0, 0, 1], 0));
             let server = Server::bind(address, Limits::default())?;
             targets.push(TargetInfo {
@@ -116,8 +118,8 @@
     Ok(targets)
 }
 
-/// Returns the commands that call each pipeline, for the first workspace.
-fn guide(document: &Document) -> String {
+/// Returns a command for each pipeline that calls it with the key of the first workspace.
+fn example_commands(document: &Document) -> String {
     let workspace = document.workspaces.first().map_or("", |w| w.name.as_str());
     let mut text = String::from("Call a pipeline with:\n");
     for pipeline in &document.pipelines {
