--- a/hawthornkeel/tests/cli_check.rs
+++ b/hawthornkeel/tests/cli_check.rs
@@ -1,4 +1,4 @@
-//! The command `check` and the errors of the command line, through the binary.
+//! The command `check` and errors of the command line, run through the binary.
 
 use std::fs;
 use std::path::PathBuf;
@@ -22,7 +22,7 @@
 #[test]
 fn examples_pass() {
     let mut files = Vec::new();
-    for folder in fs::read_dir(examples()).expect("the examples are there") {
+    for folder in fs::read_dir(examples()).expect("the examples exist") {
         for file in fs::read_dir(folder.expect("an entry").path()).expect("a folder") {
             files.push(file.expect("an entry").path().display().to_string());
         }
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn keys_makes_certificates() {
+fn keys_creates_certificates() {
     let folder = tempfile::tempdir().expect("a folder");
     let keys = folder.path().join("keys");
     let output = run(&["keys", &keys.display().to_string(), "entry-1", "entry-2"]);
--- a/hawthornkeel/tests/cli_orders.rs
+++ b/hawthornkeel/tests/cli_orders.rs
@@ -1,4 +1,4 @@
-//! Orders from the command line to an instance: what is sent, and the exit codes.
+//! Orders from the command line to an instance: requests and exit codes.
 
 use std::fs;
 use std::io::Read;
@@ -14,12 +14,12 @@
 use rstest::rstest;
 use serde_json::Value;
 
-/// Answer to an order whose operation number was used for another order.
+/// Response to an order whose operation number was used for another order.
 const CONFLICT: &str = r#"{"result":"conflict","order":{"operator":"ueda","operation":7,
 "centre":"yatsushiro","state":"InService"},"index":12}"#;
 
-/// Answers one request with `status` and `body`, or closes where there is no status.
-fn answer(status: Option<&str>, body: &str) -> (SocketAddr, JoinHandle<String>) {
+/// Responds to one request with `status` and `body`, or closes the connection without a status.
+fn serve_once(status: Option<&str>, body: &str) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("an address is free");
     let address = listener.local_addr().expect("the address is known");
     let head = status.map(|s| format!("HTTP/1.1 {s}\r\ncontent-length: {}\r\n\r\n", body.len()));
@@ -34,7 +34,7 @@
             request.push_str(std::str::from_utf8(&piece[..count]).expect("text"));
         }
         if let Some(head) = head {
-            stream.write_all((head + &body).as_bytes()).expect("the answer is sent");
+            stream.write_all((head + &body).as_bytes()).expect("the response is sent");
         }
         request
     });
@@ -67,7 +67,7 @@
 
 #[test]
 fn submit_sends_document() {
-    let (admin, server) = answer(Some("200 OK"), r#"{"result":"accepted","version":4}"#);
+    let (admin, server) = serve_once(Some("200 OK"), r#"{"result":"accepted","version":4}"#);
     let file = trial_document().display().to_string();
     let args = ["submit", &file, "--operator", "mori", "--operation", "7", "--expected", "3"];
     let output = run(admin, &args);
@@ -95,8 +95,8 @@
 }
 
 #[test]
-fn drawn_number_is_printed_and_sent() {
-    let (admin, server) = answer(Some("200 OK"), r#"{"result":"held"}"#);
+fn random_number_is_printed_and_sent() {
+    let (admin, server) = serve_once(Some("200 OK"), r#"{"result":"held"}"#);
     let output = run(admin, &["bring-back", "yatsushiro", "--operator", "mori"]);
     let request = server.join().expect("the request is whole");
     assert_eq!(output.status.code(), Some(0));
@@ -111,7 +111,7 @@
 
 #[test]
 fn status_is_printed() {
-    let (admin, server) = answer(Some("200 OK"), "{\"version\":4}\n");
+    let (admin, server) = serve_once(Some("200 OK"), "{\"version\":4}\n");
     let output = run(admin, &["status"]);
     let request = server.join().expect("the request is whole");
     assert!(request.starts_with("GET /admin/status HTTP/1.1\r\n"), "{request}");
@@ -131,7 +131,7 @@
     3,
     "refused: status 404: Absent."
 )]
-#[case::not_now(
+#[case::not_run(
     Some("503 Service Unavailable"),
     r#"{"ran":"not-run","detail":"stopping"}"#,
     4,
@@ -144,14 +144,14 @@
     "outcome not known: status 503"
 )]
 #[case::garbage(Some("500 Internal Server Error"), "<html>", 5, "outcome not known: status 500")]
-#[case::no_answer(None, "", 5, "outcome not known: no answer from")]
-fn exit_code_tells_the_outcome(
+#[case::no_response(None, "", 5, "outcome not known: no answer from")]
+fn exit_code_shows_outcome(
     #[case] status: Option<&str>,
     #[case] body: &str,
     #[case] code: i32,
     #[case] line: &str,
 ) {
-    let (admin, server) = answer(status, body);
+    let (admin, server) = serve_once(status, body);
     let output = take_out(admin);
     server.join().expect("the request is whole");
     assert_eq!(output.status.code(), Some(code));
--- a/hawthornkeel/tests/cli_pages.rs
+++ b/hawthornkeel/tests/cli_pages.rs
@@ -1,4 +1,4 @@
-//! The man page and the completions know every command, option and exit code.
+//! The manual page and the completions cover every command, option and exit code.
 
 use std::fs;
 
@@ -12,7 +12,7 @@
     fs::read_to_string(path).expect("the file is there")
 }
 
-/// Returns the long options in the help of all commands, without hyphens.
+/// Returns the long options in the help of all commands, without leading hyphens.
 fn options() -> Vec<String> {
     let mut options = Vec::new();
     for topic in Topic::COMMANDS {
@@ -30,7 +30,7 @@
 #[case::bash("completions/hawthornkeel.bash", "--")]
 #[case::zsh("completions/_hawthornkeel", "--")]
 #[case::fish("completions/hawthornkeel.fish", "-l ")]
-fn completions_know_all(#[case] path: &str, #[case] prefix: &str) {
+fn completions_are_complete(#[case] path: &str, #[case] prefix: &str) {
     let text = read(path);
     for topic in Topic::COMMANDS {
         assert!(text.contains(topic.name()), "{path}: {}", topic.name());
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn man_page_knows_all() {
+fn man_page_is_complete() {
     let page = read("man/hawthornkeel.1").replace("\\-", "-");
     for topic in Topic::COMMANDS {
         assert!(page.contains(&format!(".TP\n.B {}\n", topic.name())), "{}", topic.name());
--- a/hawthornkeel/tests/open_descriptors.rs
+++ b/hawthornkeel/tests/open_descriptors.rs
@@ -1,4 +1,4 @@
-//! What a running process has open, and that it starts no other.
+//! Open file descriptors and child processes of an instance.
 
 mod fleet;
 
@@ -7,7 +7,7 @@
 use fleet::Fleet;
 
 #[test]
-fn process_uses_epoll_only_and_starts_no_other() {
+fn process_uses_epoll_without_children() {
     let fleet = Fleet::start(4, 2);
     for at in [0, 3] {
         let pid = fleet.pid(at).as_raw_nonzero();
--- a/hawthornkeel/tests/support/cluster.rs
+++ b/hawthornkeel/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! Instances in threads of their own, which talk over real UDP on loopback.
+//! Cluster of instances, each in its own thread, that communicate over UDP on loopback.
 
 use std::net::SocketAddr;
 use std::net::UdpSocket;
@@ -25,10 +25,10 @@
 use rustix::time::clock_gettime;
 use tempfile::TempDir;
 
-/// Time between looks at whether an instance is to end.
-const POLL: Duration = Duration::from_millis(20);
+/// Interval at which an instance checks whether it has to stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Instance of a test.
+/// Instance of a test cluster.
 pub struct InstanceSpec {
     /// Name.
     pub name: &'static str,
@@ -38,30 +38,30 @@
     pub control: bool,
 }
 
-/// Instances of a test.
+/// Test cluster.
 pub struct Cluster {
     folder: TempDir,
     tuning: Tuning,
     instances: Vec<ClusterInstance>,
-    /// Relays between instances, by who sends and who is sent to.
+    /// Relays between instances, by sender and receiver.
     relays: Mutex<Vec<((String, String), Relay)>>,
-    /// Whether instances reach each other through relays.
+    /// Whether instances communicate through relays.
     relayed: bool,
-    /// Log entries between snapshots.
+    /// Number of log entries between snapshots.
     snapshot_entries: u64,
 }
 
 struct ClusterInstance {
     spec: InstanceSpec,
-    /// Held while the instance is down too, so that no other test takes its port.
+    /// Kept while the instance is down, so that no other test takes its port.
     socket: UdpSocket,
     running: Option<Running>,
 }
 
-/// What an instance has used since its start.
+/// Resource usage of an instance since its start.
 #[derive(Default)]
 pub struct Usage {
-    /// Processor time of its event loop, in microseconds.
+    /// CPU time of its event loop, in microseconds.
     pub cpu: AtomicU64,
     /// Bytes in datagrams sent and received.
     pub bytes: AtomicU64,
@@ -76,7 +76,7 @@
 }
 
 impl Usage {
-    fn count(&self, endpoint: &Endpoint) {
+    fn record(&self, endpoint: &Endpoint) {
         let time = clock_gettime(ClockId::ThreadCPUTime);
         let cpu = time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000;
         self.cpu.store(cpu, Ordering::Relaxed);
@@ -86,32 +86,32 @@
 }
 
 impl Cluster {
-    /// Returns what an instance that runs has used.
+    /// Returns the resource usage of a running instance.
     pub fn usage(&self, name: &str) -> Arc<Usage> {
         self.instance(name).running.as_ref().unwrap().usage.clone()
     }
 
-    /// Places instances without starting them.
+    /// Creates a cluster without starting its instances.
     pub fn new(specs: Vec<InstanceSpec>) -> Self {
-        let place = |spec| ClusterInstance { spec, socket: super::socket(), running: None };
+        let create = |spec| ClusterInstance { spec, socket: super::socket(), running: None };
         Self {
             folder: TempDir::new().unwrap(),
             tuning: Tuning::default(),
-            instances: specs.into_iter().map(place).collect(),
+            instances: specs.into_iter().map(create).collect(),
             relays: Mutex::default(),
             relayed: false,
             snapshot_entries: settings::Control::default().snapshot_entries,
         }
     }
 
-    /// Places instances that reach each other through relays, so that they can be cut off.
+    /// Creates a cluster whose instances communicate through relays, so that it can be partitioned.
     pub fn with_relays(specs: Vec<InstanceSpec>) -> Self {
         let mut cluster = Self::new(specs);
         cluster.relayed = true;
         cluster
     }
 
-    /// Cuts every way between the instances of `side` and the others, or mends it.
+    /// Partitions the instances of `side` from the others, or heals the partition.
     pub fn set_partition(&self, side: &[&str], cut: bool) {
         let within = |name: &String| side.contains(&name.as_str());
         for ((from, to), relay) in &*self.relays.lock().unwrap() {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Cuts the ways between `one` and the instances of `others`, or mends them.
+    /// Partitions `one` from the instances of `others`, or heals the partition.
     pub fn set_partition_between(&self, one: &str, others: &[&str], cut: bool) {
         let is_other = |name: &String| others.contains(&name.as_str());
         for ((from, to), relay) in &*self.relays.lock().unwrap() {
@@ -132,7 +132,7 @@
     }
 
     /// Returns the address at which `from` reaches an instance.
-    fn way(&self, from: &str, to: &ClusterInstance) -> SocketAddr {
+    fn address(&self, from: &str, to: &ClusterInstance) -> SocketAddr {
         let address = to.socket.local_addr().unwrap();
         if !self.relayed {
             return address;
@@ -148,12 +148,12 @@
         address
     }
 
-    /// Sets the log entries between snapshots for instances started from now on.
+    /// Sets the number of log entries between snapshots for instances started from now on.
     pub fn set_snapshot_entries(&mut self, entries: u64) {
         self.snapshot_entries = entries;
     }
 
-    /// Sets the bounds for instances started from now on.
+    /// Sets the tuning of instances started from now on.
     pub fn set_tuning(&mut self, tuning: Tuning) {
         self.tuning = tuning;
     }
@@ -161,7 +161,7 @@
     /// Returns settings for an instance that knows all others.
     pub fn settings(&self, name: &str, centre: &str, control: bool) -> Settings {
         let others = self.instances.iter().filter(|p| p.spec.name != name);
-        let peers = others.map(|p| peer(p, self.way(name, p))).collect();
+        let peers = others.map(|p| peer(p, self.address(name, p))).collect();
         let mut settings = super::settings(self.folder.path(), name, peers);
         let founders = self.instances.iter().filter(|p| p.spec.control);
         settings.instance.data_centre = CentreName::new(centre);
@@ -183,20 +183,20 @@
 
     /// Starts an instance.
     pub fn start(&mut self, name: &str) {
-        let placed = self.instance(name);
-        let settings = self.settings(name, placed.spec.centre, placed.spec.control);
-        let socket = placed.socket.try_clone().unwrap();
+        let instance = self.instance(name);
+        let settings = self.settings(name, instance.spec.centre, instance.spec.control);
+        let socket = instance.socket.try_clone().unwrap();
         let stop = Arc::new(AtomicBool::new(false));
         let (stopped, tuning) = (stop.clone(), self.tuning);
         let usage = Arc::new(Usage::default());
-        let counted = usage.clone();
+        let recorded = usage.clone();
         let thread =
-            std::thread::spawn(move || serve(&settings, socket, tuning, &stopped, &counted));
+            std::thread::spawn(move || serve(&settings, socket, tuning, &stopped, &recorded));
         let at = self.instances.iter().position(|p| p.spec.name == name).unwrap();
         self.instances[at].running = Some(Running { stop, usage, thread });
     }
 
-    /// Ends an instance at once: nothing that it still had to do is done.
+    /// Stops an instance at once; its outstanding work is lost.
     pub fn kill(&mut self, name: &str) {
         let at = self.instances.iter().position(|p| p.spec.name == name).unwrap();
         if let Some(running) = self.instances[at].running.take() {
@@ -205,14 +205,14 @@
         }
     }
 
-    /// Loses the disk of an instance that is down.
+    /// Deletes the data folder of an instance that is down.
     pub fn wipe(&self, name: &str) {
-        let placed = self.instance(name);
-        let settings = self.settings(name, placed.spec.centre, placed.spec.control);
+        let instance = self.instance(name);
+        let settings = self.settings(name, instance.spec.centre, instance.spec.control);
         std::fs::remove_dir_all(settings.control.data).unwrap();
     }
 
-    /// Starts an instance without the control role in the calling thread.
+    /// Starts an instance without the control role in the current thread.
     pub fn start_local(&self, name: &str, centre: &str) -> Parts {
         let settings = self.settings(name, centre, false);
         let endpoint = Endpoint::with_socket(super::socket(), &settings).unwrap();
@@ -226,8 +226,8 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        for placed in &mut self.instances {
-            if let Some(running) = placed.running.take() {
+        for instance in &mut self.instances {
+            if let Some(running) = instance.running.take() {
                 running.stop.store(true, Ordering::Relaxed);
                 let _ = running.thread.join();
             }
@@ -235,12 +235,12 @@
     }
 }
 
-fn peer(placed: &ClusterInstance, address: SocketAddr) -> Peer {
+fn peer(instance: &ClusterInstance, address: SocketAddr) -> Peer {
     Peer {
-        name: InstanceName::new(placed.spec.name),
+        name: InstanceName::new(instance.spec.name),
         address,
-        data_centre: CentreName::new(placed.spec.centre),
-        control: placed.spec.control,
+        data_centre: CentreName::new(instance.spec.centre),
+        control: instance.spec.control,
         entry: true,
     }
 }
@@ -251,10 +251,10 @@
         let open = || open_with(settings, &endpoint, tuning).unwrap();
         let parts = start::start(settings, &endpoint, settings.control.enabled.then(open));
         while !stop.load(Ordering::Relaxed) {
-            monoio::time::sleep(POLL).await;
-            usage.count(&endpoint);
+            monoio::time::sleep(POLL_INTERVAL).await;
+            usage.record(&endpoint);
         }
-        // Tasks of a thread that has ended are not dropped, so the lock is given back here.
+        // The tasks of a thread that has ended are not dropped, so the lock is released here.
         endpoint.close();
         if let Some(control) = parts.control {
             control.stop();
--- a/hawthornkeel/tests/support/mod.rs
+++ b/hawthornkeel/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Certificates, endpoints and event loops for tests between instances.
+//! Support for tests with several instances: certificates, settings, sockets and event loops.
 #![allow(dead_code)]
 
 pub mod cluster;
@@ -25,7 +25,7 @@
 /// Time after which a test gives up waiting for a condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs `test` on an event loop like the shipped one.
+/// Runs `test` on the same kind of event loop as the program.
 pub fn run<F: Future>(test: F) -> F::Output {
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new().enable_timer().build().unwrap();
     runtime.block_on(test)
@@ -35,23 +35,23 @@
 pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < WAIT_TIMEOUT, "gave up waiting for {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for {what}");
         monoio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// Binds a free port on loopback.
+/// Binds a UDP socket to a free port on loopback.
 pub fn socket() -> UdpSocket {
     UdpSocket::bind("127.0.0.1:0").unwrap()
 }
 
-/// Returns another instance's entry in the settings.
+/// Returns the settings entry of a peer.
 pub fn peer(name: &str, address: SocketAddr) -> Peer {
     let data_centre = CentreName::new("east");
     Peer { name: InstanceName::new(name), address, data_centre, control: true, entry: true }
 }
 
-/// Returns settings of `name` with the certificate `issued`.
+/// Returns settings of `name` with the given certificate.
 pub fn settings_with(name: &str, issued: Issued, peers: Vec<Peer>) -> Settings {
     Settings {
         instance: Instance { name: InstanceName::new(name), ..Instance::default() },
@@ -67,7 +67,7 @@
     }
 }
 
-/// Returns settings of `name` with a certificate from the authority in `folder`.
+/// Returns settings of `name` with a certificate issued by the authority in `folder`.
 pub fn settings(folder: &Path, name: &str, peers: Vec<Peer>) -> Settings {
     let issued = certificate::issue(folder, &InstanceName::new(name)).unwrap();
     settings_with(name, issued, peers)
--- a/hawthornkeel/tests/support/operator.rs
+++ b/hawthornkeel/tests/support/operator.rs
@@ -1,4 +1,4 @@
-//! Operators and entries that go on until they are told an outcome.
+//! Helpers for operators, which retry until they know an outcome, and for status queries.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,8 +15,8 @@
 
 use crate::support::cluster::Cluster;
 
-/// Time for one call of a test.
-const CALL: Duration = Duration::from_secs(1);
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Returns a submission.
 pub fn request(operation: u64, expected: u64, text: &str) -> SubmitRequest {
@@ -33,7 +33,7 @@
     SubmitResponse::Accepted { version: Version(version) }
 }
 
-/// Submits like an operator who sends the same again until told an outcome.
+/// Submits a document with retries until the outcome is known.
 pub async fn submit(parts: &Parts, request: SubmitRequest) -> SubmitResponse {
     let mut response = None;
     wait_for("an outcome", async || {
@@ -47,11 +47,11 @@
     response.unwrap()
 }
 
-/// Waits until an asynchronous `condition` holds.
+/// Waits until an asynchronous condition holds.
 pub async fn wait_for(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < super::WAIT_TIMEOUT, "gave up waiting for {what}");
+        assert!(start.elapsed() < super::WAIT_TIMEOUT, "timed out waiting for {what}");
         monoio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -59,13 +59,13 @@
 /// Returns the status of an instance, or `None` if it does not answer.
 pub async fn status(parts: &Parts, name: &str) -> Option<InstanceStatus> {
     let name = InstanceName::new(name);
-    match parts.admin.endpoint.call(&name, &Frame::Status, CALL).await {
+    match parts.admin.endpoint.call(&name, &Frame::Status, CALL_TIMEOUT).await {
         Ok(Frame::StatusReply(status)) => Some(status),
         _ => None,
     }
 }
 
-/// Waits until one of the instances leads with its lease, and returns its name.
+/// Waits until an instance is leader with a valid lease, and returns its name.
 pub async fn leader(parts: &Parts) -> InstanceName {
     let mut leader = None;
     wait_for("a leader", async || {
@@ -81,14 +81,14 @@
     leader.unwrap()
 }
 
-/// Returns the identities of the voters as the instance `at` knows them.
+/// Returns the names and IDs of the voters as the instance `at` knows them.
 pub async fn voters(parts: &Parts, at: &str) -> Vec<(String, u64)> {
     let Some(control) = status(parts, at).await.and_then(|s| s.control) else { return Vec::new() };
     let voters = control.members.0.into_iter().filter(|m| m.kind == MemberKind::Voter);
     voters.map(|m| (m.node.name.as_str().to_owned(), m.node.id.0)).collect()
 }
 
-/// Replaces the disk of `lost` and waits until `at` counts the replacement among three voters.
+/// Replaces the disk of `lost` and waits until `at` knows the replacement as one of three voters.
 pub async fn replace_disk(cluster: &mut Cluster, parts: &Parts, lost: &str, at: &str) {
     let before = voters(parts, at).await;
     cluster.kill(lost);
