--- a/hawthornkeel/tests/control_follow.rs
+++ b/hawthornkeel/tests/control_follow.rs
@@ -102,7 +102,7 @@
         submit(&parts, request(1, 0, "text")).await;
         wait_for("e4", async || version(&parts, "e4").await == Some(Version(1))).await;
         // `e4` follows `c1`, which from now on reaches only it.
-        cluster.set_partition_between("c1", &["c2", "c3", "e1", "e2", "e3", "e5", "a"], true);
+        cluster.set_partitioned_between("c1", &["c2", "c3", "e1", "e2", "e3", "e5", "a"], true);
         assert_eq!(submit(&parts, request(2, 1, "text")).await, accepted(2));
         let start = Instant::now();
         wait_for("e4 from another", async || version(&parts, "e4").await == Some(Version(2))).await;
--- a/hawthornkeel/tests/control_isolation.rs
+++ b/hawthornkeel/tests/control_isolation.rs
@@ -65,7 +65,7 @@
         assert_eq!(submit(&a, request(1, 0, "one")).await, accepted(1));
         let old = leader(&a).await.as_str().to_owned();
         wait_for("b", async || b.watch.index().is_some()).await;
-        cluster.set_partition(&[&old, "b"], true);
+        cluster.set_partitioned(&[&old, "b"], true);
 
         // The leader loses its lease by itself, acknowledges nothing, and then refuses at once.
         wait_for("the lease to end", async || control(&b, &old).await.is_some_and(|c| !c.lead.own))
@@ -89,7 +89,7 @@
             assert_eq!(response, accepted(expected + 1));
         }
         let before = control(&a, other(&old)).await.unwrap();
-        cluster.set_partition(&[&old, "b"], false);
+        cluster.set_partitioned(&[&old, "b"], false);
 
         let start = Instant::now();
         let mut served = Version(1);
@@ -116,7 +116,7 @@
         assert_eq!(submit(&a, request(1, 0, "one")).await, accepted(1));
         wait_for("b", async || b.watch.index().is_some()).await;
         let out = vec!["east".into()];
-        cluster.set_partition(&["c1", "b"], true);
+        cluster.set_partitioned(&["c1", "b"], true);
 
         // The order reaches only the side that is cut off: it holds there at once.
         let start = Instant::now();
@@ -141,7 +141,7 @@
                 }
             });
         }
-        cluster.set_partition(&["c1", "b"], false);
+        cluster.set_partitioned(&["c1", "b"], false);
         wait_for("the order everywhere", async || {
             let mut everywhere = b.watch.taken_out() == out && a.watch.taken_out() == out;
             for name in ["c1", "c2", "c3"] {
--- a/hawthornkeel/tests/control_leader.rs
+++ b/hawthornkeel/tests/control_leader.rs
@@ -63,7 +63,7 @@
         // The first proposals may be under way when the quorum is lost; later ones are refused.
         let start = Instant::now();
         while parts.admin.submit(request(2, 1, "two")).await != SubmitResponse::NotAccepted {
-            assert!(start.elapsed() < support::WAIT_TIMEOUT, "never refused");
+            assert!(start.elapsed() < support::TEST_TIMEOUT, "never refused");
         }
         let fence = hawthornkeel_core::state::command::Command::Fence("t".into());
         let start = Instant::now();
--- a/hawthornkeel/tests/peer_silence.rs
+++ b/hawthornkeel/tests/peer_silence.rs
@@ -34,7 +34,7 @@
     run(async {
         let (a, _b, relay) = relayed(&folder);
         let to = InstanceName::new("b");
-        a.call(&to, &Frame::Status, support::WAIT_TIMEOUT).await.unwrap();
+        a.call(&to, &Frame::Status, support::TEST_TIMEOUT).await.unwrap();
         assert_eq!(relay.flows(), 1);
         relay.lose_flows();
         let timeout = Duration::from_millis(700);
@@ -42,7 +42,7 @@
         assert!(error.may_have_run());
         // The next call takes a fresh connection at once.
         let start = Instant::now();
-        a.call(&to, &Frame::Status, support::WAIT_TIMEOUT).await.unwrap();
+        a.call(&to, &Frame::Status, support::TEST_TIMEOUT).await.unwrap();
         assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
         assert_eq!(relay.flows(), 2);
     });
@@ -83,7 +83,7 @@
         for timeout in [50, 700] {
             let timeout = Duration::from_millis(timeout);
             a.call(&to, &Frame::Lead, timeout).await.unwrap_err();
-            a.call(&to, &Frame::Status, support::WAIT_TIMEOUT).await.unwrap();
+            a.call(&to, &Frame::Status, support::TEST_TIMEOUT).await.unwrap();
         }
         assert_eq!(relay.flows(), 1);
     });
@@ -95,10 +95,10 @@
     run(async {
         let (a, b, relay) = relayed(&folder);
         let to = InstanceName::new("b");
-        a.call(&to, &Frame::Status, support::WAIT_TIMEOUT).await.unwrap();
+        a.call(&to, &Frame::Status, support::TEST_TIMEOUT).await.unwrap();
         assert_eq!(b.accepted(), 1);
         support::wait_until("the unused connection to end", || b.accepted() == 0).await;
-        a.call(&to, &Frame::Status, support::WAIT_TIMEOUT).await.unwrap();
+        a.call(&to, &Frame::Status, support::TEST_TIMEOUT).await.unwrap();
         assert_eq!(relay.flows(), 2);
     });
 }
--- a/hawthornkeel/tests/support/cluster.rs
+++ b/hawthornkeel/tests/support/cluster.rs
@@ -112,7 +112,7 @@
     }
 
     /// Partitions the instances of `side` from the others, or heals the partition.
-    pub fn set_partition(&self, side: &[&str], cut: bool) {
+    pub fn set_partitioned(&self, side: &[&str], cut: bool) {
         let within = |name: &String| side.contains(&name.as_str());
         for ((from, to), relay) in &*self.relays.lock().unwrap() {
             if within(from) != within(to) {
@@ -122,7 +122,7 @@
     }
 
     /// Partitions `one` from the instances of `others`, or heals the partition.
-    pub fn set_partition_between(&self, one: &str, others: &[&str], cut: bool) {
+    pub fn set_partitioned_between(&self, one: &str, others: &[&str], cut: bool) {
         let is_other = |name: &String| others.contains(&name.as_str());
         for ((from, to), relay) in &*self.relays.lock().unwrap() {
             if (from == one && is_other(to)) || (to == one && is_other(from)) {
--- a/hawthornkeel/tests/support/mod.rs
+++ b/hawthornkeel/tests/support/mod.rs
@@ -23,7 +23,7 @@
 use monoio::RuntimeBuilder;
 
 /// Time after which a test gives up waiting for a condition.
-pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs `test` on the same kind of event loop as the program.
 pub fn run<F: Future>(test: F) -> F::Output {
@@ -35,7 +35,7 @@
 pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for {what}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "timed out waiting for {what}");
         monoio::time::sleep(Duration::from_millis(2)).await;
     }
 }
--- a/hawthornkeel/tests/support/operator.rs
+++ b/hawthornkeel/tests/support/operator.rs
@@ -51,7 +51,7 @@
 pub async fn wait_for(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < super::WAIT_TIMEOUT, "timed out waiting for {what}");
+        assert!(start.elapsed() < super::TEST_TIMEOUT, "timed out waiting for {what}");
         monoio::time::sleep(Duration::from_millis(10)).await;
     }
 }
