--- a/hawthornkeel/tests/control_follow.rs
+++ b/hawthornkeel/tests/control_follow.rs
@@ -102,7 +102,7 @@
         submit(&plane, request(1, 0, "text")).await;
         wait_for("e4", async || version(&plane, "e4").await == Some(Version(1))).await;
         // `e4` follows `c1`, which is now isolated from all instances but `e4`.
-        cluster.set_partition_between("c1", &["c2", "c3", "e1", "e2", "e3", "e5", "a"], true);
+        cluster.set_partitioned_between("c1", &["c2", "c3", "e1", "e2", "e3", "e5", "a"], true);
         assert_eq!(submit(&plane, request(2, 1, "text")).await, accepted(2));
         let start = Instant::now();
         wait_for("e4 from another source", async || {
--- a/hawthornkeel/tests/control_isolation.rs
+++ b/hawthornkeel/tests/control_isolation.rs
@@ -65,7 +65,7 @@
         assert_eq!(submit(&a, request(1, 0, "one")).await, accepted(1));
         let old_leader = leader(&a).await.as_str().to_owned();
         wait_for("b", async || b.watch.index().is_some()).await;
-        cluster.set_partition(&[&old_leader, "b"], true);
+        cluster.set_partitioned(&[&old_leader, "b"], true);
 
         // The isolated leader's lease expires; it acknowledges nothing, and then fails fast.
         wait_for("the lease to expire", async || {
@@ -91,7 +91,7 @@
             assert_eq!(response, accepted(expected + 1));
         }
         let before = control_status(&a, other(&old_leader)).await.unwrap();
-        cluster.set_partition(&[&old_leader, "b"], false);
+        cluster.set_partitioned(&[&old_leader, "b"], false);
 
         let start = Instant::now();
         let mut served = Version(1);
@@ -121,7 +121,7 @@
         assert_eq!(submit(&a, request(1, 0, "one")).await, accepted(1));
         wait_for("b", async || b.watch.index().is_some()).await;
         let out = vec!["east".into()];
-        cluster.set_partition(&["c1", "b"], true);
+        cluster.set_partitioned(&["c1", "b"], true);
 
         // The order reaches only the isolated side, where it takes effect at once.
         let start = Instant::now();
@@ -146,7 +146,7 @@
                 }
             });
         }
-        cluster.set_partition(&["c1", "b"], false);
+        cluster.set_partitioned(&["c1", "b"], false);
         wait_for("the order everywhere", async || {
             let mut everywhere = b.watch.taken_out() == out && a.watch.taken_out() == out;
             for name in ["c1", "c2", "c3"] {
--- a/hawthornkeel/tests/control_leader.rs
+++ b/hawthornkeel/tests/control_leader.rs
@@ -63,7 +63,7 @@
         // Proposals in flight when the quorum is lost may have an unknown outcome; later ones fail.
         let start = Instant::now();
         while plane.admin.submit(request(2, 1, "two")).await != SubmitResponse::NotAccepted {
-            assert!(start.elapsed() < support::WAIT_TIMEOUT, "never rejected");
+            assert!(start.elapsed() < support::TEST_TIMEOUT, "never rejected");
         }
         let fence = hawthornkeel_core::state::command::Command::Fence("t".into());
         let start = Instant::now();
--- a/hawthornkeel/tests/peer_reconnect.rs
+++ b/hawthornkeel/tests/peer_reconnect.rs
@@ -37,7 +37,7 @@
     run(async {
         let (a, _b, relay) = relayed(&folder);
         let to = InstanceName::new("b");
-        a.call(&to, &Frame::Status, support::WAIT_TIMEOUT).await.unwrap();
+        a.call(&to, &Frame::Status, support::TEST_TIMEOUT).await.unwrap();
         assert_eq!(relay.flow_count(), 1);
         relay.blackhole_flows();
         let timeout = Duration::from_millis(700);
@@ -45,7 +45,7 @@
         assert!(error.may_have_run());
         // The next call opens a new connection immediately.
         let start = Instant::now();
-        a.call(&to, &Frame::Status, support::WAIT_TIMEOUT).await.unwrap();
+        a.call(&to, &Frame::Status, support::TEST_TIMEOUT).await.unwrap();
         assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
         assert_eq!(relay.flow_count(), 2);
     });
@@ -86,7 +86,7 @@
         for timeout in [50, 700] {
             let timeout = Duration::from_millis(timeout);
             a.call(&to, &Frame::Lead, timeout).await.unwrap_err();
-            a.call(&to, &Frame::Status, support::WAIT_TIMEOUT).await.unwrap();
+            a.call(&to, &Frame::Status, support::TEST_TIMEOUT).await.unwrap();
         }
         assert_eq!(relay.flow_count(), 1);
     });
@@ -98,10 +98,10 @@
     run(async {
         let (a, b, relay) = relayed(&folder);
         let to = InstanceName::new("b");
-        a.call(&to, &Frame::Status, support::WAIT_TIMEOUT).await.unwrap();
+        a.call(&to, &Frame::Status, support::TEST_TIMEOUT).await.unwrap();
         assert_eq!(b.inbound_connections(), 1);
         support::wait_until("the unused connection to end", || b.inbound_connections() == 0).await;
-        a.call(&to, &Frame::Status, support::WAIT_TIMEOUT).await.unwrap();
+        a.call(&to, &Frame::Status, support::TEST_TIMEOUT).await.unwrap();
         assert_eq!(relay.flow_count(), 2);
     });
 }
