--- a/hawthornkeel_fakes/src/behaviour.rs
+++ b/hawthornkeel_fakes/src/behaviour.rs
@@ -1,100 +1,102 @@
-//! How a stand-in target behaves.
+//! Configuration of a fake target: timing, capacity and injected faults.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What goes wrong with a call.
+/// Fault injected into a call.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// The call runs and no byte of an answer is ever sent.
+    /// Runs the call and never sends a byte of the response.
     #[serde(rename = "silent")]
     NoResponse,
-    /// The stream is cut after `cut_after` tokens.
+    /// Closes the connection after `cut_after` tokens of a stream.
     #[serde(rename = "cut")]
     Disconnect,
-    /// The stream goes silent after `cut_after` tokens, its connection stays open.
+    /// Sends nothing more after `cut_after` tokens of a stream and keeps the connection open.
     Stall,
-    /// The answer comes `late_ms` late.
+    /// Delays the response by `late_ms`.
     Late,
-    /// The answer comes twice.
+    /// Sends the response twice.
     #[serde(rename = "twice")]
     Duplicate,
-    /// The answer comes again `late_ms` after it came.
+    /// Sends the response again after `late_ms`.
     #[serde(rename = "twice-late")]
     LateDuplicate,
-    /// The stream ends without its marker.
+    /// Ends the stream without its `[DONE]` event.
     #[serde(rename = "unmarked")]
     MissingDone,
-    /// The answer carries the identity of another call.
+    /// Sends the response with another call's identity.
     #[serde(rename = "crossed")]
     WrongCall,
-    /// The answer ends in the middle, under the length of the whole.
+    /// Closes the connection after half of the body, with the content length of all of it.
     Truncated,
-    /// The call is refused with 503 before it runs, and the answer says so.
+    /// Refuses the call with 503 before it runs; the response says that it did not run.
     Refuse,
-    /// The call is refused with 503 before it runs, and the answer does not say so.
+    /// Refuses the call with 503 before it runs; the response does not say so.
     #[serde(rename = "refuse-bare")]
     RefuseAmbiguous,
-    /// The call runs and ends in a 500.
+    /// Runs the call and responds with 500.
     #[serde(rename = "fail")]
     ServerError,
-    /// The connection is closed before the call runs.
+    /// Closes the connection before the call runs.
     #[serde(rename = "close")]
     CloseBeforeRun,
-    /// The call runs and the connection is closed before an answer.
+    /// Runs the call and closes the connection without a response.
     #[serde(rename = "drop")]
     CloseAfterRun,
-    /// The answer is no HTTP.
+    /// Responds with bytes that are not HTTP.
     #[serde(rename = "garbage")]
     Malformed,
 }
 
-/// How a stand-in target behaves.
+/// Timing, capacity and faults of a fake target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Behaviour {
-    /// Time to a whole answer or to the first token, in milliseconds.
+    /// Time to a complete response or to the first token, in milliseconds.
     pub floor_ms: u64,
     /// Time between tokens, in milliseconds.
     pub token_ms: u64,
-    /// Tokens of an answer where the request asks for no fewer.
+    /// Tokens of a response, unless the request asks for fewer.
     pub tokens: usize,
-    /// Factor on all times.
+    /// Factor applied to all times.
     #[serde(rename = "slow")]
     pub slowdown: f64,
-    /// Calls run at once without slowing each other; more share the speed.
+    /// Calls that can run concurrently at full speed; with more, all slow down in proportion.
     pub batch: u32,
-    /// Calls that the target bears at once while cold; it falls over above that.
+    /// Concurrent calls at which a cold target still works; it crashes above that.
+    ///
+    /// Without a value the target is never cold.
     #[serde(rename = "cold_bears")]
     pub cold_capacity: Option<u32>,
-    /// Answers after which a cold target is warm.
+    /// Responses after which a cold target is warm.
     pub warm_after: u32,
-    /// Calls that the target bears at once while warm, where there is a bound.
+    /// Concurrent calls at which a warm target still works; unlimited where absent.
     #[serde(rename = "warm_bears")]
     pub warm_capacity: Option<u32>,
-    /// What goes wrong with calls.
+    /// Fault injected into calls.
     pub fault: Fault,
-    /// Calls that the fault still hits; all where absent.
+    /// Number of further calls that get the fault; all where absent.
     pub fault_calls: Option<u32>,
-    /// Tokens before a cut or a stall.
+    /// Tokens before a disconnect or a stall.
     pub cut_after: usize,
-    /// Delay of a late answer, in milliseconds.
+    /// Delay of a late or repeated response, in milliseconds.
     pub late_ms: u64,
-    /// Lag of load reports, in milliseconds.
+    /// Delay of the load in load reports, in milliseconds.
     pub load_lag_ms: u64,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing number are refused.
     pub fencing: bool,
-    /// Whether answers echo the call's identity.
+    /// Whether responses echo the call's identity.
     #[serde(rename = "echo")]
     pub echo_id: bool,
-    /// Whether answers name the incarnation; load reports always do.
+    /// Whether responses carry the incarnation; load reports always do.
     #[serde(rename = "named")]
     pub send_incarnation: bool,
-    /// Whether streams go on from an offset.
+    /// Whether streams can resume at an offset.
     pub resume: bool,
 }
 
--- a/hawthornkeel_fakes/src/generate.rs
+++ b/hawthornkeel_fakes/src/generate.rs
@@ -1,22 +1,22 @@
-//! Text that a stand-in answers with: a function of the request alone.
+//! Response bodies of a fake target, which depend on the request alone.
 
 use serde::Deserialize;
 use serde_json::json;
 
-/// Prefix of a word that a request carries so that its answer can be recognised.
+/// Prefix of a marker: a word in a request that its response repeats, to match the two.
 pub const MARKER_PREFIX: &str = "ref-";
 
-/// Request of the completions protocol, as far as it is used.
+/// Fields of a completions request that a fake target uses.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub struct CompletionRequest {
-    /// Text that the answer goes on from.
+    /// Prompt, for the text form.
     pub prompt: String,
-    /// Conversation, for the chat form.
+    /// Messages of the conversation, for the chat form.
     pub messages: Vec<Message>,
-    /// Tokens, at most.
+    /// Maximum number of tokens.
     pub max_tokens: Option<usize>,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl CompletionRequest {
-    /// Returns the tokens of the answer: the request's marks, then numbered words.
+    /// Returns at most `count` tokens: the request's markers, then numbered words.
     pub fn tokens(&self, count: usize) -> Vec<String> {
         let prompt = self.messages.last().map_or(&self.prompt, |m| &m.content);
         let markers = markers(prompt).map(|m| format!("{m} "));
@@ -38,13 +38,13 @@
     }
 }
 
-/// Returns the marks in `text`.
+/// Returns the markers in `text`.
 pub fn markers(text: &str) -> impl Iterator<Item = &str> {
     let split = |c: char| !c.is_ascii_alphanumeric() && c != '-';
     text.split(split).filter(|w| w.starts_with(MARKER_PREFIX))
 }
 
-/// Returns the event that carries `text`.
+/// Returns the server-sent event that carries `text`.
 pub fn completion_event(text: &str, chat: bool) -> Vec<u8> {
     let choice = match chat {
         true => json!({"index": 0, "delta": {"content": text}}),
@@ -53,7 +53,7 @@
     format!("data: {}\n\n", json!({"choices": [choice]})).into_bytes()
 }
 
-/// Returns a service's answer to `input` at `path`.
+/// Returns a service's response to `input` at `path`.
 pub fn service_response(path: &str, input: &[u8]) -> Vec<u8> {
     let input: serde_json::Value = serde_json::from_slice(input).unwrap_or_default();
     json!({"service": path, "input": input}).to_string().into_bytes()
--- a/hawthornkeel_fakes/src/lib.rs
+++ b/hawthornkeel_fakes/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-in targets, platform list and callers for tests and benches; not shipped.
+//! Fake targets and platform, traffic relays and load generator for tests; not shipped.
 
 pub mod behaviour;
 pub mod document;
--- a/hawthornkeel_fakes/src/load_generator.rs
+++ b/hawthornkeel_fakes/src/load_generator.rs
@@ -1,4 +1,4 @@
-//! Open-loop caller: sends at a fixed rate, whatever the answers do.
+//! Open-loop load generator: sends at a fixed rate, independent of response times.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -18,36 +18,37 @@
 use crate::http1::HttpConnection;
 use crate::http1::ReceivedResponse;
 
-/// Latency that is recorded, in microseconds at most.
-const MAX_LATENCY: u64 = 120_000_000;
+/// Largest latency that is recorded, in microseconds.
+const MAX_LATENCY_US: u64 = 120_000_000;
 
 /// Significant digits of recorded latencies.
-const DIGITS: u8 = 3;
+const LATENCY_DIGITS: u8 = 3;
 
-/// What a caller sends.
+/// Requests that a load generator sends.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
-    /// Address called.
+    /// Server address.
     pub address: SocketAddr,
-    /// Path.
+    /// Request path.
     pub path: String,
-    /// Body, in which each `{mark}` is replaced by the request's own mark.
+    /// Body, in which each `{mark}` is replaced by the request's marker.
     pub body: String,
-    /// Further header fields, each ended by a line end; `{mark}` is replaced here too.
+    /// Additional header fields, each with its line end; `{mark}` is replaced here too.
     pub fields: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests in all.
+    /// Total number of requests.
     pub count: u64,
-    /// Number of the first request, so that callers at once have marks of their own.
+    /// Number of the first request; keeps the markers of concurrent generators distinct.
     pub first_number: u64,
-    /// Time after which a request is given up.
+    /// Time after which a request is abandoned.
     pub timeout: Duration,
-    /// Whether latencies run from the sending, not from when it was due.
+    /// Whether latency is measured from the send time instead of the scheduled time.
     ///
-    /// Timers are a millisecond off: this leaves the caller's own delay out of short latencies.
+    /// Timers are off by up to a millisecond: this keeps the generator's delay out of short
+    /// latencies.
     pub from_send_time: bool,
-    /// Whether the answer must carry the request's mark.
+    /// Whether the response must carry the request's marker.
     pub check_marker: bool,
 }
 
@@ -68,11 +69,11 @@
     }
 }
 
-/// What a caller saw.
+/// Outcomes and latencies of a load generator.
 pub struct LoadResult {
     /// Requests by outcome.
     pub outcomes: IndexMap<String, u64>,
-    /// Latencies of whole answers, in microseconds.
+    /// Latencies of complete responses, in microseconds.
     pub latency: Histogram<u64>,
 }
 
@@ -83,23 +84,27 @@
     }
 }
 
-/// Outcome of a request that was answered whole.
+/// Outcome of a request with a complete response.
 pub const ANSWERED: &str = "answered";
 
-/// Outcome of a request that got an answer without its mark.
+/// Outcome of a request whose response lacks its marker or has another request's.
 pub const WRONG_RESPONSE: &str = "crossed";
 
 struct State {
     load: LoadProfile,
     idle: RefCell<VecDeque<HttpConnection>>,
-    seen: RefCell<LoadResult>,
+    result: RefCell<LoadResult>,
 }
 
-/// Sends `load` and returns what was seen once every request has ended.
+/// Sends all requests of `load` and returns the result once every request has ended.
+///
+/// # Errors
+/// Fails where the latency histogram can't be created.
 pub async fn run(load: LoadProfile) -> io::Result<LoadResult> {
-    let latency = Histogram::new_with_bounds(1, MAX_LATENCY, DIGITS).map_err(io::Error::other)?;
-    let seen = RefCell::new(LoadResult { outcomes: IndexMap::new(), latency });
-    let state = Rc::new(State { load, idle: RefCell::default(), seen });
+    let latency =
+        Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS).map_err(io::Error::other)?;
+    let result = RefCell::new(LoadResult { outcomes: IndexMap::new(), latency });
+    let state = Rc::new(State { load, idle: RefCell::default(), result });
     let start = Instant::now();
     let mut tasks = Vec::new();
     for number in 0..state.load.count {
@@ -108,52 +113,53 @@
         if !wait.is_zero() {
             sleep(wait).await;
         }
-        tasks.push(monoio::spawn(one(state.clone(), number, due)));
+        tasks.push(monoio::spawn(send_request(state.clone(), number, due)));
     }
     for task in tasks {
         task.await;
     }
-    let state = Rc::try_unwrap(state).map_err(|_| io::Error::other("a task is left"))?;
-    Ok(state.seen.into_inner())
+    let state =
+        Rc::try_unwrap(state).map_err(|_| io::Error::other("a request task is still running"))?;
+    Ok(state.result.into_inner())
 }
 
-async fn one(state: Rc<State>, number: u64, due: Instant) {
+async fn send_request(state: Rc<State>, number: u64, due: Instant) {
     let start = if state.load.from_send_time { Instant::now() } else { due };
-    let mark = format!("{}{}", generate::MARKER_PREFIX, state.load.first_number + number);
-    let outcome = match timeout(state.load.timeout, exchange(&state, &mark)).await {
-        Ok(Ok(reply)) => judge(&state.load, &mark, &reply),
+    let marker = format!("{}{}", generate::MARKER_PREFIX, state.load.first_number + number);
+    let outcome = match timeout(state.load.timeout, exchange(&state, &marker)).await {
+        Ok(Ok(response)) => classify(&state.load, &marker, &response),
         Ok(Err(error)) => format!("broken: {}", error.kind()),
         Err(_) => "timeout".to_owned(),
     };
-    let mut seen = state.seen.borrow_mut();
+    let mut result = state.result.borrow_mut();
     if outcome == ANSWERED {
         let micros = start.elapsed().as_micros() as u64;
-        seen.latency.saturating_record(micros.max(1));
+        result.latency.saturating_record(micros.max(1));
     }
-    *seen.outcomes.entry(outcome).or_default() += 1;
+    *result.outcomes.entry(outcome).or_default() += 1;
 }
 
-async fn exchange(state: &State, mark: &str) -> io::Result<ReceivedResponse> {
+async fn exchange(state: &State, marker: &str) -> io::Result<ReceivedResponse> {
     let load = &state.load;
-    let body = load.body.replace("{mark}", mark);
-    let fields = load.fields.replace("{mark}", mark);
+    let body = load.body.replace("{mark}", marker);
+    let fields = load.fields.replace("{mark}", marker);
     let length = body.len();
     let request = format!(
         "POST {} HTTP/1.1\r\nhost: caller\r\n{fields}content-length: {length}\r\n\r\n{body}",
         load.path
     );
     let idle = state.idle.borrow_mut().pop_back();
-    let mut wire = match idle {
-        Some(wire) => wire,
+    let mut connection = match idle {
+        Some(connection) => connection,
         None => HttpConnection::connect(load.address).await?,
     };
-    wire.write(request).await?;
-    let reply = wire.read_response().await?;
-    let close = reply.headers.get("connection").is_some_and(|c| c == "close");
+    connection.write(request).await?;
+    let response = connection.read_response().await?;
+    let close = response.headers.get("connection").is_some_and(|c| c == "close");
     if !close {
-        state.idle.borrow_mut().push_back(wire);
+        state.idle.borrow_mut().push_back(connection);
     }
-    Ok(reply)
+    Ok(response)
 }
 
 #[derive(Default, Deserialize)]
@@ -163,14 +169,15 @@
     ran: String,
 }
 
-fn judge(load: &LoadProfile, mark: &str, reply: &ReceivedResponse) -> String {
-    if reply.status == 200 {
-        let body = String::from_utf8_lossy(&reply.body);
-        let own = generate::markers(&body).all(|m| m == mark);
+/// Returns the outcome of a request with a response.
+fn classify(load: &LoadProfile, marker: &str, response: &ReceivedResponse) -> String {
+    if response.status == 200 {
+        let body = String::from_utf8_lossy(&response.body);
+        let only_own = generate::markers(&body).all(|m| m == marker);
         let present = generate::markers(&body).next().is_some();
-        let fits = !load.check_marker || (own && present);
-        return if fits { ANSWERED } else { WRONG_RESPONSE }.to_owned();
+        let matches = !load.check_marker || (only_own && present);
+        return if matches { ANSWERED } else { WRONG_RESPONSE }.to_owned();
     }
-    let problem: Problem = serde_json::from_slice(&reply.body).unwrap_or_default();
-    format!("refused: {} {} {}", reply.status, problem.code, problem.ran)
+    let problem: Problem = serde_json::from_slice(&response.body).unwrap_or_default();
+    format!("refused: {} {} {}", response.status, problem.code, problem.ran)
 }
--- a/hawthornkeel_fakes/src/main.rs
+++ b/hawthornkeel_fakes/src/main.rs
@@ -1,4 +1,4 @@
-//! Entry point of the `hawthornkeel_fakes` command: one stand-in a process.
+//! Entry point of the `hawthornkeel_fakes` command: one fake or load generator per process.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
 }
 
 fn main() -> ExitCode {
-    match start() {
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("hawthornkeel_fakes: {error}");
@@ -49,7 +49,7 @@
     }
 }
 
-fn start() -> Result<(), Box<dyn Error>> {
+fn run() -> Result<(), Box<dyn Error>> {
     let mut parser = Parser::from_env();
     let command = match parser.next()? {
         Some(Arg::Value(value)) => value.string()?,
@@ -58,7 +58,7 @@
             return Ok(());
         }
     };
-    let options = parse(&mut parser)?;
+    let options = parse_options(&mut parser)?;
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new().enable_timer().build()?;
     match command.as_str() {
         "target" => runtime.block_on(run_target(options)),
@@ -68,7 +68,7 @@
     }
 }
 
-fn parse(parser: &mut Parser) -> Result<Options, lexopt::Error> {
+fn parse_options(parser: &mut Parser) -> Result<Options, lexopt::Error> {
     let mut options = Options::default();
     let load = &mut options.load;
     while let Some(arg) = parser.next()? {
@@ -97,7 +97,7 @@
     Ok(options)
 }
 
-fn listen(options: &Options) -> Result<TcpListener, Box<dyn Error>> {
+fn bind_listener(options: &Options) -> Result<TcpListener, Box<dyn Error>> {
     let address = options.listen.ok_or("--listen is missing")?;
     let listener = TcpListener::bind(address)?;
     println!("listening={}", listener.local_addr()?);
@@ -109,7 +109,7 @@
         Some(text) => serde_json::from_str(text)?,
         None => Behaviour::default(),
     };
-    let listener = listen(&options)?;
+    let listener = bind_listener(&options)?;
     Target::new(behaviour).serve(listener).await;
     Ok(())
 }
@@ -119,18 +119,18 @@
     if let Some(text) = &options.list {
         platform.set(serde_json::from_str(text)?);
     }
-    let listener = listen(&options)?;
+    let listener = bind_listener(&options)?;
     platform.serve(listener).await;
     Ok(())
 }
 
 async fn run_caller(load: LoadProfile) -> Result<(), Box<dyn Error>> {
-    let seen = load_generator::run(load).await?;
-    for (outcome, count) in &seen.outcomes {
+    let result = load_generator::run(load).await?;
+    for (outcome, count) in &result.outcomes {
         println!("outcome={outcome:?} count={count}");
     }
     for quantile in [0.5, 0.99, 0.999] {
-        let micros = seen.latency.value_at_quantile(quantile);
+        let micros = result.latency.value_at_quantile(quantile);
         println!("quantile={quantile} latency_us={micros}");
     }
     Ok(())
--- a/hawthornkeel_fakes/src/platform.rs
+++ b/hawthornkeel_fakes/src/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's list of instances, which lags.
+//! Fake platform that serves a list of instances with a configurable delay.
 
 use std::cell::RefCell;
 use std::io;
@@ -19,10 +19,10 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InstanceState {
-    /// It takes work.
+    /// Accepts new work.
     #[default]
     Live,
-    /// It finishes its work and takes no more.
+    /// Finishes its work and accepts no new work.
     #[serde(rename = "leaving")]
     Draining,
 }
@@ -48,12 +48,12 @@
 pub struct InstanceList {
     /// Instances.
     pub instances: Vec<Instance>,
-    /// Lag with which this list and later ones show, in milliseconds; unchanged where absent.
+    /// Delay until this list and later ones are served, in milliseconds; unchanged where absent.
     #[serde(default, skip_serializing)]
     pub lag_ms: Option<u64>,
 }
 
-/// Stand-in platform; clones share it.
+/// Fake platform; clones share its state.
 #[derive(Clone, Default)]
 pub struct Platform {
     shared: Rc<RefCell<Shared>>,
@@ -61,55 +61,55 @@
 
 #[derive(Default)]
 struct Shared {
-    shown: InstanceList,
-    /// Lists that don't show yet, with the time from which they do.
+    served: InstanceList,
+    /// Lists that are not served yet, with the time from which they are.
     pending: Vec<(Instant, InstanceList)>,
     lag: Duration,
 }
 
 impl Platform {
-    /// Replaces the list; it shows after the lag.
+    /// Replaces the list; the new one is served after the delay.
     pub fn set(&self, list: InstanceList) {
         let mut shared = self.shared.borrow_mut();
         if let Some(lag) = list.lag_ms {
             shared.lag = Duration::from_millis(lag);
         }
-        let from = Instant::now() + shared.lag;
-        shared.pending.push((from, list));
+        let due = Instant::now() + shared.lag;
+        shared.pending.push((due, list));
     }
 
-    /// Returns the list as it shows now.
+    /// Returns the list that is served now.
     pub fn list(&self) -> InstanceList {
         let mut shared = self.shared.borrow_mut();
         let now = Instant::now();
-        let due = shared.pending.iter().take_while(|(from, _)| *from <= now).count();
-        let last = shared.pending.drain(..due).next_back();
+        let count = shared.pending.iter().take_while(|(due, _)| *due <= now).count();
+        let last = shared.pending.drain(..count).next_back();
         if let Some((_, list)) = last {
-            shared.shown = list;
+            shared.served = list;
         }
-        shared.shown.clone()
+        shared.served.clone()
     }
 
-    /// Accepts and serves for good.
+    /// Accepts and serves connections until the listener fails.
     pub async fn serve(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             let platform = self.clone();
             monoio::spawn(async move {
-                // A connection that breaks is the other end's to open again.
-                let _ = platform.connection(HttpConnection::new(stream)).await;
+                // The client reconnects after an error.
+                let _ = platform.serve_connection(HttpConnection::new(stream)).await;
             });
         }
     }
 
-    async fn connection(&self, mut wire: HttpConnection) -> io::Result<()> {
-        while let Some(request) = wire.read_request().await? {
-            let (status, body) = self.answer(&request);
+    async fn serve_connection(&self, mut connection: HttpConnection) -> io::Result<()> {
+        while let Some(request) = connection.read_request().await? {
+            let (status, body) = self.handle(&request);
             let id = request.header("x-request-id");
             let echo = match id {
                 "" => String::new(),
                 _ => format!("x-request-id: {id}\r\n"),
             };
-            wire.write(http1::encode_response(status, &echo, &body)).await?;
+            connection.write(http1::encode_response(status, &echo, &body)).await?;
             if request.wants_close() {
                 break;
             }
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    fn answer(&self, request: &ReceivedRequest) -> (u16, Vec<u8>) {
+    fn handle(&self, request: &ReceivedRequest) -> (u16, Vec<u8>) {
         match (&request.head.method, request.head.uri.path()) {
             (&Method::GET, "/instances") => {
                 (200, serde_json::to_vec(&self.list()).unwrap_or_default())
--- a/hawthornkeel_fakes/src/raw_client.rs
+++ b/hawthornkeel_fakes/src/raw_client.rs
@@ -1,4 +1,4 @@
-//! Caller over a blocking socket that sends any bytes, for tests.
+//! Blocking client that sends arbitrary bytes, for tests of malformed HTTP.
 
 use std::io;
 use std::io::ErrorKind;
@@ -9,21 +9,21 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Time that a read waits before it fails.
-const READ_TIME: Duration = Duration::from_secs(10);
+/// Time after which a read or write fails.
+const IO_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Caller over a blocking socket.
+/// Client over a blocking socket.
 pub struct RawClient {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-/// Answer as text.
+/// HTTP response as text.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RawResponse {
-    /// Status.
+    /// Status code.
     pub status: u16,
-    /// Head, in lower case.
+    /// Status line and header fields in lower case.
     pub head: String,
     /// Body.
     pub body: String,
@@ -33,8 +33,8 @@
     /// Connects to `address`.
     pub fn connect(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address)?;
-        stream.set_read_timeout(Some(READ_TIME))?;
-        stream.set_write_timeout(Some(READ_TIME))?;
+        stream.set_read_timeout(Some(IO_TIMEOUT))?;
+        stream.set_write_timeout(Some(IO_TIMEOUT))?;
         stream.set_nodelay(true)?;
         Ok(Self { stream, buffer: Vec::new() })
     }
@@ -44,12 +44,12 @@
         self.stream.write_all(data.as_ref())
     }
 
-    /// Ends the sending side.
+    /// Shuts down the write side.
     pub fn shutdown_write(&mut self) -> io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
     }
 
-    /// Reads one answer with a length.
+    /// Reads one response whose body has a content length.
     pub fn read_response(&mut self) -> io::Result<RawResponse> {
         let head = self.read_until("\r\n\r\n")?.to_ascii_lowercase();
         let length = field(&head, "content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
@@ -62,7 +62,7 @@
         Ok(RawResponse { status, head, body })
     }
 
-    /// Reads up to and with `end`.
+    /// Reads up to and including `end`.
     pub fn read_until(&mut self, end: &str) -> io::Result<String> {
         loop {
             let found = self.buffer.windows(end.len()).position(|w| w == end.as_bytes());
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Reads up to the end of the connection, which a reset counts as too.
+    /// Reads until the connection is closed or reset.
     pub fn read_to_end(&mut self) -> io::Result<Vec<u8>> {
         loop {
             match self.fill() {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Tells whether anything can be read now, without waiting for it.
+    /// Tells whether a read would return now, without blocking.
     pub fn is_readable(&mut self) -> io::Result<bool> {
         self.stream.set_nonblocking(true)?;
         let peeked = self.stream.peek(&mut [0]);
@@ -109,7 +109,7 @@
     }
 }
 
-/// Tells whether `error` says that the other end closed the connection.
+/// Tells whether `error` means that the peer closed or reset the connection.
 pub fn is_close(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -117,7 +117,7 @@
     )
 }
 
-/// Returns the value of the field called `name` in a head in lower case.
+/// Returns the value of header field `name` in a lower-case head.
 fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(": "))
 }
--- a/hawthornkeel_fakes/src/record.rs
+++ b/hawthornkeel_fakes/src/record.rs
@@ -1,76 +1,76 @@
-//! What a stand-in target records.
+//! Calls and orders that a fake target records.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How a run ended.
+/// State or result of a run.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It is still being run.
+    /// Still running.
     #[default]
     Running,
-    /// It ran to its end and its answer was written.
+    /// Completed, and its response was written.
     Done,
-    /// The other end closed the connection before the end.
+    /// Cancelled: the client closed the connection before the end.
     Cancelled,
-    /// A fault or a fall ended it.
+    /// Ended by an injected fault, a restart or a crash.
     #[serde(rename = "broken")]
     Failed,
 }
 
-/// Run of a call.
+/// One run of a call.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// Identity of the call, as sent.
+    /// Identity of the call, as received.
     pub id: String,
-    /// Idempotency key, where one was sent.
+    /// Idempotency key, if any.
     pub key: Option<String>,
-    /// Path.
+    /// Request path.
     pub path: String,
-    /// Start, in microseconds since the stand-in started.
+    /// Start time, in microseconds since the target was created.
     pub start: u64,
-    /// End in the same unit, zero while running.
+    /// End time in the same unit, zero while running.
     pub end: u64,
-    /// Tokens written.
+    /// Tokens sent.
     pub tokens: usize,
-    /// How it ended.
+    /// State or result.
     pub outcome: Outcome,
 }
 
-/// Order taken or refused.
+/// Order that was accepted or refused.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct OrderRecord {
     /// Fencing number.
     pub fencing: u64,
-    /// Whether it was taken.
+    /// Whether it was accepted.
     pub accepted: bool,
-    /// Order as sent.
+    /// Order as received.
     pub body: serde_json::Value,
 }
 
-/// Everything that a stand-in target has recorded.
+/// Everything that a fake target has recorded.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Runs in the order they started.
+    /// Runs in the order of their start.
     pub runs: Vec<Run>,
-    /// Orders in the order they came.
+    /// Orders in the order of their arrival.
     pub orders: Vec<OrderRecord>,
-    /// Calls being run now.
+    /// Calls running now.
     pub running: u32,
-    /// Calls run at once, at most.
+    /// Maximum number of concurrent calls.
     pub peak: u32,
-    /// Calls run at once while cold, at most.
+    /// Maximum number of concurrent calls while cold.
     pub cold_peak: u32,
-    /// Calls refused before they ran.
+    /// Calls refused by a fault before they ran.
     pub refused: u32,
-    /// Falls because of too many calls at once.
+    /// Crashes caused by too many concurrent calls.
     #[serde(rename = "falls")]
     pub crashes: u32,
-    /// Connections that carried a call.
+    /// Connections that carried at least one call.
     pub connections: u32,
-    /// Incarnation.
+    /// Incarnation, increased by every restart or crash.
     pub incarnation: u64,
-    /// Answers since the start of this incarnation.
+    /// Completed responses since the start of this incarnation.
     pub answers: u32,
 }
--- a/hawthornkeel_fakes/src/target_control.rs
+++ b/hawthornkeel_fakes/src/target_control.rs
@@ -1,4 +1,4 @@
-//! Control requests to a stand-in target: behaviour, records, load and orders.
+//! Control requests to a fake target: configuration, recorded runs, load and orders.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,36 +13,36 @@
 use crate::record::OrderRecord;
 use crate::target::Target;
 
-/// Answers a control request with a status and a body, `None` where it is a call.
+/// Handles a control request and returns the status and body of its response; `None` for a call.
 pub(crate) fn handle(target: &Target, request: &ReceivedRequest) -> Option<(u16, Vec<u8>)> {
-    let answer = match (&request.head.method, request.head.uri.path()) {
+    let response = match (&request.head.method, request.head.uri.path()) {
         (&Method::GET, "/runs") => (200, to_json(&*target.shared.report.borrow())),
-        (&Method::GET, "/load") => (200, load(target)),
+        (&Method::GET, "/load") => (200, load_report(target)),
         (&Method::GET, "/health") => (200, b"{}".to_vec()),
-        (&Method::POST, "/behave") => behave(target, &request.body),
+        (&Method::POST, "/behave") => configure(target, &request.body),
         (&Method::POST, "/restart") => {
             target.restart();
             (200, b"{}".to_vec())
         }
         (&Method::POST, "/silence") => {
-            // Connections that are open now go silent for good; new ones work.
+            // Calls on connections that are open now never get a response; new connections work.
             let count = target.shared.accepted.get();
-            target.shared.silent_before.set(count);
+            target.shared.hung_before.set(count);
             (200, b"{}".to_vec())
         }
-        (&Method::POST, "/orders") => order(target, &request.body),
+        (&Method::POST, "/orders") => accept_order(target, &request.body),
         _ => return None,
     };
-    Some(answer)
+    Some(response)
 }
 
-/// Overlays the behaviour with the fields given.
-fn behave(target: &Target, body: &[u8]) -> (u16, Vec<u8>) {
-    let given = serde_json::from_slice::<serde_json::Map<String, Value>>(body);
-    let Ok(given) = given else { return (400, b"no object".to_vec()) };
+/// Overrides fields of the behaviour with those of the JSON object in `body`.
+fn configure(target: &Target, body: &[u8]) -> (u16, Vec<u8>) {
+    let overrides = serde_json::from_slice::<serde_json::Map<String, Value>>(body);
+    let Ok(overrides) = overrides else { return (400, b"no object".to_vec()) };
     let mut value = json!(&*target.shared.behaviour.borrow());
     if let Value::Object(fields) = &mut value {
-        fields.extend(given);
+        fields.extend(overrides);
     }
     match serde_json::from_value::<Behaviour>(value) {
         Ok(behaviour) => {
@@ -53,14 +53,14 @@
     }
 }
 
-/// Reports the load, as it was when the last lag period began.
-fn load(target: &Target) -> Vec<u8> {
+/// Returns the load report, with a load sample that is refreshed every `load_lag_ms`.
+fn load_report(target: &Target) -> Vec<u8> {
     let lag = Duration::from_millis(target.shared.behaviour.borrow().load_lag_ms);
     let report = target.shared.report.borrow();
-    let mut reported = target.shared.reported.borrow_mut();
-    let running = if lag.is_zero() { report.running } else { reported.1 };
-    if reported.0.elapsed() >= lag {
-        *reported = (Instant::now(), report.running);
+    let mut sampled = target.shared.sampled_load.borrow_mut();
+    let running = if lag.is_zero() { report.running } else { sampled.1 };
+    if sampled.0.elapsed() >= lag {
+        *sampled = (Instant::now(), report.running);
     }
     let load = json!({
         "incarnation": report.incarnation,
@@ -76,12 +76,13 @@
     fencing: u64,
 }
 
-fn order(target: &Target, body: &[u8]) -> (u16, Vec<u8>) {
+/// Records an order and refuses it where its fencing number is outdated and fencing is on.
+fn accept_order(target: &Target, body: &[u8]) -> (u16, Vec<u8>) {
     let Ok(order) = serde_json::from_slice::<Fencing>(body) else {
         return (400, b"{}".to_vec());
     };
-    let old = order.fencing < target.shared.fencing.get();
-    let accepted = !(old && target.shared.behaviour.borrow().fencing);
+    let outdated = order.fencing < target.shared.fencing.get();
+    let accepted = !(outdated && target.shared.behaviour.borrow().fencing);
     let record = OrderRecord {
         fencing: order.fencing,
         accepted,
--- a/hawthornkeel_fakes/src/tcp_relay.rs
+++ b/hawthornkeel_fakes/src/tcp_relay.rs
@@ -1,7 +1,7 @@
-//! Relay of connections to one address, which can be cut or lose track of its connections.
+//! TCP relay to one address that can block all traffic or blackhole its existing connections.
 //!
-//! While it is cut, bytes are held and new connections get no answer; afterwards the bytes go on,
-//! as the ends of a connection send again what was not acknowledged.
+//! While it is blocked, bytes are held back and new connections are not accepted. Afterwards the
+//! bytes are delivered, as TCP retransmits what was not acknowledged.
 
 use std::io;
 use std::io::Read;
@@ -24,18 +24,18 @@
 
 use rustix::net::listen;
 
-/// Time between looks at whether bytes may go on.
-const POLL: Duration = Duration::from_millis(2);
-/// Time for a connection to the relay itself to open, on loopback.
-const OWN_CONNECT: Duration = Duration::from_millis(100);
-/// Connections that wait to be accepted, at most.
+/// Interval of checking whether traffic is still blocked.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Time limit for connecting to the relay itself, on loopback.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Length of the accept queue while the relay is not blocked.
 const BACKLOG: i32 = 128;
-/// Bytes carried at once.
-const PIECE: usize = 16 * 1024;
+/// Size of the read buffer.
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Relay of connections to one address; dropping it ends it.
+/// TCP relay to one address, stopped on drop.
 pub struct TcpRelay {
-    /// Address that is connected to.
+    /// Address of the relay, to which clients connect.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -43,15 +43,15 @@
 struct Shared {
     listener: TcpListener,
     target: SocketAddr,
-    /// Connections opened so far.
-    opened: AtomicU64,
-    /// Connections before this one are silent for good.
-    silent_before: AtomicU64,
-    cut: AtomicBool,
-    /// Whether a connection was accepted during a cut and no other one will be.
+    /// Number of connections accepted so far.
+    accepted: AtomicU64,
+    /// Connections with a lower number carry no bytes any more.
+    blackholed_before: AtomicU64,
+    blocked: AtomicBool,
+    /// Whether the accepting thread holds a connection until the relay is unblocked.
     holding: AtomicBool,
     stop: AtomicBool,
-    /// Connections that fill the listener's queue while the relay is cut.
+    /// Connections that fill the accept queue while the relay is blocked.
     fillers: Mutex<Vec<TcpStream>>,
 }
 
@@ -66,46 +66,46 @@
         let shared = Arc::new(Shared {
             listener,
             target,
-            opened: AtomicU64::new(0),
-            silent_before: AtomicU64::new(0),
-            cut: AtomicBool::new(false),
+            accepted: AtomicU64::new(0),
+            blackholed_before: AtomicU64::new(0),
+            blocked: AtomicBool::new(false),
             holding: AtomicBool::new(false),
             stop: AtomicBool::new(false),
             fillers: Mutex::default(),
         });
-        let accepting = Arc::clone(&shared);
-        thread::spawn(move || accept(&accepting));
+        let accept_shared = Arc::clone(&shared);
+        thread::spawn(move || accept(&accept_shared));
         Ok(Self { address, shared })
     }
 
-    /// Loses track of the connections that are open now: nothing passes on them any more.
+    /// Stops forwarding on all existing connections without closing them.
     pub fn blackhole_connections(&self) {
-        let opened = self.shared.opened.load(Ordering::SeqCst);
-        self.shared.silent_before.store(opened, Ordering::SeqCst);
+        let accepted = self.shared.accepted.load(Ordering::SeqCst);
+        self.shared.blackholed_before.store(accepted, Ordering::SeqCst);
     }
 
-    /// Returns the number of connections opened so far.
+    /// Returns the number of connections accepted so far.
     pub fn connection_count(&self) -> u64 {
-        self.shared.opened.load(Ordering::SeqCst)
+        self.shared.accepted.load(Ordering::SeqCst)
     }
 
-    /// Holds back all bytes and leaves new connections unanswered, or lets both pass.
+    /// Blocks or unblocks all traffic: bytes are held back and new connections are not accepted.
     ///
     /// # Errors
-    /// Fails where the listener's queue can't be changed.
-    pub fn set_blocked(&self, cut: bool) -> io::Result<()> {
+    /// Fails where the length of the accept queue can't be changed.
+    pub fn set_blocked(&self, blocked: bool) -> io::Result<()> {
         let mut fillers = self.shared.fillers.lock().unwrap_or_else(PoisonError::into_inner);
-        self.shared.cut.store(cut, Ordering::SeqCst);
+        self.shared.blocked.store(blocked, Ordering::SeqCst);
         fillers.clear();
-        if !cut {
+        if !blocked {
             return Ok(listen(&self.shared.listener, BACKLOG)?);
         }
-        // With its queue full, the listener drops what would open a connection.
+        // With a full accept queue, the kernel drops further connection attempts.
         listen(&self.shared.listener, 0)?;
-        let connect = || TcpStream::connect_timeout(&self.address, OWN_CONNECT);
+        let connect = || TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT);
         while !self.shared.holding.load(Ordering::SeqCst) {
             fillers.extend(connect().ok());
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
         fillers.extend(iter::from_fn(|| connect().ok()));
         Ok(())
@@ -115,67 +115,67 @@
 impl Drop for TcpRelay {
     fn drop(&mut self) {
         self.shared.stop.store(true, Ordering::SeqCst);
-        // Ends the wait for a connection.
-        let _ = TcpStream::connect_timeout(&self.address, OWN_CONNECT);
+        // Wakes the accepting thread.
+        let _ = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT);
     }
 }
 
 impl Shared {
-    /// Waits until bytes of a connection may go on; returns whether they ever may.
-    fn wait(&self, number: u64) -> bool {
+    /// Waits until bytes of a connection may be forwarded; `false` once the relay has stopped.
+    fn wait_unblocked(&self, number: u64) -> bool {
         loop {
             if self.stop.load(Ordering::SeqCst) {
                 return false;
             }
-            let silent = number < self.silent_before.load(Ordering::SeqCst);
-            if !silent && !self.cut.load(Ordering::SeqCst) {
+            let blackholed = number < self.blackholed_before.load(Ordering::SeqCst);
+            if !blackholed && !self.blocked.load(Ordering::SeqCst) {
                 return true;
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
 fn accept(shared: &Arc<Shared>) {
-    while let Ok((near, _)) = shared.listener.accept() {
-        let number = shared.opened.load(Ordering::SeqCst);
-        // Nothing more is accepted during a cut, so that the queue stays full.
-        shared.holding.store(shared.cut.load(Ordering::SeqCst), Ordering::SeqCst);
-        if !shared.wait(number) {
+    while let Ok((client, _)) = shared.listener.accept() {
+        let number = shared.accepted.load(Ordering::SeqCst);
+        // No further connection is accepted while blocked, so that the queue stays full.
+        shared.holding.store(shared.blocked.load(Ordering::SeqCst), Ordering::SeqCst);
+        if !shared.wait_unblocked(number) {
             return;
         }
         shared.holding.store(false, Ordering::SeqCst);
-        shared.opened.fetch_add(1, Ordering::SeqCst);
-        // A connection that breaks is the other end's to open again.
-        let _ = relay(shared, number, near);
+        shared.accepted.fetch_add(1, Ordering::SeqCst);
+        // The client reconnects after an error.
+        let _ = start_forwarding(shared, number, client);
     }
 }
 
-fn relay(shared: &Arc<Shared>, number: u64, near: TcpStream) -> io::Result<()> {
-    let far = TcpStream::connect(shared.target)?;
-    near.set_nodelay(true)?;
-    far.set_nodelay(true)?;
-    let (near_back, far_back) = (near.try_clone()?, far.try_clone()?);
-    let (there, back) = (Arc::clone(shared), Arc::clone(shared));
-    thread::spawn(move || carry(&there, number, near, far));
-    thread::spawn(move || carry(&back, number, far_back, near_back));
+fn start_forwarding(shared: &Arc<Shared>, number: u64, client: TcpStream) -> io::Result<()> {
+    let server = TcpStream::connect(shared.target)?;
+    client.set_nodelay(true)?;
+    server.set_nodelay(true)?;
+    let (client_writer, server_reader) = (client.try_clone()?, server.try_clone()?);
+    let (outbound, inbound) = (Arc::clone(shared), Arc::clone(shared));
+    thread::spawn(move || forward(&outbound, number, client, server));
+    thread::spawn(move || forward(&inbound, number, server_reader, client_writer));
     Ok(())
 }
 
-/// Carries bytes one way until one of the ends closes.
-fn carry(shared: &Shared, number: u64, mut from: TcpStream, mut to: TcpStream) {
-    let mut data = [0; PIECE];
+/// Forwards bytes in one direction until either end closes.
+fn forward(shared: &Shared, number: u64, mut from: TcpStream, mut to: TcpStream) {
+    let mut data = [0; BUFFER_BYTES];
     loop {
         let count = from.read(&mut data).unwrap_or(0);
-        if !shared.wait(number) {
+        if !shared.wait_unblocked(number) {
             return;
         }
-        let piece = data.get(..count).unwrap_or_default();
-        if piece.is_empty() {
+        let bytes = data.get(..count).unwrap_or_default();
+        if bytes.is_empty() {
             let _ = to.shutdown(Shutdown::Write);
             return;
         }
-        if to.write_all(piece).is_err() {
+        if to.write_all(bytes).is_err() {
             let _ = from.shutdown(Shutdown::Both);
             return;
         }
--- a/hawthornkeel_fakes/src/thread.rs
+++ b/hawthornkeel_fakes/src/thread.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on threads of their own, for tests in one process.
+//! Fake targets and platforms on their own threads, for tests in one process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,34 +18,34 @@
 use crate::record::Report;
 use crate::target::Target;
 
-/// Time between looks at a condition.
-const STEP: Duration = Duration::from_millis(2);
+/// Interval of checking a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Stand-in target on a thread of its own, which lives as long as the process.
+/// Fake target on its own thread, which runs until the process exits.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetThread {
-    /// Address that it listens on.
+    /// Listen address.
     pub address: SocketAddr,
 }
 
 impl TargetThread {
     /// Starts a target on a free port.
     pub fn start(behaviour: Behaviour) -> io::Result<Self> {
-        let address = listen(move |listener| Target::new(behaviour).serve(listener))?;
+        let address = spawn_server(move |listener| Target::new(behaviour).serve(listener))?;
         Ok(Self { address })
     }
 
-    /// Overlays the behaviour with the fields of the JSON object `fields`.
+    /// Overrides fields of the behaviour with those of the JSON object `fields`.
     pub fn configure(&self, fields: &str) -> io::Result<()> {
         http1::control_request(self.address, "POST", "/behave", fields).map(drop)
     }
 
-    /// Restarts the target: a new incarnation, cold again.
+    /// Restarts the target, which gets a new incarnation and is cold again.
     pub fn restart(&self) -> io::Result<()> {
         http1::control_request(self.address, "POST", "/restart", "").map(drop)
     }
 
-    /// Makes the connections that are open now silent for good.
+    /// Leaves all further calls on existing connections without a response.
     pub fn hang_connections(&self) -> io::Result<()> {
         http1::control_request(self.address, "POST", "/silence", "").map(drop)
     }
@@ -57,17 +57,17 @@
     }
 }
 
-/// Stand-in platform on a thread of its own.
+/// Fake platform on its own thread, which runs until the process exits.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformThread {
-    /// Address that it listens on.
+    /// Listen address.
     pub address: SocketAddr,
 }
 
 impl PlatformThread {
-    /// Starts a platform on a free port with `list`.
+    /// Starts a platform on a free port that serves `list`.
     pub fn start(list: InstanceList) -> io::Result<Self> {
-        let address = listen(move |listener| {
+        let address = spawn_server(move |listener| {
             let platform = Platform::default();
             platform.set(list);
             platform.serve(listener)
@@ -75,7 +75,7 @@
         Ok(Self { address })
     }
 
-    /// Replaces the list.
+    /// Replaces the list; the new one is served after its delay.
     pub fn set(&self, list: &InstanceList) -> io::Result<()> {
         let lag = list.lag_ms.map(|l| format!("\"lag_ms\":{l},")).unwrap_or_default();
         let instances = serde_json::to_string(&list.instances).map_err(io::Error::other)?;
@@ -84,8 +84,8 @@
     }
 }
 
-/// Listens on a free port and serves on a new thread.
-fn listen<F, T>(serve: F) -> io::Result<SocketAddr>
+/// Serves on a free port on a new thread and returns the address.
+fn spawn_server<F, T>(serve: F) -> io::Result<SocketAddr>
 where
     F: FnOnce(TcpListener) -> T + Send + 'static,
     T: Future<Output = ()> + 'static,
@@ -98,7 +98,7 @@
     })
 }
 
-/// Runs `serve` on a new thread with a runtime and returns the first value that it sends.
+/// Runs `serve` on a new thread with its own runtime and returns the first value that it sends.
 pub fn start<V, F, T>(serve: F) -> io::Result<V>
 where
     V: Send + 'static,
@@ -110,20 +110,20 @@
     receiver.recv().map_err(io::Error::other)
 }
 
-/// Runs `future` to its end on a runtime of its own.
+/// Runs `future` to completion on a new runtime.
 pub fn block_on<T>(future: impl Future<Output = T>) -> io::Result<T> {
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new().enable_timer().build()?;
     Ok(runtime.block_on(future))
 }
 
-/// Waits until `condition` holds and tells whether it did before `limit`.
+/// Polls `condition` until it holds; returns `false` if it does not within `limit`.
 pub fn eventually(limit: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let end = Instant::now() + limit;
     while !condition() {
         if Instant::now() >= end {
             return false;
         }
-        thread::sleep(STEP);
+        thread::sleep(POLL_INTERVAL);
     }
     true
 }
--- a/hawthornkeel_fakes/src/udp_relay.rs
+++ b/hawthornkeel_fakes/src/udp_relay.rs
@@ -1,4 +1,4 @@
-//! Relay of datagrams to one address, which can be cut or lose track of its flows.
+//! UDP relay to one address that can drop all datagrams, one direction or the existing flows.
 
 use std::io;
 use std::net::IpAddr;
@@ -13,42 +13,42 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time between looks at whether the relay is to end.
-const POLL: Duration = Duration::from_millis(50);
-/// Datagram, in bytes at most.
-const MAX_DATAGRAM: usize = 2048;
+/// Read timeout, after which a thread checks whether the relay has been dropped.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Largest datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// Relay of datagrams to one address; dropping it ends it.
+/// UDP relay to one address, stopped on drop.
 pub struct UdpRelay {
-    /// Address that is sent to.
+    /// Address of the relay, to which clients send.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-/// Flow from one sender, with the socket that stands for it.
+/// Flow of one sender, with the socket through which the target sees it.
 struct Flow {
     source: SocketAddr,
-    back: UdpSocket,
+    socket: UdpSocket,
 }
 
 #[derive(Default)]
 struct Shared {
-    known: Mutex<Vec<SocketAddr>>,
-    lost: Mutex<Vec<SocketAddr>>,
-    /// Whether datagrams to the address vanish.
-    cut_out: AtomicBool,
-    /// Whether datagrams from the address vanish.
-    cut_back: AtomicBool,
+    sources: Mutex<Vec<SocketAddr>>,
+    blackholed: Mutex<Vec<SocketAddr>>,
+    /// Whether datagrams to the target are dropped.
+    outbound_blocked: AtomicBool,
+    /// Whether datagrams from the target are dropped.
+    inbound_blocked: AtomicBool,
     stop: AtomicBool,
 }
 
 impl Shared {
-    /// Tells whether datagrams of the flow from `source` vanish under `cut`.
-    fn drops(&self, cut: &AtomicBool, source: SocketAddr) -> bool {
-        cut.load(Ordering::Relaxed) || lock(&self.lost).contains(&source)
+    /// Tells whether a datagram of the flow from `source` is dropped, given its direction's flag.
+    fn is_dropped(&self, blocked: &AtomicBool, source: SocketAddr) -> bool {
+        blocked.load(Ordering::Relaxed) || lock(&self.blackholed).contains(&source)
     }
 
-    fn stopped(&self) -> bool {
+    fn is_stopped(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 }
@@ -57,41 +57,41 @@
     /// Starts a relay to `target`.
     ///
     /// # Errors
-    /// Fails where no socket can be bound.
+    /// Fails where no socket can be bound or configured.
     pub fn new(target: SocketAddr) -> io::Result<Self> {
-        let front = bind()?;
-        front.set_read_timeout(Some(POLL))?;
-        let relay = Self { address: front.local_addr()?, shared: Arc::default() };
+        let listener = bind()?;
+        listener.set_read_timeout(Some(POLL_INTERVAL))?;
+        let relay = Self { address: listener.local_addr()?, shared: Arc::default() };
         let shared = Arc::clone(&relay.shared);
-        thread::spawn(move || carry(&front, target, &shared));
+        thread::spawn(move || forward_outbound(&listener, target, &shared));
         Ok(relay)
     }
 
-    /// Loses track of every flow so far: their datagrams vanish from now on.
+    /// Drops all further datagrams of the flows so far, as a NAT that loses its state does.
     pub fn blackhole_flows(&self) {
-        let known = lock(&self.shared.known).clone();
-        lock(&self.shared.lost).extend(known);
+        let sources = lock(&self.shared.sources).clone();
+        lock(&self.shared.blackholed).extend(sources);
     }
 
-    /// Lets every datagram vanish, or none.
-    pub fn set_blocked(&self, cut: bool) {
-        self.set_outbound_blocked(cut);
-        self.set_inbound_blocked(cut);
+    /// Blocks or unblocks both directions.
+    pub fn set_blocked(&self, blocked: bool) {
+        self.set_outbound_blocked(blocked);
+        self.set_inbound_blocked(blocked);
     }
 
-    /// Lets the datagrams to the address vanish, or none of them.
-    pub fn set_outbound_blocked(&self, cut: bool) {
-        self.shared.cut_out.store(cut, Ordering::Relaxed);
+    /// Blocks or unblocks datagrams to the target.
+    pub fn set_outbound_blocked(&self, blocked: bool) {
+        self.shared.outbound_blocked.store(blocked, Ordering::Relaxed);
     }
 
-    /// Lets the datagrams from the address vanish, or none of them.
-    pub fn set_inbound_blocked(&self, cut: bool) {
-        self.shared.cut_back.store(cut, Ordering::Relaxed);
+    /// Blocks or unblocks datagrams from the target.
+    pub fn set_inbound_blocked(&self, blocked: bool) {
+        self.shared.inbound_blocked.store(blocked, Ordering::Relaxed);
     }
 
-    /// Returns the number of flows seen.
+    /// Returns the number of flows so far.
     pub fn flow_count(&self) -> usize {
-        lock(&self.shared.known).len()
+        lock(&self.shared.sources).len()
     }
 }
 
@@ -109,43 +109,43 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn carry(front: &UdpSocket, target: SocketAddr, shared: &Arc<Shared>) {
+fn forward_outbound(listener: &UdpSocket, target: SocketAddr, shared: &Arc<Shared>) {
     let mut flows: Vec<Flow> = Vec::new();
-    let mut data = [0; MAX_DATAGRAM];
-    while !shared.stopped() {
-        let Ok((len, source)) = front.recv_from(&mut data) else { continue };
-        if shared.drops(&shared.cut_out, source) {
+    let mut data = [0; MAX_DATAGRAM_BYTES];
+    while !shared.is_stopped() {
+        let Ok((len, source)) = listener.recv_from(&mut data) else { continue };
+        if shared.is_dropped(&shared.outbound_blocked, source) {
             continue;
         }
-        let known = flows.iter().position(|f| f.source == source);
-        let at = known.unwrap_or(flows.len());
-        if known.is_none() {
-            let Ok(flow) = open(front, source, shared) else { continue };
+        let found = flows.iter().position(|f| f.source == source);
+        let index = found.unwrap_or(flows.len());
+        if found.is_none() {
+            let Ok(flow) = open_flow(listener, source, shared) else { continue };
             flows.push(flow);
         }
-        if let Some(flow) = flows.get(at) {
-            let _ = flow.back.send_to(data.get(..len).unwrap_or_default(), target);
+        if let Some(flow) = flows.get(index) {
+            let _ = flow.socket.send_to(data.get(..len).unwrap_or_default(), target);
         }
     }
 }
 
-/// Starts to carry back what is sent to the flow from `source`.
-fn open(front: &UdpSocket, source: SocketAddr, shared: &Arc<Shared>) -> io::Result<Flow> {
-    let back = bind()?;
-    let (front, reader) = (front.try_clone()?, back.try_clone()?);
-    reader.set_read_timeout(Some(POLL))?;
-    lock(&shared.known).push(source);
+/// Opens the flow of `source` and starts to forward what the target sends back.
+fn open_flow(listener: &UdpSocket, source: SocketAddr, shared: &Arc<Shared>) -> io::Result<Flow> {
+    let socket = bind()?;
+    let (listener, reader) = (listener.try_clone()?, socket.try_clone()?);
+    reader.set_read_timeout(Some(POLL_INTERVAL))?;
+    lock(&shared.sources).push(source);
     let shared = Arc::clone(shared);
-    thread::spawn(move || carry_back(&front, source, &reader, &shared));
-    Ok(Flow { source, back })
+    thread::spawn(move || forward_inbound(&listener, source, &reader, &shared));
+    Ok(Flow { source, socket })
 }
 
-fn carry_back(front: &UdpSocket, source: SocketAddr, back: &UdpSocket, shared: &Shared) {
-    let mut data = [0; MAX_DATAGRAM];
-    while !shared.stopped() {
-        let Ok((len, _)) = back.recv_from(&mut data) else { continue };
-        if !shared.drops(&shared.cut_back, source) {
-            let _ = front.send_to(data.get(..len).unwrap_or_default(), source);
+fn forward_inbound(listener: &UdpSocket, source: SocketAddr, socket: &UdpSocket, shared: &Shared) {
+    let mut data = [0; MAX_DATAGRAM_BYTES];
+    while !shared.is_stopped() {
+        let Ok((len, _)) = socket.recv_from(&mut data) else { continue };
+        if !shared.is_dropped(&shared.inbound_blocked, source) {
+            let _ = listener.send_to(data.get(..len).unwrap_or_default(), source);
         }
     }
 }
--- a/hawthornkeel_fakes/tests/cold_target.rs
+++ b/hawthornkeel_fakes/tests/cold_target.rs
@@ -1,4 +1,4 @@
-//! A cold stand-in target bears what it is told to, falls over above it and warms up.
+//! Tests of the capacity of a cold fake target: it crashes above it and warms up below it.
 
 use hawthornkeel_fakes::behaviour::Behaviour;
 use hawthornkeel_fakes::load_generator;
@@ -8,7 +8,7 @@
 use hawthornkeel_fakes::thread;
 use hawthornkeel_fakes::thread::TargetThread;
 
-/// Sends `count` calls at once and returns how many were answered.
+/// Sends `count` concurrent calls and returns the number of complete responses.
 fn burst(target: TargetThread, count: u64) -> u64 {
     let load = LoadProfile { address: target.address, rate: 1e6, count, ..LoadProfile::default() };
     thread::block_on(load_generator::run(load)).unwrap().unwrap().count(ANSWERED)
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn falls_over_above_what_it_bears() {
+fn crashes_above_capacity() {
     let target = start();
     assert_eq!(burst(target, 3), 0);
     let report = target.report().unwrap();
@@ -30,10 +30,10 @@
 }
 
 #[test]
-fn warms_up_and_turns_cold_again() {
+fn cold_after_restart() {
     let target = start();
     assert_eq!((burst(target, 2), burst(target, 2)), (2, 2));
-    // Four answers make it warm.
+    // Four responses make it warm.
     assert_eq!(burst(target, 8), 8);
     target.restart().unwrap();
     assert_eq!(burst(target, 3), 0);
--- a/hawthornkeel_fakes/tests/platform_list.rs
+++ b/hawthornkeel_fakes/tests/platform_list.rs
@@ -1,4 +1,4 @@
-//! The stand-in platform's list shows changes after its lag.
+//! Test of the fake platform: a new list is served after the configured delay.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,7 +10,7 @@
 use hawthornkeel_fakes::thread;
 use hawthornkeel_fakes::thread::PlatformThread;
 
-const LAG: Duration = Duration::from_millis(200);
+const DELAY: Duration = Duration::from_millis(200);
 
 fn list(state: InstanceState, lag_ms: Option<u64>) -> InstanceList {
     let instance = Instance {
@@ -24,16 +24,17 @@
 }
 
 #[test]
-fn change_shows_after_lag() {
+fn list_changes_after_delay() {
     let platform = PlatformThread::start(list(InstanceState::Live, None)).unwrap();
-    let shown = || {
+    let served_state = || {
         let body = http1::control_request(platform.address, "GET", "/instances", "").unwrap();
         serde_json::from_str::<InstanceList>(&body).unwrap().instances[0].state
     };
-    assert_eq!(shown(), InstanceState::Live);
+    assert_eq!(served_state(), InstanceState::Live);
     let begin = Instant::now();
-    platform.set(&list(InstanceState::Draining, Some(LAG.as_millis() as u64))).unwrap();
-    let changed = thread::eventually(Duration::from_secs(5), || shown() == InstanceState::Draining);
+    platform.set(&list(InstanceState::Draining, Some(DELAY.as_millis() as u64))).unwrap();
+    let changed =
+        thread::eventually(Duration::from_secs(5), || served_state() == InstanceState::Draining);
     assert!(changed);
-    assert!(begin.elapsed() >= LAG);
+    assert!(begin.elapsed() >= DELAY);
 }
