--- a/hawthornkeel/tests/fleet/client.rs
+++ b/hawthornkeel/tests/fleet/client.rs
@@ -1,4 +1,4 @@
-//! Blocking requests of callers and operators.
+//! Blocking HTTP requests of callers and operators.
 
 use std::io::Read;
 use std::io::Write;
@@ -8,35 +8,35 @@
 use crate::fleet::KEY;
 use crate::fleet::TEST_TIMEOUT;
 
-/// Answer to a caller or operator.
+/// HTTP response to a caller or operator.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
-    /// Status.
+    /// Status code.
     pub status: u16,
-    /// Header fields in lower case, one a line.
+    /// Header fields in lower case, one per line.
     pub fields: String,
     /// Body.
     pub body: String,
 }
 
 impl HttpResponse {
-    /// Returns the value of a field of a refusal.
+    /// Returns a text field of a problem document, empty where it is absent.
     pub fn field(&self, name: &str) -> String {
-        self.value(name).as_str().unwrap_or_default().to_owned()
+        self.json_field(name).as_str().unwrap_or_default().to_owned()
     }
 
-    /// Returns what the last stage answered; nothing where the request was refused.
+    /// Returns the last stage's result; `None` where the request failed.
     pub fn result(&self) -> Option<serde_json::Value> {
-        (self.status == 200).then(|| self.value("answer"))
+        (self.status == 200).then(|| self.json_field("answer"))
     }
 
-    fn value(&self, name: &str) -> serde_json::Value {
+    fn json_field(&self, name: &str) -> serde_json::Value {
         let value: serde_json::Value = serde_json::from_str(&self.body).unwrap_or_default();
         value[name].clone()
     }
 }
 
-/// Calls a pipeline at the address of an instance.
+/// Calls a pipeline of the instance at `address`; an empty key sends no idempotency key.
 pub fn call_at(address: SocketAddr, pipeline: &str, key: &str, body: &str) -> Option<HttpResponse> {
     let key = match key {
         "" => String::new(),
@@ -46,12 +46,12 @@
     post(address, &format!("/v1/pipelines/{pipeline}"), &fields, body)
 }
 
-/// Sends a GET request; nothing is returned where no whole answer came.
+/// Sends a GET request; returns `None` without a complete response.
 pub fn get(address: SocketAddr, path: &str) -> Option<HttpResponse> {
     exchange(address, "GET", path, "", "")
 }
 
-/// Sends a POST request; nothing is returned where no whole answer came.
+/// Sends a POST request; returns `None` without a complete response.
 pub fn post(address: SocketAddr, path: &str, fields: &str, body: &str) -> Option<HttpResponse> {
     exchange(address, "POST", path, fields, body)
 }
--- a/hawthornkeel/tests/fleet/mod.rs
+++ b/hawthornkeel/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Fleet of real processes before stand-in targets, for tests.
+//! Fleet of `hawthornkeel` processes with fake targets and a fake platform, for tests.
 
 #![allow(dead_code)]
 
@@ -35,21 +35,21 @@
 pub use crate::fleet::client::post;
 pub use crate::fleet::network::Network;
 
-/// Time for anything to come about in a test.
+/// Time within which a condition must hold in a test.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest call to a cold target, in milliseconds; short, so that fleets start soon.
+/// Longest call to a cold target, in milliseconds; short, so that fleets start quickly.
 const GRANT_MS: u64 = 2_000;
-/// Port of a fleet's first instance: below those that the system hands out, which would meet.
+/// First port of the first instance; below the ephemeral ports, so as not to collide with them.
 const FIRST_PORT: u16 = 20_000;
-/// Ports of an instance.
-const PORTS: u16 = 3;
-/// Caller's key of the one workspace.
+/// Number of ports of an instance.
+const PORTS_PER_INSTANCE: u16 = 3;
+/// API key of the only workspace.
 pub const KEY: &str = "key-of-makers";
 /// SHA-256 of [`KEY`].
 const KEY_HASH: &str = "81645948756ea5b461a95787f94f98368bdf4dcfbca4e0d28797e10d31d3cd73";
 /// Pools of the test document.
 const POOLS: [&str; 3] = ["readers", "writers", "registry"];
-/// Document of the tests: two stages that may be repeated and one that may not.
+/// Environment document of the tests; the stage `sign` is the only one that is not idempotent.
 pub const DOCUMENT: &str = r#"
 name = "fleet"
 [[workspace]]
@@ -108,15 +108,15 @@
 max_attempts = 1
 "#;
 
-/// One instance.
+/// Instance of the fleet.
 pub struct Instance {
     /// Name.
     pub name: String,
     /// Data centre.
     pub centre: String,
-    /// Address for callers.
+    /// Listen address for callers.
     pub listen: SocketAddr,
-    /// Address for operators.
+    /// Listen address for operators.
     pub admin: SocketAddr,
     peer: SocketAddr,
     control: bool,
@@ -124,43 +124,43 @@
     child: Option<Child>,
 }
 
-/// Target with the data centre and pool that it belongs to.
+/// Fake target with its entry in the instance list.
 pub struct Target {
-    /// Stand-in.
+    /// Fake target.
     pub thread: TargetThread,
-    /// Entry on the platform's list.
+    /// Entry in the platform's list, with its pool and data centre.
     pub listed: ListedInstance,
 }
 
-/// Fleet of processes; dropping it ends them all.
+/// Fleet of processes, which are killed on drop.
 pub struct Fleet {
-    /// Instances, of which the first three have the control role.
+    /// Instances; the first three have the control role.
     pub instances: Vec<Instance>,
-    /// Targets, one for each pool in each data centre.
+    /// Targets, one per pool and data centre.
     pub targets: Vec<Target>,
-    /// Stand-in platform.
+    /// Fake platform.
     pub platform: PlatformThread,
-    /// Network between the data centres, where it can be cut.
+    /// Relays between the data centres, if the fleet was prepared with them.
     network: Option<Network>,
     root: TempDir,
 }
 
 impl Fleet {
-    /// Starts `count` instances over `centres` data centres, and submits [`DOCUMENT`].
+    /// Starts `count` instances in `centres` data centres and submits [`DOCUMENT`].
     pub fn start(count: usize, centres: usize) -> Self {
         let mut fleet = Self::prepare(count, centres);
         fleet.start_all();
         fleet
     }
 
-    /// Starts a fleet whose targets have all been warmed up by every instance.
+    /// Starts a fleet and warms up all targets from every instance.
     pub fn start_warm(count: usize, centres: usize) -> Self {
         let fleet = Self::start(count, centres);
         fleet.warm_up();
         fleet
     }
 
-    /// Starts every instance and submits [`DOCUMENT`].
+    /// Starts all instances, submits [`DOCUMENT`] and waits until all are ready.
     pub fn start_all(&mut self) {
         for at in 0..self.instances.len() {
             self.spawn(at);
@@ -171,12 +171,12 @@
         }
     }
 
-    /// Has every instance call the targets until none needs a grant.
+    /// Calls the targets through every instance until none of them needs a grant.
     pub fn warm_up(&self) {
         for at in 0..self.instances.len() {
             let mut number = 0;
             let warm = || {
-                // Calls of one prefix would stay with the first target that is warm.
+                // Calls with the same prompt prefix would all go to the first warm target.
                 number += 1;
                 let answer = self.call(at, "warm", "", &format!("{{\"number\":{number}}}"));
                 answer.is_some_and(|a| a.status == 200) && self.is_warm(at)
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Tells whether the last calls of an instance to its own data centre needed no grant.
+    /// Tells whether an instance's last calls to targets in its data centre needed no grant.
     fn is_warm(&self, at: usize) -> bool {
         let log = self.log(at);
         let routes = || log.lines().rev().filter(|l| l.contains("event=route "));
@@ -195,38 +195,38 @@
         })
     }
 
-    /// Prepares a fleet none of whose instances runs yet.
+    /// Prepares a fleet without starting its instances.
     pub fn prepare(count: usize, centres: usize) -> Self {
         Self::prepare_with_grant(count, centres, GRANT_MS)
     }
 
-    /// Prepares a fleet whose calls to cold targets last `grant_ms` milliseconds at most.
+    /// Prepares a fleet whose calls to cold targets last at most `grant_ms` milliseconds.
     pub fn prepare_with_grant(count: usize, centres: usize, grant_ms: u64) -> Self {
-        let fleet = Self::place(count, centres);
+        let fleet = Self::layout(count, centres);
         fleet.write_settings(grant_ms);
         fleet
     }
 
-    /// Prepares a fleet whose data centres can be cut off from each other.
+    /// Prepares a fleet whose data centres can be partitioned from each other.
     pub fn prepare_with_network(count: usize, centres: usize) -> Self {
-        let mut fleet = Self::place(count, centres);
+        let mut fleet = Self::layout(count, centres);
         fleet.network = Some(Network::new(&fleet.instances, &fleet.targets));
         fleet.write_settings(GRANT_MS);
         fleet
     }
 
-    /// Returns the network of a fleet that was prepared with one.
+    /// Returns the network of a fleet prepared with [`Self::prepare_with_network`].
     pub fn network(&self) -> &Network {
         self.network.as_ref().unwrap()
     }
 
-    /// Places instances and targets.
-    fn place(count: usize, centres: usize) -> Self {
+    /// Assigns addresses to the instances and starts the fake targets and platform.
+    fn layout(count: usize, centres: usize) -> Self {
         let root = TempDir::new().unwrap();
-        let address = own_address();
+        let address = unique_address();
         let centre = |at: usize| format!("dc-{}", at % centres);
         let instances: Vec<_> = (0..count)
-            .zip((FIRST_PORT..).step_by(usize::from(PORTS)))
+            .zip((FIRST_PORT..).step_by(usize::from(PORTS_PER_INSTANCE)))
             .map(|(at, port)| Instance {
                 name: format!("entry-{at}"),
                 centre: centre(at),
@@ -274,12 +274,12 @@
         kill_process(self.pid(at), signal).unwrap();
     }
 
-    /// Returns the process number of an instance.
+    /// Returns the process ID of an instance.
     pub fn pid(&self, at: usize) -> Pid {
         Pid::from_child(self.instances[at].child.as_ref().unwrap())
     }
 
-    /// Waits for the process of an instance to end and returns its exit code.
+    /// Waits for the process of an instance to exit and returns its exit code.
     pub fn wait_exit(&mut self, at: usize) -> Option<i32> {
         let mut child = self.instances[at].child.take().unwrap();
         child.wait().unwrap().code()
@@ -292,7 +292,7 @@
         assert!(eventually(TEST_TIMEOUT, ready), "{} not ready:\n{}", at, self.log(at));
     }
 
-    /// Submits a document at an instance until it is accepted.
+    /// Submits a document to an instance until it is accepted.
     pub fn submit(&self, at: usize, operation: u64, expected: u64, text: &str) {
         let accepted = || {
             let answer = self.try_submit(at, "op", operation, expected, text);
@@ -301,7 +301,7 @@
         assert!(eventually(TEST_TIMEOUT, accepted), "document not accepted:\n{}", self.log(at));
     }
 
-    /// Submits a document at an instance once.
+    /// Submits a document to an instance once.
     pub fn try_submit(
         &self,
         at: usize,
@@ -318,7 +318,7 @@
         post(self.instances[at].admin, "/admin/submit", "", &body)
     }
 
-    /// Gives an order about a data centre at an instance.
+    /// Sends an order about a data centre to an instance.
     pub fn send_order(
         &self,
         at: usize,
@@ -331,38 +331,38 @@
         post(self.instances[at].admin, &format!("/admin/{order}"), "", &body)
     }
 
-    /// Calls a pipeline at an instance.
+    /// Calls a pipeline of an instance.
     pub fn call(&self, at: usize, pipeline: &str, key: &str, body: &str) -> Option<HttpResponse> {
         call_at(self.instances[at].listen, pipeline, key, body)
     }
 
-    /// Returns the status of all instances, as one of them tells it.
+    /// Returns the status of all instances as reported by one of them.
     pub fn status(&self, at: usize) -> String {
         get(self.instances[at].admin, "/admin/status").map(|a| a.body).unwrap_or_default()
     }
 
-    /// Returns the version in force at an instance, by its own word.
+    /// Returns the document version in force at an instance, as it reports itself.
     pub fn version_at(&self, at: usize) -> Option<u64> {
         self.own_status(at)?["version"].as_u64()
     }
 
-    /// Returns the term that a control instance is in.
+    /// Returns the current term of a control instance.
     pub fn term_at(&self, at: usize) -> Option<u64> {
         self.own_status(at)?["control"]["term"].as_u64()
     }
 
-    /// Returns the number of the instance that leads the control group.
+    /// Returns the index of the instance that leads the control group.
     pub fn leader(&self) -> usize {
         let mut leader = None;
         let found = || {
-            leader = (0..3).find(|at| self.own_status(*at).is_some_and(|s| leads(&s)));
+            leader = (0..3).find(|at| self.own_status(*at).is_some_and(|s| is_leader(&s)));
             leader.is_some()
         };
         assert!(eventually(TEST_TIMEOUT, found), "no leader:\n{}", self.log(0));
         leader.unwrap()
     }
 
-    /// Returns the number of the instance that `at` takes for the leader.
+    /// Returns the index of the instance that is the leader according to instance `at`.
     pub fn known_leader(&self, at: usize) -> usize {
         let mut name = String::new();
         let known = || {
@@ -374,7 +374,7 @@
         self.instances.iter().position(|i| i.name == name).unwrap()
     }
 
-    /// Returns the identity under which `name` votes, as the instance `at` knows it.
+    /// Returns the node ID under which `name` is a voter according to instance `at`.
     pub fn voter_id(&self, at: usize, name: &str) -> Option<serde_json::Value> {
         let status = self.own_status(at)?;
         let members = status["control"]["members"].as_array()?;
@@ -388,10 +388,10 @@
         status["instances"].as_array()?.iter().find(own).cloned()
     }
 
-    /// Returns the runs that the targets of a data centre have recorded.
+    /// Returns the number of runs on the targets of a data centre.
     pub fn runs_in(&self, centre: &str) -> usize {
-        let near = self.targets.iter().filter(|t| t.listed.data_centre == centre);
-        near.map(|t| t.thread.report().unwrap().runs.len()).sum()
+        let targets = self.targets.iter().filter(|t| t.listed.data_centre == centre);
+        targets.map(|t| t.thread.report().unwrap().runs.len()).sum()
     }
 
     /// Returns the targets of a pool.
@@ -399,7 +399,7 @@
         self.targets.iter().filter(move |t| t.listed.pool == pool)
     }
 
-    /// Returns the runs that the targets of a pool recorded under an idempotency key.
+    /// Returns the number of runs on the targets of a pool with an idempotency key.
     pub fn runs(&self, pool: &str, key: &str) -> usize {
         let count = |t: &Target| {
             let report = t.thread.report().unwrap();
@@ -408,17 +408,17 @@
         self.pool(pool).map(count).sum()
     }
 
-    /// Removes the data folder of an instance, whose process must not run.
+    /// Removes the data folder of an instance, which must not be running.
     pub fn wipe(&self, at: usize) {
-        fs::remove_dir_all(self.data(at)).unwrap();
+        fs::remove_dir_all(self.data_path(at)).unwrap();
     }
 
-    /// Returns what an instance has logged.
+    /// Returns an instance's log.
     pub fn log(&self, at: usize) -> String {
         fs::read_to_string(self.root.path().join(format!("entry-{at}.log"))).unwrap_or_default()
     }
 
-    fn data(&self, at: usize) -> PathBuf {
+    fn data_path(&self, at: usize) -> PathBuf {
         self.root.path().join(format!("data-{at}"))
     }
 
@@ -426,11 +426,11 @@
         let keys = self.root.path().join("keys");
         fs::create_dir_all(&keys).unwrap();
         for at in 0..self.instances.len() {
-            self.write_own(at, grant_ms);
+            self.write_instance_settings(at, grant_ms);
         }
     }
 
-    fn write_own(&self, at: usize, grant_ms: u64) {
+    fn write_instance_settings(&self, at: usize, grant_ms: u64) {
         let keys = self.root.path().join("keys");
         let own = &self.instances[at];
         let network = self.network.as_ref();
@@ -446,7 +446,7 @@
         if own.control {
             text += &format!(
                 "[control]\nenabled = true\ndata = {:?}\nfounders = {:?}\n",
-                self.data(at),
+                self.data_path(at),
                 self.instances.iter().filter(|i| i.control).map(|i| &i.name).collect::<Vec<_>>()
             );
         }
@@ -474,7 +474,7 @@
     }
 }
 
-fn leads(status: &serde_json::Value) -> bool {
+fn is_leader(status: &serde_json::Value) -> bool {
     status["control"]["lead"]["own"] == true
 }
 
@@ -490,8 +490,8 @@
     Target { thread, listed }
 }
 
-/// Returns a loopback address that no other fleet uses, so that their ports can't meet.
-fn own_address() -> IpAddr {
+/// Returns a loopback address that no other fleet uses, so that their ports don't collide.
+fn unique_address() -> IpAddr {
     static FLEETS: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
     IpAddr::from([127, 64 | (high & 63), low, FLEETS.fetch_add(1, Ordering::Relaxed)])
--- a/hawthornkeel/tests/fleet/network.rs
+++ b/hawthornkeel/tests/fleet/network.rs
@@ -1,4 +1,4 @@
-//! Network between the data centres of a fleet, which can be cut.
+//! Network of relays between the data centres of a fleet, which can be partitioned.
 
 use std::net::SocketAddr;
 
@@ -10,48 +10,48 @@
 use crate::fleet::Instance;
 use crate::fleet::Target;
 
-/// Network of relays, one for each way between two ends.
+/// Network of relays, one per link.
 pub struct Network {
-    peers: Vec<PeerWay>,
-    targets: Vec<TargetWay>,
+    peers: Vec<PeerLink>,
+    targets: Vec<TargetLink>,
     platforms: Vec<CentrePlatform>,
 }
 
-/// Instance as an end of a way.
+/// Instance or target at one end of a link.
 #[derive(Clone, Eq, PartialEq)]
-struct End {
+struct LinkEnd {
     name: String,
     centre: String,
 }
 
-/// Way on which one instance opens connections to another.
-struct PeerWay {
-    from: End,
-    to: End,
+/// Link over which one instance opens connections to another.
+struct PeerLink {
+    from: LinkEnd,
+    to: LinkEnd,
     relay: UdpRelay,
 }
 
-/// Way from the instances of a data centre to a target.
-struct TargetWay {
+/// Link from the instances of a data centre to a target.
+struct TargetLink {
     centre: String,
-    to: End,
+    to: LinkEnd,
     relay: TcpRelay,
 }
 
-/// Platform of a data centre, whose list has the addresses of the ways from there.
+/// Platform of a data centre, which lists the targets by their links' relay addresses.
 struct CentrePlatform {
     centre: String,
     thread: PlatformThread,
 }
 
 impl Network {
-    /// Lays the ways between instances, and from each data centre to the targets.
+    /// Creates the links between instances and from each data centre to the targets.
     pub(super) fn new(instances: &[Instance], targets: &[Target]) -> Self {
         let mut network = Self { peers: Vec::new(), targets: Vec::new(), platforms: Vec::new() };
         for from in instances {
             for to in instances.iter().filter(|i| i.name != from.name) {
                 let relay = UdpRelay::new(to.peer).unwrap();
-                network.peers.push(PeerWay { from: end(from), to: end(to), relay });
+                network.peers.push(PeerLink { from: link_end(from), to: link_end(to), relay });
             }
             if !network.platforms.iter().any(|p| p.centre == from.centre) {
                 network.add_centre(&from.centre, targets);
@@ -67,55 +67,59 @@
             let mut listed = target.listed.clone();
             listed.address = relay.address.to_string();
             list.instances.push(listed);
-            let to =
-                End { name: target.listed.name.clone(), centre: target.listed.data_centre.clone() };
-            self.targets.push(TargetWay { centre: centre.to_owned(), to, relay });
+            let to = LinkEnd {
+                name: target.listed.name.clone(),
+                centre: target.listed.data_centre.clone(),
+            };
+            self.targets.push(TargetLink { centre: centre.to_owned(), to, relay });
         }
         let thread = PlatformThread::start(list).unwrap();
         self.platforms.push(CentrePlatform { centre: centre.to_owned(), thread });
     }
 
-    /// Cuts a data centre off from the others, silently, or heals the cut.
-    pub fn set_partitioned(&self, centre: &str, cut: bool) {
-        for way in &self.peers {
-            if (way.from.centre == centre) != (way.to.centre == centre) {
-                way.relay.set_blocked(cut);
+    /// Partitions a data centre from the others without closing connections, or ends this.
+    pub fn set_partitioned(&self, centre: &str, partitioned: bool) {
+        for link in &self.peers {
+            if (link.from.centre == centre) != (link.to.centre == centre) {
+                link.relay.set_blocked(partitioned);
             }
         }
-        for way in &self.targets {
-            if (way.centre == centre) != (way.to.centre == centre) {
-                way.relay.set_blocked(cut).unwrap();
+        for link in &self.targets {
+            if (link.centre == centre) != (link.to.centre == centre) {
+                link.relay.set_blocked(partitioned).unwrap();
             }
         }
     }
 
-    /// Cuts an instance off from all others, silently, or heals the cut; targets are reached.
-    pub fn set_isolated(&self, name: &str, cut: bool) {
-        for way in self.peers.iter().filter(|w| w.from.name == name || w.to.name == name) {
-            way.relay.set_blocked(cut);
+    /// Isolates an instance from the other instances without closing connections, or ends this.
+    ///
+    /// The instance still reaches the targets.
+    pub fn set_isolated(&self, name: &str, isolated: bool) {
+        for link in self.peers.iter().filter(|l| l.from.name == name || l.to.name == name) {
+            link.relay.set_blocked(isolated);
         }
     }
 
-    /// Lets what an instance sends to the others vanish, or none of it.
-    pub fn set_outbound_blocked(&self, name: &str, cut: bool) {
-        for way in self.peers.iter().filter(|w| w.from.name == name) {
-            way.relay.set_outbound_blocked(cut);
+    /// Blocks or unblocks what an instance sends to the other instances.
+    pub fn set_outbound_blocked(&self, name: &str, blocked: bool) {
+        for link in self.peers.iter().filter(|l| l.from.name == name) {
+            link.relay.set_outbound_blocked(blocked);
         }
-        for way in self.peers.iter().filter(|w| w.to.name == name) {
-            way.relay.set_inbound_blocked(cut);
+        for link in self.peers.iter().filter(|l| l.to.name == name) {
+            link.relay.set_inbound_blocked(blocked);
         }
     }
 
-    /// Returns the way from a data centre to a target.
+    /// Returns the relay between a data centre and a target.
     pub fn target_relay(&self, centre: &str, target: &str) -> &TcpRelay {
-        let way = self.targets.iter().find(|w| w.centre == centre && w.to.name == target);
-        &way.unwrap().relay
+        let link = self.targets.iter().find(|l| l.centre == centre && l.to.name == target);
+        &link.unwrap().relay
     }
 
-    /// Returns the address at which `from` reaches `to`.
+    /// Returns the relay address through which instance `from` reaches `to`.
     pub(super) fn peer(&self, from: &str, to: &str) -> SocketAddr {
-        let way = self.peers.iter().find(|w| w.from.name == from && w.to.name == to);
-        way.unwrap().relay.address
+        let link = self.peers.iter().find(|l| l.from.name == from && l.to.name == to);
+        link.unwrap().relay.address
     }
 
     /// Returns the address of the platform of a data centre.
@@ -124,6 +128,6 @@
     }
 }
 
-fn end(instance: &Instance) -> End {
-    End { name: instance.name.clone(), centre: instance.centre.clone() }
+fn link_end(instance: &Instance) -> LinkEnd {
+    LinkEnd { name: instance.name.clone(), centre: instance.centre.clone() }
 }
