--- a/hawthornkeel/tests/forward_harness/mod.rs
+++ b/hawthornkeel/tests/forward_harness/mod.rs
@@ -1,4 +1,4 @@
-//! One control instance and two entries as processes, with a platform's list and targets.
+//! Control instances and two entries as processes, with a fake platform and fake targets.
 
 #![allow(dead_code, clippy::indexing_slicing, clippy::unwrap_used)]
 
@@ -32,12 +32,12 @@
 use rustix::process::kill_process;
 use tempfile::TempDir;
 
-/// Time for anything to come about.
+/// Time within which a condition must hold in a test.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Names of the targets, which listen on addresses of their own.
+/// Names of the targets, each of which has its own address.
 pub const TARGETS: [&str; 3] = ["i-plain", "i-other", "i-stage"];
 
-/// Request as a target got it.
+/// Request that a target received.
 #[derive(Clone, Debug)]
 pub struct RecordedRequest {
     pub target: &'static str,
@@ -46,7 +46,7 @@
     pub body: Bytes,
 }
 
-/// Answer as a caller got it.
+/// Response that a caller received.
 #[derive(Debug)]
 pub struct HttpResponse {
     pub status: u16,
@@ -54,13 +54,13 @@
     pub body: String,
 }
 
-/// Client of a harness's entries.
+/// Client of the harness's entries.
 pub struct EntryClient {
     entries: Vec<SocketAddr>,
 }
 
 impl EntryClient {
-    /// Calls one of the entries once; `None` where there is no whole answer.
+    /// Calls one of the entries once; returns `None` without a response.
     pub fn try_call(
         &self,
         entry: usize,
@@ -72,15 +72,15 @@
     }
 }
 
-/// Process of the harness.
+/// Instance of the harness, running or not.
 struct Process {
     ip: String,
     child: Option<Child>,
 }
 
-/// Running harness.
+/// Processes and fakes of a test; the processes are killed on drop.
 pub struct Harness {
-    pub seen: Arc<Mutex<Vec<RecordedRequest>>>,
+    pub requests: Arc<Mutex<Vec<RecordedRequest>>>,
     processes: Vec<Process>,
     root: TempDir,
     operators: Vec<SocketAddr>,
@@ -94,23 +94,25 @@
 }
 
 impl Harness {
-    /// Starts a harness with one control instance; `net` keeps tests that run at once apart.
+    /// Starts a harness with one control instance.
+    ///
+    /// `net` is the second byte of its loopback addresses and differs between concurrent tests.
     pub fn start(net: u8) -> Self {
         Self::with_control_instances(net, 1)
     }
 
-    /// Starts a harness; the first processes are its control instances, two entries follow.
+    /// Starts a harness with `controls` control instances, followed by two entries.
     pub fn with_control_instances(net: u8, controls: u8) -> Self {
         let ip = |host: u8| format!("127.{net}.0.{host}");
         let port = free_port(&ip(1));
         let list = addr(&ip(9), port + 1);
-        let seen = Arc::new(Mutex::new(Vec::new()));
+        let requests = Arc::new(Mutex::new(Vec::new()));
         let targets = [addr(&ip(31), port), addr(&ip(32), port), addr(&ip(33), port)];
-        serve_fakes(list, targets, &seen);
+        serve_fakes(list, targets, &requests);
         let hosts: Vec<u8> = (1..=controls).collect();
         let entries: Vec<u8> = vec![controls + 1, controls + 2];
         let mut harness = Self {
-            seen,
+            requests,
             processes: Vec::new(),
             root: tempfile::tempdir().unwrap(),
             operators: hosts.iter().map(|h| addr(&ip(*h), port + 2)).collect(),
@@ -150,7 +152,7 @@
         self.spawn(self.processes.len() - 1);
     }
 
-    /// Starts a process that doesn't run.
+    /// Starts a process that is not running.
     pub fn spawn(&mut self, at: usize) {
         let process = &mut self.processes[at];
         let file: PathBuf = self.root.path().join(format!("{}.toml", process.ip));
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Tells whether a process runs, frozen or not.
+    /// Tells whether a process is running, suspended or not.
     pub fn is_started(&self, at: usize) -> bool {
         self.processes[at].child.is_some()
     }
@@ -185,19 +187,19 @@
         self.processes.len()
     }
 
-    /// Sends a signal to a process that runs.
+    /// Sends a signal to a process if it is running.
     pub fn signal(&self, at: usize, signal: Signal) {
         if let Some(child) = &self.processes[at].child {
             kill_process(Pid::from_child(child), signal).unwrap();
         }
     }
 
-    /// Returns callers, who go on while processes are killed and started.
+    /// Returns a client that stays usable while processes are killed and started.
     pub fn client(&self) -> EntryClient {
         EntryClient { entries: self.entries.clone() }
     }
 
-    /// Hands a document to one control instance once.
+    /// Submits a document to one control instance once.
     pub fn try_replace_document(&self, control: usize, document: &str) -> Option<HttpResponse> {
         call(self.operators[control], "POST", "/Configuration.Replace", "", document)
     }
@@ -207,62 +209,63 @@
         call(self.operators[control], "GET", "/Configuration.Read", "", "")
     }
 
-    /// Puts a document into force, and waits until it is acknowledged.
+    /// Submits a document until its response is not 503, and returns that status.
     pub fn replace_document(&self, document: &str) -> u16 {
         let until = Instant::now() + TEST_TIMEOUT;
         loop {
-            let got = call(self.operators[0], "POST", "/Configuration.Replace", "", document);
-            match got {
-                Some(got) if got.status != 503 => return got.status,
+            let response = call(self.operators[0], "POST", "/Configuration.Replace", "", document);
+            match response {
+                Some(response) if response.status != 503 => return response.status,
                 _ => assert!(Instant::now() < until, "no acknowledgement:\n{}", self.logs()),
             }
             thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// Returns the document in force, as operators read it.
+    /// Reads the document in force from the first control instance.
     pub fn read_document(&self) -> Option<HttpResponse> {
         call(self.operators[0], "GET", "/Configuration.Read", "", "")
     }
 
-    /// Calls an entry, which must be listening.
+    /// Calls the first entry; panics without a response.
     pub fn call(&self, method: &str, path: &str, fields: &str, body: &str) -> HttpResponse {
         call(self.entries[0], method, path, fields, body)
             .unwrap_or_else(|| panic!("{}", self.logs()))
     }
 
-    /// Calls an entry until the answer has a status.
+    /// Calls the first entry until the response has a status.
     pub fn call_until(&self, status: u16, path: &str, fields: &str) -> HttpResponse {
         let until = Instant::now() + TEST_TIMEOUT;
         loop {
-            if let Some(got) = call(self.entries[0], "GET", path, fields, "")
-                && got.status == status
+            if let Some(response) = call(self.entries[0], "GET", path, fields, "")
+                && response.status == status
             {
-                return got;
+                return response;
             }
             assert!(Instant::now() < until, "never {status}:\n{}", self.logs());
             thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Returns what targets got, of requests whose first line begins so.
+    /// Returns the requests that targets received whose first line starts with `line`.
     pub fn requests(&self, line: &str) -> Vec<RecordedRequest> {
-        let seen = self.seen.lock().unwrap();
-        seen.iter().filter(|s| s.line.starts_with(line)).cloned().collect()
+        let requests = self.requests.lock().unwrap();
+        requests.iter().filter(|r| r.line.starts_with(line)).cloned().collect()
     }
 
-    /// Waits until targets got a request whose first line begins so.
+    /// Waits until a target receives a request whose first line starts with `line`.
     pub fn wait_for_request(&self, line: &str) -> RecordedRequest {
         let until = Instant::now() + TEST_TIMEOUT;
         loop {
-            if let Some(seen) = self.requests(line).first() {
-                return seen.clone();
+            if let Some(request) = self.requests(line).first() {
+                return request.clone();
             }
             assert!(Instant::now() < until, "never {line}:\n{}", self.logs());
             thread::sleep(Duration::from_millis(20));
         }
     }
 
+    /// Returns the logs of all processes.
     pub fn logs(&self) -> String {
         let files = fs::read_dir(self.root.path()).unwrap().map(|f| f.unwrap().path());
         let logs = files.filter(|f| f.extension().is_some_and(|e| e == "log"));
@@ -274,20 +277,20 @@
     format!("{ip}:{port}").parse().unwrap()
 }
 
-/// Returns a port below those that the system hands out, free with the next few.
+/// Returns a port below the ephemeral ports that is free, as are the next four.
 fn free_port(ip: &str) -> u16 {
     let start = 20_000 + u16::try_from(std::process::id() % 800).unwrap() * 10;
     let free = |port: &u16| (0..5).all(|n| TcpListener::bind((ip, port + n)).is_ok());
     (start..32_000).step_by(10).find(free).unwrap()
 }
 
-/// Serves the platform's list and the targets on a thread of their own.
+/// Serves the platform's list and the targets on a new thread.
 fn serve_fakes(
     list: SocketAddr,
     targets: [SocketAddr; 3],
-    seen: &Arc<Mutex<Vec<RecordedRequest>>>,
+    requests: &Arc<Mutex<Vec<RecordedRequest>>>,
 ) {
-    let seen = Arc::clone(seen);
+    let requests = Arc::clone(requests);
     thread::spawn(move || {
         hawthornkeel::runtime::block_on(async move {
             let entries = TARGETS.iter().zip(targets).map(|(name, address)| {
@@ -306,10 +309,10 @@
             }));
             for (target, address) in TARGETS.into_iter().zip(targets) {
                 let server = Server::bind(address, Limits::default()).unwrap();
-                let seen = Arc::clone(&seen);
+                let requests = Arc::clone(&requests);
                 monoio::spawn(server.serve(move |request: Request| {
-                    let first = note(target, &request, &seen);
-                    async move { answer(target, &request, first).await }
+                    let first = record_request(target, &request, &requests);
+                    async move { respond(target, &request, first).await }
                 }));
             }
             std::future::pending::<()>().await;
@@ -318,18 +321,22 @@
     });
 }
 
-/// Notes a request and tells whether it is the first with its line.
-fn note(target: &'static str, request: &Request, seen: &Mutex<Vec<RecordedRequest>>) -> bool {
+/// Records a request and tells whether it is the first with its first line.
+fn record_request(
+    target: &'static str,
+    request: &Request,
+    requests: &Mutex<Vec<RecordedRequest>>,
+) -> bool {
     let head = &request.head;
     let line = format!("{} {}?{}", head.method, head.path, head.query);
-    let mut seen = seen.lock().unwrap();
-    let first = !seen.iter().any(|s| s.line == line);
+    let mut requests = requests.lock().unwrap();
+    let first = !requests.iter().any(|r| r.line == line);
     let (headers, body) = (head.headers.clone(), request.body.clone());
-    seen.push(RecordedRequest { target, line, headers, body });
+    requests.push(RecordedRequest { target, line, headers, body });
     first
 }
 
-async fn answer(target: &str, request: &Request, first: bool) -> Response {
+async fn respond(target: &str, request: &Request, first: bool) -> Response {
     let head = &request.head;
     let id = head.header("request-id").unwrap_or_default().to_owned();
     let response = match head.path.as_str() {
@@ -346,14 +353,14 @@
         "/lots/broken" if first => {
             Response::whole(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "no")
         }
-        "/events/1" => events(first),
+        "/events/1" => event_stream(first),
         path => Response::whole(StatusCode::OK, "text/plain", format!("{target} {path}")),
     };
     response.with_header("server-signature", "s.1").with_header("request-id", &id)
 }
 
-/// Answers with a stream that breaks off inside its second event at the first time.
-fn events(first: bool) -> Response {
+/// Returns an event stream, which the first time ends abruptly within its second event.
+fn event_stream(first: bool) -> Response {
     let (sender, receiver) = bounded(4);
     monoio::spawn(async move {
         let all = if first { "id: 1\ndata: a\n\nid: 2\nda" } else { "id: 2\ndata: b\n\n" };
@@ -369,7 +376,7 @@
     response
 }
 
-/// Sends one request and reads its answer, `None` where there is no connection or no answer.
+/// Sends one request and reads its response; `None` without a connection or response.
 fn call(
     to: SocketAddr,
     method: &str,
@@ -385,10 +392,10 @@
          Content-Length: {length}\r\n\r\n{body}"
     );
     stream.write_all(request.as_bytes()).ok()?;
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).ok()?;
-    let answer = String::from_utf8_lossy(&answer).into_owned();
-    let (head, body) = answer.split_once("\r\n\r\n")?;
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).ok()?;
+    let response = String::from_utf8_lossy(&response).into_owned();
+    let (head, body) = response.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     Some(HttpResponse { status, head: head.to_lowercase(), body: body.to_owned() })
 }
