--- a/hawthornkeel/src/control/node.rs
+++ b/hawthornkeel/src/control/node.rs
@@ -30,19 +30,19 @@
 
 use crate::clock::boot_now;
 use crate::clock::wall_now;
-use crate::control::batch;
+use crate::control::codec;
 use crate::control::error::ControlFailure;
-use crate::control::pending::BatchLimits;
-use crate::control::pending::Pending;
-use crate::control::saver::Saver;
+use crate::control::proposal_queue::BatchLimits;
+use crate::control::proposal_queue::ProposalQueue;
+use crate::control::storage::LogStorage;
 use crate::peer::Endpoint;
 use crate::peer::Frame;
 use crate::peer::frame::ControlStatus;
 use crate::peer::frame::FrameKind;
-use crate::peer::frame::Lead;
+use crate::peer::frame::Leadership;
 use crate::peer::frame::Proposed;
-use crate::peer::signal::Signal;
-use crate::peer::signal::yield_now;
+use crate::peer::wakeup::EventCount;
+use crate::peer::wakeup::yield_now;
 
 /// What a control instance is started with.
 pub struct ControlOptions {
@@ -60,7 +60,7 @@
 
 /// Control instance; clones share it.
 #[derive(Clone)]
-pub struct Control {
+pub struct ControlNode {
     pub(super) inner: Rc<Inner>,
 }
 
@@ -68,12 +68,12 @@
 pub(super) struct Inner {
     pub(super) endpoint: Endpoint,
     /// Disk, until the role ends.
-    pub(super) saver: RefCell<Option<Box<dyn Saver>>>,
+    pub(super) saver: RefCell<Option<Box<dyn LogStorage>>>,
     pub(super) replica: RefCell<Replica>,
     pub(super) state: RefCell<State>,
     /// Last entry that the state includes.
     pub(super) applied: Cell<LogIndex>,
-    pub(super) pending: RefCell<Pending>,
+    pub(super) pending: RefCell<ProposalQueue>,
     /// Reads that wait for the lease, with where the answer goes.
     pub(super) reads: RefCell<IndexMap<ReadId, oneshot::Sender<bool>>>,
     pub(super) next: Cell<u64>,
@@ -81,13 +81,13 @@
     pub(super) flushing: Cell<bool>,
     /// When the timer task wakes up.
     pub(super) armed: Cell<Instant>,
-    pub(super) rearmed: Signal,
-    pub(super) published: Signal,
+    pub(super) rearmed: EventCount,
+    pub(super) published: EventCount,
     pub(super) failure: RefCell<Option<ControlFailure>>,
-    pub(super) failed: Signal,
+    pub(super) failed: EventCount,
 }
 
-impl Control {
+impl ControlNode {
     /// Starts the replica and serves its frames on `endpoint`.
     ///
     /// # Errors
@@ -96,7 +96,7 @@
     pub fn start(
         options: ControlOptions,
         endpoint: Endpoint,
-        saver: Box<dyn Saver>,
+        saver: Box<dyn LogStorage>,
     ) -> Result<Self, ControlFailure> {
         let ControlOptions { node, settings, batch, rng, stored } = options;
         let replica = Replica::recover(node, settings, rng, boot_now(), stored)?;
@@ -107,15 +107,15 @@
                 replica: RefCell::new(replica),
                 state: RefCell::default(),
                 applied: Cell::default(),
-                pending: RefCell::new(Pending::new(batch)),
+                pending: RefCell::new(ProposalQueue::new(batch)),
                 reads: RefCell::default(),
                 next: Cell::new(0),
                 flushing: Cell::new(false),
                 armed: Cell::new(Instant::ZERO),
-                rearmed: Signal::default(),
-                published: Signal::default(),
+                rearmed: EventCount::default(),
+                published: EventCount::default(),
                 failure: RefCell::default(),
-                failed: Signal::default(),
+                failed: EventCount::default(),
             }),
         };
         control.serve();
@@ -175,7 +175,7 @@
     /// Waits until this instance's state is known to hold everything acknowledged so far.
     ///
     /// Returns whether that could be confirmed; only a leader with its lease can.
-    pub async fn confirm(&self) -> bool {
+    pub async fn read_barrier(&self) -> bool {
         let id = ReadId(self.next_number());
         let (sender, ready) = oneshot::channel();
         self.inner.reads.borrow_mut().insert(id, sender);
@@ -184,10 +184,10 @@
     }
 
     /// Returns who leads, as known here.
-    pub fn lead(&self) -> Lead {
+    pub fn lead(&self) -> Leadership {
         let replica = self.inner.replica.borrow();
         let leader = replica.status().leader.as_ref().map(|n| n.name.clone());
-        Lead { own: !self.has_ended() && replica.has_lease(boot_now()), leader }
+        Leadership { is_leader: !self.has_ended() && replica.has_lease(boot_now()), leader }
     }
 
     /// Returns the part that this instance plays in the log.
@@ -195,7 +195,7 @@
         let lead = self.lead();
         let replica = self.inner.replica.borrow();
         let Status { term, commit, members, .. } = replica.status().clone();
-        ControlStatus { lead, term, commit, members }
+        ControlStatus { leadership: lead, term, commit, members }
     }
 
     /// Returns the published part of the state as applied here.
@@ -204,7 +204,7 @@
     }
 
     /// Returns the number of changes of the published part, to wait on.
-    pub fn changes(&self) -> &Signal {
+    pub fn changes(&self) -> &EventCount {
         &self.inner.published
     }
 
@@ -235,7 +235,7 @@
     }
 
     /// Hands the lead over to another voter, as before a planned stop; nothing happens elsewhere.
-    pub fn hand_over(&self) {
+    pub fn transfer_leadership(&self) {
         self.input(Input::TransferLeadership);
     }
 
@@ -258,7 +258,7 @@
                 if let Some(failure) = inner.failure.borrow().clone() {
                     return failure;
                 }
-                inner.failed.after(seen).await;
+                inner.failed.wait_after(seen).await;
             }
         }
     }
@@ -303,7 +303,7 @@
             let id = ProposalId(self.next_number());
             let batch = self.inner.pending.borrow_mut().take(id, wall_now());
             let Some(batch) = batch else { return };
-            match batch::encode(&batch) {
+            match codec::encode(&batch) {
                 Ok(data) => self.input(Input::Propose(vec![Proposal { id, data }])),
                 Err(error) => {
                     tracing::error!(event = "batch-refused", %error);
@@ -352,7 +352,7 @@
             self.inner.armed.set(deadline);
             monoio::select! {
                 () = monoio::time::sleep(wait) => {}
-                () = self.inner.rearmed.after(seen) => {}
+                () = self.inner.rearmed.wait_after(seen) => {}
             }
         }
     }
--- a/hawthornkeel/src/control/watch.rs
+++ b/hawthornkeel/src/control/watch.rs
@@ -18,7 +18,7 @@
 use crate::clock::boot_now;
 use crate::peer::frame::Followed;
 use crate::peer::frame::InstanceStatus;
-use crate::peer::signal::Signal;
+use crate::peer::wakeup::EventCount;
 
 /// Published state in force at this instance; clones share it.
 #[derive(Clone, Default)]
@@ -34,14 +34,14 @@
     ///
     /// On the clock that goes on while the machine is suspended.
     confirmed: Cell<Option<Instant>>,
-    changed: Signal,
+    changed: EventCount,
 }
 
 impl Watch {
     /// Puts `published` in force unless one with the same or a higher index is.
     ///
     /// Returns whether it is in force now.
-    pub fn offer(&self, published: PublishedState) -> bool {
+    pub fn update(&self, published: PublishedState) -> bool {
         let current = self.index();
         if current.is_some_and(|index| published.index <= index) {
             return false;
@@ -70,12 +70,12 @@
     }
 
     /// Returns the changes of the state in force and of the data centres, to wait on.
-    pub fn changes(&self) -> &Signal {
+    pub fn changes(&self) -> &EventCount {
         &self.inner.changed
     }
 
     /// Takes in an order to take a data centre out.
-    pub fn hear(&self, hold: &TakeOut) -> MergeOutcome {
+    pub fn merge_take_out(&self, hold: &TakeOut) -> MergeOutcome {
         let heard = self.inner.holds.borrow_mut().merge(hold);
         if heard == MergeOutcome::New {
             let CentreOrder { operator, operation, centre, .. } = &hold.order;
@@ -86,13 +86,13 @@
     }
 
     /// Notes that the log decides on `order` from `index` on.
-    pub fn logged(&self, order: &CentreOrder, index: LogIndex) {
+    pub fn mark_logged(&self, order: &CentreOrder, index: LogIndex) {
         self.inner.holds.borrow_mut().mark_logged(order, index);
         self.inner.changed.notify();
     }
 
     /// Returns what is known of an order.
-    pub fn hold(&self, order: &CentreOrder) -> Option<TakeOut> {
+    pub fn take_out(&self, order: &CentreOrder) -> Option<TakeOut> {
         self.inner.holds.borrow().get(order).cloned()
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Notes that the state was that of a group with a leader `age` ago.
-    pub fn confirm(&self, age: Duration) {
+    pub fn record_confirmation(&self, age: Duration) {
         let age = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
         let at = boot_now().as_micros().checked_sub(age).map(Instant::from_micros);
         self.inner.confirmed.set(self.inner.confirmed.get().max(at));
@@ -114,25 +114,25 @@
     }
 
     /// Answers a follower that has the state at `after`.
-    pub fn followed(&self, after: Option<LogIndex>) -> Followed {
+    pub fn reply_after(&self, after: Option<LogIndex>) -> Followed {
         let published = self.current().filter(|p| after.is_none_or(|a| p.index > a));
         Followed {
             published: published.map(|p| PublishedState::clone(&p)),
-            holds: self.inner.holds.borrow().all().to_vec(),
+            take_outs: self.inner.holds.borrow().all().to_vec(),
             age_ms: self.age().map(millis),
         }
     }
 
     /// Takes in what another instance answered.
-    pub fn absorb(&self, followed: Followed) {
-        for hold in &followed.holds {
-            self.hear(hold);
+    pub fn merge(&self, followed: Followed) {
+        for hold in &followed.take_outs {
+            self.merge_take_out(hold);
         }
         if let Some(published) = followed.published {
-            self.offer(published);
+            self.update(published);
         }
         if let Some(age) = followed.age_ms {
-            self.confirm(Duration::from_millis(age));
+            self.record_confirmation(Duration::from_millis(age));
         }
     }
 
--- a/hawthornkeel/src/entry/executor/mod.rs
+++ b/hawthornkeel/src/entry/executor/mod.rs
@@ -88,7 +88,7 @@
             run,
             parsed,
             input: request.body,
-            disconnected: request.left,
+            disconnected: request.disconnected,
             arrived,
             reply: Rc::new(reply),
             previous: None,
--- a/hawthornkeel/src/entry/server.rs
+++ b/hawthornkeel/src/entry/server.rs
@@ -9,10 +9,10 @@
 use crate::entry::context::Context;
 use crate::entry::controllers;
 use crate::entry::handler::EntryHandler;
-use crate::http::server::Control;
 use crate::http::server::Limits;
 use crate::http::server::ListenError;
 use crate::http::server::Server;
+use crate::http::server::ShutdownSignals;
 use crate::stop::StopRequest;
 
 /// Interval between checks whether a stop is requested or complete.
@@ -55,7 +55,7 @@
 
     /// Serves until `stop` is requested, then performs a planned stop.
     pub async fn serve(self, stop: StopRequest) -> StopReport {
-        let control = self.server.control();
+        let control = self.server.shutdown_signals();
         let context = Rc::clone(&self.context);
         let name = self.context.settings.instance.name.clone();
         tracing::info!(event = "entry-started", %name, address = %self.server.address());
@@ -78,7 +78,7 @@
     Limits {
         max_head: entry.max_head,
         max_connections: entry.max_connections,
-        receive: Duration::from_millis(entry.receive_ms),
+        receive_timeout: Duration::from_millis(entry.receive_ms),
         ..Limits::default()
     }
 }
@@ -86,7 +86,7 @@
 /// Waits for a stop request, drains the entry and waits for its open requests.
 async fn stop_when_requested(
     context: &Context,
-    control: &Control,
+    control: &ShutdownSignals,
     stop: &StopRequest,
 ) -> StopReport {
     while stop.count() == 0 {
