--- a/hawthornkeel/src/control/client.rs
+++ b/hawthornkeel/src/control/client.rs
@@ -51,7 +51,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoQuorum => f.write_str("no quorum of control instances can be reached"),
-            Self::Unknown => f.write_str("the outcome is unknown"),
+            Self::Unknown => f.write_str("the outcome is not known"),
         }
     }
 }
--- a/hawthornkeel/src/http/connection.rs
+++ b/hawthornkeel/src/http/connection.rs
@@ -287,7 +287,7 @@
     let count = parts.headers.get_all(HOST).iter().count();
     match (parts.version, count) {
         (_, 1) | (Version::HTTP_10, 0) => Ok(()),
-        _ => Err(ReadError::Malformed("exactly one Host field is required")),
+        _ => Err(ReadError::Malformed("exactly one Host is required")),
     }
 }
 
--- a/hawthornkeel/src/http/framing.rs
+++ b/hawthornkeel/src/http/framing.rs
@@ -144,7 +144,7 @@
     let mut previous = 0;
     for &byte in head {
         if (byte == b'\n') != (previous == b'\r') {
-            return Err(ReadError::Malformed("bare CR or LF in the head"));
+            return Err(ReadError::Malformed("lone line end in the head"));
         }
         previous = byte;
     }
@@ -158,7 +158,7 @@
             ReadError::HeadTooLarge
         }
         DecodeError::Parse(_) => ReadError::Malformed("head can't be parsed"),
-        DecodeError::Uri(_) => ReadError::Malformed("request target can't be parsed"),
+        DecodeError::Uri(_) => ReadError::Malformed("target can't be parsed"),
         _ => ReadError::Malformed("head can't be decoded"),
     }
 }
@@ -172,9 +172,7 @@
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     match (codings.next(), lengths.next()) {
         (None, None) => Ok(BodyLength::Absent),
-        (Some(_), Some(_)) => {
-            Err(ReadError::Malformed("both Content-Length and Transfer-Encoding are present"))
-        }
+        (Some(_), Some(_)) => Err(ReadError::Malformed("both a length and a transfer coding")),
         (Some(coding), None) => {
             let chunked = coding.as_bytes().eq_ignore_ascii_case(b"chunked");
             if !chunked || codings.next().is_some() || version != Version::HTTP_11 {
@@ -184,7 +182,7 @@
         }
         (None, Some(length)) => {
             if lengths.next().is_some() {
-                return Err(ReadError::Malformed("more than one Content-Length"));
+                return Err(ReadError::Malformed("more than one length"));
             }
             parse_length(length.as_bytes()).map(BodyLength::Fixed)
         }
@@ -194,7 +192,7 @@
 fn parse_length(text: &[u8]) -> Result<usize, ReadError> {
     let digits = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
     let length = str::from_utf8(text).ok().filter(|_| digits).and_then(|t| t.parse().ok());
-    length.ok_or(ReadError::Malformed("Content-Length can't be parsed"))
+    length.ok_or(ReadError::Malformed("length can't be parsed"))
 }
 
 /// Reader of a message body.
--- a/hawthornkeel/src/peer/inbound.rs
+++ b/hawthornkeel/src/peer/inbound.rs
@@ -88,7 +88,7 @@
     let mut stream = connection.accept_uni().await.map_err(|e| e.to_string())?;
     let name = match wire::read(&mut stream).await {
         Ok(Frame::Hello(name)) => name,
-        Ok(_) => return Err("first frame is not a hello".to_owned()),
+        Ok(_) => return Err("connection starts without a name".to_owned()),
         Err(error) => return Err(error.to_string()),
     };
     match handlers.trust {
@@ -96,7 +96,7 @@
             return Err(format!("certificate is not for {name}"));
         }
         Trust::Addresses if Peers::name_from_address(connection.remote_address()) != name => {
-            return Err(format!("remote address does not belong to {name}"));
+            return Err(format!("address is not that of {name}"));
         }
         Trust::Certificates | Trust::Addresses => {}
     }
--- a/hawthornkeel/src/peer/wire.rs
+++ b/hawthornkeel/src/peer/wire.rs
@@ -44,9 +44,9 @@
                 write!(f, "unknown protocol version {found}, this instance speaks {VERSION}")
             }
             Self::TooLong(size) => {
-                write!(f, "frame of {size} bytes exceeds the limit of {MAX_BODY_BYTES}")
+                write!(f, "frame of {size} bytes, {MAX_BODY_BYTES} at most")
             }
-            Self::UnknownEncoding(found) => write!(f, "unknown body encoding {found}"),
+            Self::UnknownEncoding(found) => write!(f, "unknown form {found} of a frame's body"),
             Self::Decompress => {
                 write!(f, "body can't be decompressed within {MAX_BODY_BYTES} bytes")
             }
