--- a/hawthornkeel/src/control/follow.rs
+++ b/hawthornkeel/src/control/follow.rs
@@ -111,8 +111,8 @@
     /// Replies with a state that includes all acknowledged changes, if this instance leads.
     async fn latest(&self) -> Followed {
         let Some(published) = self.linearizable_state().await else { return Followed::default() };
-        let holds = self.watch.reply_after(None).take_outs;
-        Followed { published: Some(published), take_outs: holds, age_ms: Some(0) }
+        let take_outs = self.watch.reply_after(None).take_outs;
+        Followed { published: Some(published), take_outs, age_ms: Some(0) }
     }
 
     /// Replies with the state once it is newer than `after`, or without a state after `wait`.
--- a/hawthornkeel/src/forward/discovery_server.rs
+++ b/hawthornkeel/src/forward/discovery_server.rs
@@ -123,8 +123,8 @@
             let server = server.clone();
             async move {
                 match frame {
-                    Frame::Discover(survey) => {
-                        Frame::Discovered(Box::new(server.handle_poll(&survey).await))
+                    Frame::Discover(poll) => {
+                        Frame::Discovered(Box::new(server.handle_poll(&poll).await))
                     }
                     other => other,
                 }
@@ -177,13 +177,13 @@
     }
 
     /// Responds to a poll once there is something new, or at the end of the long poll.
-    async fn handle_poll(&self, survey: &Discover) -> Discovered {
-        let wait = Duration::from_millis(survey.wait_ms.into()).min(MAX_LONG_POLL);
+    async fn handle_poll(&self, poll: &Discover) -> Discovered {
+        let wait = Duration::from_millis(poll.wait_ms.into()).min(MAX_LONG_POLL);
         let deadline = monoio::time::Instant::now() + wait;
         loop {
             let (state_changes, own_changes) =
                 (self.inner.watch.changes().count(), self.inner.changed.count());
-            if self.has_news(survey) {
+            if self.has_news(poll) {
                 break;
             }
             let changed = async {
@@ -196,16 +196,16 @@
                 break;
             }
         }
-        self.update_for(survey)
+        self.update_for(poll)
     }
 
-    fn has_news(&self, survey: &Discover) -> bool {
-        self.inner.watch.index() > survey.after
-            || Some(self.inner.target_list.borrow().mark) != survey.list_mark
-            || self.inner.entries.borrow().len() != survey.entry_count
+    fn has_news(&self, poll: &Discover) -> bool {
+        self.inner.watch.index() > poll.after
+            || Some(self.inner.target_list.borrow().mark) != poll.list_mark
+            || self.inner.entries.borrow().len() != poll.entry_count
     }
 
-    fn update_for(&self, survey: &Discover) -> Discovered {
+    fn update_for(&self, poll: &Discover) -> Discovered {
         let target_list = self.inner.target_list.borrow().clone();
         let list_time = self.inner.list_time.get();
         let entries = self.inner.entries.borrow();
@@ -217,8 +217,8 @@
             settled: just_started || record.first_heartbeat.elapsed() > SETTLE_TIME,
         };
         Discovered {
-            followed: self.inner.watch.reply_after(survey.after),
-            target_list: (list_time.is_some() && Some(target_list.mark) != survey.list_mark)
+            followed: self.inner.watch.reply_after(poll.after),
+            target_list: (list_time.is_some() && Some(target_list.mark) != poll.list_mark)
                 .then_some(target_list),
             list_age_ms: list_time
                 .map(|l| u64::try_from(l.elapsed().as_millis()).unwrap_or(u64::MAX)),
@@ -260,7 +260,7 @@
         let wait_ms = u32::try_from(self.inner.poll_interval.as_millis()).unwrap_or(u32::MAX);
         let mark = self.inner.list_time.get().map(|_| self.inner.target_list.borrow().mark);
         let entries = self.inner.entries.borrow().len();
-        let survey = Discover {
+        let poll = Discover {
             after: self.inner.watch.index(),
             list_mark: mark,
             entry_count: entries,
@@ -268,7 +268,7 @@
         };
         let sent = Instant::now();
         let timeout = RESPONSE_TIMEOUT + self.inner.poll_interval;
-        let response = self.inner.endpoint.call(leader, &Frame::Discover(survey), timeout).await;
+        let response = self.inner.endpoint.call(leader, &Frame::Discover(poll), timeout).await;
         let Ok(Frame::Discovered(update)) = response else { return false };
         let Some(age) = update.list_age_ms.map(Duration::from_millis) else { return false };
         if age > MAX_LIST_AGE {
--- a/hawthornkeel/src/forward/schedulers/mod.rs
+++ b/hawthornkeel/src/forward/schedulers/mod.rs
@@ -446,7 +446,7 @@
                     jobs,
                     waiting,
                     late,
-                    booked,
+                    reserved,
                     calls,
                     workers,
                     available,
@@ -454,8 +454,8 @@
                     held_bytes,
                 } = local.scheduler.summary();
                 tracing::info!(
-                    event = "desk-state", desk = %name, jobs, waiting, late, booked, calls,
-                    makers = workers, counted = available, free, held = held_bytes
+                    event = "desk-state", desk = %name, jobs, waiting, late, booked = reserved,
+                    calls, makers = workers, counted = available, free, held = held_bytes
                 );
             }
         }
--- a/hawthornkeel/tests/support/cluster.rs
+++ b/hawthornkeel/tests/support/cluster.rs
@@ -112,21 +112,21 @@
     }
 
     /// Partitions the instances of `side` from the others, or heals the partition.
-    pub fn set_partitioned(&self, side: &[&str], cut: bool) {
+    pub fn set_partitioned(&self, side: &[&str], partitioned: bool) {
         let within = |name: &String| side.contains(&name.as_str());
         for ((from, to), relay) in &*self.relays.lock().unwrap() {
             if within(from) != within(to) {
-                relay.set_blocked(cut);
+                relay.set_blocked(partitioned);
             }
         }
     }
 
     /// Partitions `one` from the instances of `others`, or heals the partition.
-    pub fn set_partitioned_between(&self, one: &str, others: &[&str], cut: bool) {
+    pub fn set_partitioned_between(&self, one: &str, others: &[&str], partitioned: bool) {
         let is_other = |name: &String| others.contains(&name.as_str());
         for ((from, to), relay) in &*self.relays.lock().unwrap() {
             if (from == one && is_other(to)) || (to == one && is_other(from)) {
-                relay.set_blocked(cut);
+                relay.set_blocked(partitioned);
             }
         }
     }
--- a/hawthornkeel_core/src/stages/action.rs
+++ b/hawthornkeel_core/src/stages/action.rs
@@ -123,7 +123,7 @@
     /// Jobs with waiting pieces that are past their due time.
     pub late: usize,
     /// Pieces that are reserved and not yet submitted.
-    pub booked: u32,
+    pub reserved: u32,
     /// Calls in progress.
     pub calls: usize,
     /// Targets.
--- a/hawthornkeel_core/src/stages/scheduler.rs
+++ b/hawthornkeel_core/src/stages/scheduler.rs
@@ -191,7 +191,7 @@
             jobs: self.jobs.len(),
             waiting: waiting().map(JobState::waiting_pieces).sum(),
             late: waiting().filter(late).count(),
-            booked: self.reservations.values().map(|r| r.pieces).sum(),
+            reserved: self.reservations.values().map(|r| r.pieces).sum(),
             calls: self.calls.len(),
             workers: self.workers.len(),
             available: workers().filter(|w| w.is_available(self.now)).count(),
--- a/hawthornkeel_core/src/stages/worker.rs
+++ b/hawthornkeel_core/src/stages/worker.rs
@@ -80,7 +80,7 @@
 
     /// Returns whether its recent calls took far longer than expected.
     ///
-    /// The verdict expires, because slowness is usually temporary.
+    /// The result expires, because slowness is usually temporary.
     pub(super) fn is_slow(&self, now: Instant) -> bool {
         self.slowdown > SLOW_RATIO && now.since(self.last_end) < SLOW_RETRY
     }
--- a/hawthornkeel_core/tests/stage_scheduler.rs
+++ b/hawthornkeel_core/tests/stage_scheduler.rs
@@ -65,9 +65,9 @@
 fn reservations_use_capacity() {
     let mut harness = Harness::new(1);
     let spec = |n| scheduler_harness::JobSpec { due_ms: 900, ..job(n, 8) };
-    let booked = (0..10).filter(|n| harness.try_reserve(&spec(*n))).count();
+    let reserved = (0..10).filter(|n| harness.try_reserve(&spec(*n))).count();
     // No job has been submitted, but the reservations use up the capacity.
-    assert!((2..=4).contains(&booked), "{booked}");
+    assert!((2..=4).contains(&reserved), "{reserved}");
     harness.cancel(0);
     assert!(harness.try_reserve(&spec(20)));
 }
