--- a/hawthornkeel_config/src/checks/document.rs
+++ b/hawthornkeel_config/src/checks/document.rs
@@ -73,12 +73,16 @@
     }
     match (pool.kind, &pool.model) {
         (PoolKind::Engine, None) => {
-            let accepted = "name of the model that the engines serve";
+            let accepted = "the name of the model that the engines serve";
             reader.report(&format!("{path}.model"), "missing".to_owned(), accepted);
         }
         (PoolKind::Service, Some(_)) => {
-            let message = "a pool of kind \"service\" has no model".to_owned();
-            reader.report(&format!("{path}.model"), message, "a model only with kind = \"engine\"");
+            let message = "a pool of plain services has no model".to_owned();
+            reader.report(
+                &format!("{path}.model"),
+                message,
+                "a model only where kind = \"engine\"",
+            );
         }
         (PoolKind::Engine, Some(_)) | (PoolKind::Service, None) => {}
     }
@@ -97,7 +101,7 @@
     if pipeline.deadline() < total_floor {
         let total_floor = total_floor.as_millis();
         let message = format!(
-            "{} ms is less than the sum of the stages' floor_ms, {total_floor} ms",
+            "{} ms is shorter than the floors of the stages together, {total_floor} ms",
             pipeline.deadline_ms
         );
         reader.report(&format!("{path}.deadline_ms"), message, &format!("at least {total_floor}"));
@@ -107,13 +111,13 @@
 fn check_stage(reader: &mut Reader<'_>, path: &str, stage: &Stage, document: &Document) {
     if !stage.pool.as_str().is_empty() && document.pool(stage.pool.as_str()).is_none() {
         let names: Vec<&str> = document.pools.iter().map(|p| p.name.as_str()).collect();
-        let message = format!("unknown pool {:?}", stage.pool.as_str());
-        let accepted = format!("name of a [[pool]]: {}", names.join(", "));
+        let message = format!("no pool is called {:?}", stage.pool.as_str());
+        let accepted = format!("the name of a [[pool]]: {}", names.join(", "));
         reader.report(&format!("{path}.pool"), message, &accepted);
     }
     if !stage.idempotent && stage.max_attempts > 1 {
-        let message = format!("{} attempts for a stage that is not idempotent", stage.max_attempts);
-        let accepted = "1, or idempotent = true if the stage may run more than once";
+        let message = format!("{} attempts at a stage that is not idempotent", stage.max_attempts);
+        let accepted = "1, or idempotent = true where the stage may run again";
         reader.report(&format!("{path}.max_attempts"), message, accepted);
     }
 }
--- a/hawthornkeel_config/src/checks/mod.rs
+++ b/hawthornkeel_config/src/checks/mod.rs
@@ -12,7 +12,7 @@
     let mut seen = IndexSet::new();
     for (key, name) in names {
         if !name.is_empty() && !seen.insert(name) {
-            reader.report(&key, format!("duplicate name {name:?}"), "a unique name");
+            reader.report(&key, format!("the name {name:?} stands twice"), "a name of its own");
         }
     }
 }
--- a/hawthornkeel_config/src/reader.rs
+++ b/hawthornkeel_config/src/reader.rs
@@ -248,14 +248,10 @@
         (ValueKind::Float, DeValue::Float(number)) => is_non_negative(number.as_str()),
         (kind, DeValue::String(text)) => match accepts_string(kind, text) {
             Some(accepted) => accepted,
-            None => return Some("found a string".to_owned()),
+            None => return Some("a string".to_owned()),
         },
         (_, other) => {
-            return Some(format!(
-                "found {} {}",
-                indefinite_article(other.type_str()),
-                other.type_str()
-            ));
+            return Some(format!("{} {}", indefinite_article(other.type_str()), other.type_str()));
         }
     };
     if accepted { None } else { Some(format!("{} is not accepted", display_value(value))) }
--- a/hawthornkeel_config/src/schema/mod.rs
+++ b/hawthornkeel_config/src/schema/mod.rs
@@ -97,7 +97,7 @@
         match self {
             Self::Boolean => f.write_str("true or false"),
             Self::Integer(bounds) => bounds.fmt(f),
-            Self::Text => f.write_str("a non-empty string"),
+            Self::Text => f.write_str("text that is not empty"),
             Self::Name => write!(
                 f,
                 "1 to {MAX_NAME_LENGTH} letters, digits, '-', '_' or '.', the first a letter or \
@@ -109,7 +109,7 @@
                  last not '-'"
             ),
             Self::HostNames => f.write_str("a list of instance names"),
-            Self::UrlPath => f.write_str("a path that starts with '/' and contains no spaces"),
+            Self::UrlPath => f.write_str("a path that begins with '/' and holds no blanks"),
             Self::FilePath => f.write_str("path of a file or folder"),
             Self::Address => f.write_str("an IP address and port, such as \"127.0.0.1:8080\""),
             Self::Addresses => f.write_str("a list of IP addresses and ports"),
--- a/hawthornkeel_config/tests/document_findings.rs
+++ b/hawthornkeel_config/tests/document_findings.rs
@@ -67,8 +67,8 @@
     "[pol]\n[[pool]]\nname = \"readers\"",
     "10:2 pol: unknown key"
 )]
-#[case::wrong_type("weight = 4", "weight = \"4\"", "8:10 workspace[1].weight: found a string")]
-#[case::float("weight = 4", "weight = 4.5", "8:10 workspace[1].weight: found a float")]
+#[case::wrong_type("weight = 4", "weight = \"4\"", "8:10 workspace[1].weight: a string")]
+#[case::float("weight = 4", "weight = 4.5", "8:10 workspace[1].weight: a float")]
 #[case::zero_weight("weight = 4", "weight = 0", "8:10 workspace[1].weight: 0 is not accepted")]
 #[case::negative("weight = 4", "weight = -4", "8:10 workspace[1].weight: -4 is not accepted")]
 #[case::zero_limit(
@@ -90,22 +90,22 @@
 #[case::service_model(
     "kind = \"engine\"\n",
     "",
-    "15:9 pool[1].model: a pool of kind \"service\" has no model"
+    "15:9 pool[1].model: a pool of plain services has no model"
 )]
 #[case::duplicate_workspace(
     "name = \"kagoshima\"",
     "name = \"kumamoto\"",
-    "7:8 workspace[1].name: duplicate name \"kumamoto\""
+    "7:8 workspace[1].name: the name \"kumamoto\" stands twice"
 )]
 #[case::duplicate_stage(
     "name = \"sign\"",
     "name = \"read\"",
-    "30:8 pipeline[0].stage[1].name: duplicate name \"read\""
+    "30:8 pipeline[0].stage[1].name: the name \"read\" stands twice"
 )]
 #[case::duplicate_pool(
     "name = \"engines\"",
     "name = \"readers\"",
-    "14:8 pool[1].name: duplicate name \"readers\""
+    "14:8 pool[1].name: the name \"readers\" stands twice"
 )]
 #[case::bad_name(
     "name = \"kagoshima\"",
@@ -116,17 +116,17 @@
 #[case::unknown_pool(
     "pool = \"readers\"\nidempotent",
     "pool = \"reader\"\nidempotent",
-    "31:8 pipeline[0].stage[1].pool: unknown pool \"reader\""
+    "31:8 pipeline[0].stage[1].pool: no pool is called \"reader\""
 )]
 #[case::short_deadline(
     "deadline_ms = 8000",
     "deadline_ms = 100",
-    "22:15 pipeline[0].deadline_ms: 100 ms is less than the sum of the stages' floor_ms, 101 ms"
+    "22:15 pipeline[0].deadline_ms: 100 ms is shorter than the floors of the stages together, 101 ms"
 )]
 #[case::too_many_attempts(
     "idempotent = false",
     "idempotent = false\nmax_attempts = 2",
-    "33:16 pipeline[0].stage[1].max_attempts: 2 attempts for a stage that is not idempotent"
+    "33:16 pipeline[0].stage[1].max_attempts: 2 attempts at a stage that is not idempotent"
 )]
 #[case::bad_path(
     "idempotent = false",
@@ -153,8 +153,9 @@
         "8:10 workspace[1].weight: 0 is not accepted",
         "18:14 pool[1].cold_limit: 9 is above warm_limit, 8",
         "19:1 pool[1].speed: unknown key",
-        "23:15 pipeline[0].deadline_ms: 8000 ms is less than the sum of the stages' floor_ms, 9001 ms",
-        "27:8 pipeline[0].stage[0].pool: found an integer",
+        "23:15 pipeline[0].deadline_ms: 8000 ms is shorter than the floors of the stages together, \
+         9001 ms",
+        "27:8 pipeline[0].stage[0].pool: an integer",
     ];
     assert_eq!(format_findings(findings.list()), expected);
 }
--- a/hawthornkeel_config/tests/settings_findings.rs
+++ b/hawthornkeel_config/tests/settings_findings.rs
@@ -105,7 +105,7 @@
 #[case::duplicate_founder(
     "founders = [\"entry-1\", \"entry-2\"]",
     "founders = [\"entry-1\", \"entry-1\"]",
-    "12:12 control.founders: duplicate name \"entry-1\""
+    "12:12 control.founders: the name \"entry-1\" stands twice"
 )]
 #[case::founder_without_control(
     "founders = [\"entry-1\", \"entry-2\"]",
@@ -130,7 +130,7 @@
 #[case::duplicate_peer(
     "name = \"entry-3\"",
     "name = \"entry-2\"",
-    "27:8 peers.peer[1].name: duplicate name \"entry-2\""
+    "27:8 peers.peer[1].name: the name \"entry-2\" stands twice"
 )]
 #[case::shared_address(
     "127.0.0.3:7070",
